--- a/crates/quincevalve_forwarding/src/rollout.rs
+++ b/crates/quincevalve_forwarding/src/rollout.rs
@@ -1,16 +1,16 @@
-//! Moves a service's traffic to another version of its software, and takes it back from a bad one.
+//! Moves a service's traffic to another version of its software, and rolls a bad version back.
 //!
-//! Operators order a version; its servers start beside the old ones. All entry VMs follow one record in the
+//! Operators order a version, and its servers start beside the old ones. All entry VMs follow one record in the
 //! platform's store:
 //!
-//! 1. *Canary*: the new version gets a bounded share of the requests over all VMs ([`exposure`]), on few servers, so
-//!    that they are loaded like the old ones. Each VM notes how both versions answer, by route, and tells it with its
-//!    other sums ([`evidence`]).
-//! 2. Each VM compares the versions by all that was told ([`verdict`]). Once they differ for the worse it sends the
-//!    new one nothing more, for good, whether it hears of the record or not.
-//! 3. The holder of the duties decides alone ([`steps`]): a good version is *promoted*, the share rises to all
-//!    ([`book`]), old servers finish what they run, and only when no VM has work there is the roll-out *completed*.
-//!    A bad one, or one that can't be judged in time, is *rolled back*.
+//! 1. *Canary*: over all VMs the new version gets a bounded share of the requests ([`exposure`]), on few servers, so
+//!    that each has about the load of an old one. Each VM counts by route how both versions answer, and publishes the
+//!    counts in its digest ([`evidence`]).
+//! 2. Each VM compares the versions by the evidence of all VMs ([`verdict`]). Once the new version is found worse, the
+//!    VM stops sending to it until another order comes, whether or not it receives a record of the roll-back.
+//! 3. Only the holder of the duties decides ([`steps`]). A good version is *promoted*: its share rises to all requests
+//!    ([`book`]) while old servers finish their requests. The roll-out is *completed* once no VM has requests at old
+//!    servers. A bad version, or one that can't be judged in time, is *rolled back*.
 
 pub mod book;
 pub mod evidence;
--- a/crates/quincevalve_forwarding/src/rollout/exposure.rs
+++ b/crates/quincevalve_forwarding/src/rollout/exposure.rs
@@ -1,19 +1,18 @@
-//! How many requests this VM may send to a version that isn't known to be good.
+//! Limits the requests that this VM sends to a version that isn't known to be good.
 
 use crate::shared_limit::{Seat, SharedLimit};
 
-/// Part of the promised limit that is used; the rest covers VMs that aren't known to each other yet, streams that are
-/// moved, and what shows while a version takes the traffic over.
-const USED_PART: f64 = 0.9;
+/// Fraction of the promised limit that is used. The rest covers VMs that don't know each other yet, streams that are
+/// migrated, and faults that show only during the promotion.
+const USED_FRACTION: f64 = 0.9;
 
-/// One VM's part of the requests that a new version may get.
+/// One VM's share of the requests that a new version may get.
 ///
-/// Failure: many VMs have a fraction of a request each to send, and all round alike. Symptom: with 295 VMs the version
-/// gets nothing and can't be judged, or six times what it may get. Each VM rounds by its place among all, so that the
-/// sum is rounded once.
+/// If many VMs may each send a fraction of a request and all round alike, a version gets nothing and can't be judged, or
+/// with 295 VMs gets six times its limit. Each VM rounds by its rank among all VMs, so that the sum is rounded once.
 ///
-/// Failure: VMs are restarted again and again while a roll-out runs. Symptom: each start spends its part of the slack
-/// anew. Only a VM that ran when the order came has a part of it.
+/// If VMs restart repeatedly during a roll-out, each start would use its share of the slack again. Only a VM that was
+/// running when the order came has a share of the slack.
 ///
 /// # Examples
 ///
@@ -22,8 +21,8 @@
 /// let limit = SharedLimit { ratio: 0.1, slack: 0.0 };
 /// let mut exposure = Exposure::new(true);
 /// (0..100).for_each(|_| exposure.request());
-/// let seat = Seat { rank: 0, of: 1 };
-/// let sent = (0..20).filter(|_| exposure.may_send(&limit, seat, 1.0) && exposure.sent() > 0);
+/// let vm_rank = Seat { rank: 0, of: 1 };
+/// let sent = (0..20).filter(|_| exposure.may_send(&limit, vm_rank, 1.0) && exposure.sent() > 0);
 /// assert_eq!(sent.count(), 9);
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -34,31 +33,31 @@
 }
 
 impl Exposure {
-    /// `has_slack` says whether this process ran when the order came.
+    /// Creates empty counters. `has_slack` says whether this process was running when the order came.
     pub const fn new(has_slack: bool) -> Self {
         Self { requests: 0, sent: 0, has_slack }
     }
 
-    /// Notes a request for the service, wherever it goes.
+    /// Counts a request for the service, whichever version it is sent to.
     pub fn request(&mut self) {
         self.requests += 1;
     }
 
-    /// Notes a request that goes to the new version, and says how many have.
+    /// Counts a request sent to the new version, and returns the number sent so far.
     pub fn sent(&mut self) -> u64 {
         self.sent += 1;
         self.sent
     }
 
-    /// Whether one more may go there, where `part` of what the limit allows may be used by now.
-    pub fn may_send(&self, limit: &SharedLimit, seat: Seat, part: f64) -> bool {
-        let slack = if self.has_slack { limit.slack_part(seat.of) } else { 0.0 };
-        let allowed = USED_PART * part * (limit.ratio_part(self.requests) + slack);
-        let rounded = (allowed + (seat.rank as f64 + 0.5) / seat.of.max(1) as f64).floor();
+    /// Returns whether one more request may be sent to the new version, where `fraction` of the limit may be used so far.
+    pub fn may_send(&self, limit: &SharedLimit, vm_rank: Seat, fraction: f64) -> bool {
+        let slack = if self.has_slack { limit.slack_part(vm_rank.of) } else { 0.0 };
+        let allowed = USED_FRACTION * fraction * (limit.ratio_part(self.requests) + slack);
+        let rounded = (allowed + (vm_rank.rank as f64 + 0.5) / vm_rank.of.max(1) as f64).floor();
         (self.sent + 1) as f64 <= rounded
     }
 
-    /// Requests that went to the new version from here.
+    /// Returns the number of requests that this VM sent to the new version.
     pub const fn spent(&self) -> u64 {
         self.sent
     }
--- a/crates/quincevalve_forwarding/src/rollout/promotion.rs
+++ b/crates/quincevalve_forwarding/src/rollout/promotion.rs
@@ -1,38 +1,43 @@
-//! How a good version takes the traffic over, and how long that takes.
+//! Timing of a promotion, in which a good version takes over the traffic.
 
 use std::time::Duration;
 
-/// The part of an order's time that the promotion may take, and its bounds: the longer it is, the more streams end
-/// where they run, and the shorter the canary.
-const PART: f64 = 0.17;
-const OF_ENGINES: (Duration, Duration) = (Duration::from_secs(2), Duration::from_millis(3_600));
-/// Requests of plain services take milliseconds.
-const OF_PLAIN: (Duration, Duration) = (Duration::from_millis(1_200), Duration::from_millis(1_700));
-/// The part of a promotion in which the share rises to all.
-const RAMP_PART: f64 = 0.45;
-/// The part after which old servers are expected to stop.
-const OLD_SERVERS_PART: f64 = 0.95;
-/// The part of an order's time that is kept for a slow store and a change of holder, and its bounds.
-const RESERVE_PART: f64 = 0.05;
-const RESERVE: (Duration, Duration) = (Duration::from_millis(300), Duration::from_secs(3));
-/// The part of a promotion in which it can still succeed.
-const LEAST_PART: f64 = 0.8;
+/// Fraction of an order's duration that the promotion may take. A longer promotion lets more streams end at the servers
+/// where they run, but shortens the canary.
+const PROMOTION_FRACTION: f64 = 0.17;
+/// Minimum and maximum length of a promotion of model engines.
+const ENGINE_PROMOTION_BOUNDS: (Duration, Duration) =
+    (Duration::from_secs(2), Duration::from_millis(3_600));
+/// Minimum and maximum length of a promotion of plain services, whose requests take only milliseconds.
+const PLAIN_PROMOTION_BOUNDS: (Duration, Duration) =
+    (Duration::from_millis(1_200), Duration::from_millis(1_700));
+/// Fraction of a promotion in which the new version's share rises to all requests.
+const RAMP_FRACTION: f64 = 0.45;
+/// Fraction of a promotion after which old servers are expected to stop.
+const OLD_SERVERS_STAY_FRACTION: f64 = 0.95;
+/// Fraction of an order's duration that is reserved for a slow store and a change of holder.
+const RESERVE_FRACTION: f64 = 0.05;
+/// Minimum and maximum reserve.
+const RESERVE_BOUNDS: (Duration, Duration) = (Duration::from_millis(300), Duration::from_secs(3));
+/// Minimum fraction of a promotion's length that must remain for it to succeed.
+const MIN_PROMOTION_FRACTION: f64 = 0.8;
 
 /// The times of one promotion.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Promotion {
-    /// From its beginning to the word that the old servers may stop.
+    /// Time from the beginning of the promotion to its completion, when old servers may stop.
     pub total: Duration,
-    /// From its beginning until the new version gets all requests.
+    /// Time from the beginning of the promotion until the new version gets all requests.
     pub ramp: Duration,
-    /// From its beginning until old servers are expected to stop; streams are moved shortly before.
+    /// Time from the beginning of the promotion until old servers are expected to stop. Streams are migrated shortly
+    /// before.
     pub old_servers_stay: Duration,
-    /// What is kept at the end of the order's time.
+    /// Time reserved at the end of the order's duration.
     pub reserve: Duration,
 }
 
 impl Promotion {
-    /// The times for an order of that duration.
+    /// Returns the times for an order of that duration.
     ///
     /// # Examples
     ///
@@ -44,24 +49,24 @@
     /// assert!(promotion.old_servers_stay < promotion.total);
     /// ```
     pub fn of(duration: Duration, has_engines: bool) -> Self {
-        let (least, most) = if has_engines { OF_ENGINES } else { OF_PLAIN };
-        let total = duration.mul_f64(PART).clamp(least, most);
-        let (least_reserve, most_reserve) = RESERVE;
+        let (min, max) = if has_engines { ENGINE_PROMOTION_BOUNDS } else { PLAIN_PROMOTION_BOUNDS };
+        let total = duration.mul_f64(PROMOTION_FRACTION).clamp(min, max);
+        let (min_reserve, max_reserve) = RESERVE_BOUNDS;
         Self {
             total,
-            ramp: total.mul_f64(RAMP_PART),
-            old_servers_stay: total.mul_f64(OLD_SERVERS_PART),
-            reserve: duration.mul_f64(RESERVE_PART).clamp(least_reserve, most_reserve),
+            ramp: total.mul_f64(RAMP_FRACTION),
+            old_servers_stay: total.mul_f64(OLD_SERVERS_STAY_FRACTION),
+            reserve: duration.mul_f64(RESERVE_FRACTION).clamp(min_reserve, max_reserve),
         }
     }
 
-    /// How long before the deadline a good version is promoted.
+    /// Returns how long before the deadline the promotion of a good version begins.
     pub fn begins_before(&self) -> Duration {
         self.total + self.reserve
     }
 
-    /// How long before the deadline it is too late for it.
+    /// Returns how long before the deadline a promotion may begin at the latest.
     pub fn too_late_before(&self) -> Duration {
-        self.total.mul_f64(LEAST_PART)
+        self.total.mul_f64(MIN_PROMOTION_FRACTION)
     }
 }
--- a/crates/quincevalve_forwarding/src/rollout/record.rs
+++ b/crates/quincevalve_forwarding/src/rollout/record.rs
@@ -1,11 +1,11 @@
-//! What operators order, and how far it has come.
+//! Orders of operators, and the stored record of a roll-out.
 
 use std::time::Duration;
 
 use quincevalve_names::ServerVersion;
 use serde::{Deserialize, Serialize};
 
-/// Tells orders apart: the revision of the store at which one was written. A later order has a higher one.
+/// Identifies an order by the revision of the store at which it was written. A later order has a higher id.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -15,53 +15,53 @@
 /// The operators' order to move a service to another version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutOrder {
-    /// Which order it is.
+    /// The order's id.
     pub id: OrderId,
-    /// The version that the traffic goes to.
+    /// The version to roll out.
     pub to: ServerVersion,
-    /// The time for it.
+    /// Time from the order to the deadline.
     pub duration: Duration,
 }
 
-/// How far a roll-out has come.
+/// The phase of a roll-out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Phase {
-    /// The new version gets a bounded share.
+    /// The new version gets a bounded share of the requests.
     Canary,
-    /// It was found good and gets more and more; old servers finish what they run.
+    /// The new version was judged good and its share rises, while old servers finish their requests.
     Promoting,
-    /// The old servers have stopped.
+    /// The new version has taken over, and old servers may stop.
     Completed,
-    /// The new version gets nothing any more.
+    /// The new version gets no requests any more.
     RolledBack(RollbackCause),
 }
 
 impl Phase {
-    /// Whether nothing follows it.
+    /// Returns whether no other phase follows.
     pub const fn is_final(self) -> bool {
         matches!(self, Self::Completed | Self::RolledBack(_))
     }
 }
 
-/// Why a roll-out was taken back.
+/// Why a roll-out was rolled back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RollbackCause {
-    /// More of its answers were failures than of the old version's.
+    /// The new version failed more often than the old one.
     Failures,
-    /// Its answers came later.
+    /// The new version was slower than the old one.
     Slowness,
-    /// Too little was seen of it to tell.
+    /// There was too little evidence for a verdict.
     Undecided,
-    /// No server of it, or too few to carry the load, came in time.
+    /// The new version had no servers, or too few to carry the load, in time.
     TooFewServers,
     /// The order was removed.
     Cancelled,
-    /// The order leaves no time.
+    /// The order's duration is zero.
     NoTime,
 }
 
 impl RollbackCause {
-    /// Its name in logs.
+    /// Returns the cause's name in logs.
     pub const fn name(self) -> &'static str {
         match self {
             Self::Failures => "failures",
@@ -74,31 +74,31 @@
     }
 }
 
-/// The state of a service's newest roll-out, as it stands in the platform's store.
+/// The state of a service's newest roll-out, as stored in the platform's store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutRecord {
-    /// The order.
+    /// The order's id.
     pub order: OrderId,
-    /// The version that it names.
+    /// The version to roll out.
     pub to: ServerVersion,
-    /// How far it has come.
+    /// The current phase.
     pub phase: Phase,
-    /// When it was first seen, in milliseconds of true time.
+    /// When the holder of the duties first processed the order, in milliseconds of wall-clock time.
     pub ordered_ms: i64,
-    /// The time for it.
+    /// Time from `ordered_ms` to the deadline.
     pub duration: Duration,
-    /// Versions that were ordered before and not completed: they get nothing.
+    /// Versions that were ordered before and not completed. They get no requests.
     pub barred: Vec<ServerVersion>,
 }
 
 impl RolloutRecord {
-    /// When it has to be completed or rolled back, in milliseconds of true time.
+    /// Returns when the roll-out has to be completed or rolled back, in milliseconds of wall-clock time.
     pub fn deadline_ms(&self) -> i64 {
         self.ordered_ms + self.duration.as_millis() as i64
     }
 
-    /// The record of a new order that follows this one: its version is barred unless it was completed or is ordered
-    /// again.
+    /// Returns the record of a new order that supersedes this one. The version of this record is barred unless it was
+    /// completed or is ordered again.
     ///
     /// # Examples
     ///
@@ -121,12 +121,12 @@
             barred.push(self.to.clone());
         }
         barred.retain(|it| *it != order.to);
-        let excess = barred.len().saturating_sub(MOST_BARRED);
+        let excess = barred.len().saturating_sub(MAX_BARRED_VERSIONS);
         barred.drain(..excess);
         Self { barred, ..Self::first(order, now_ms) }
     }
 
-    /// The record of a service's first order.
+    /// Returns the record of a service's first order.
     pub fn first(order: &RolloutOrder, now_ms: i64) -> Self {
         Self {
             order: order.id,
@@ -139,5 +139,5 @@
     }
 }
 
-/// Versions that are remembered as not completed; servers of older ones have long gone.
-const MOST_BARRED: usize = 8;
+/// Maximum number of barred versions in a record. Servers of older versions have long stopped.
+const MAX_BARRED_VERSIONS: usize = 8;
--- a/crates/quincevalve_forwarding/src/rollout/scope.rs
+++ b/crates/quincevalve_forwarding/src/rollout/scope.rs
@@ -1,10 +1,10 @@
-//! Which servers of a service a request may go to, by their version.
+//! Restricts the servers that a request may be sent to by their version.
 
 use quincevalve_names::{BackendServerName, ServerVersion};
 
 use crate::servers::{ServerEntry, start_hash};
 
-/// The servers that a request may go to while versions differ.
+/// The servers that a request may be sent to, by their version.
 ///
 /// # Examples
 ///
@@ -27,16 +27,17 @@
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum VersionScope {
-    /// All but those of these versions.
+    /// All servers except those of these versions.
     Except(Vec<ServerVersion>),
-    /// Those of one version.
+    /// The servers of one version.
     Only(ServerVersion),
-    /// A few servers of one version, by [`start_hash`]: a small share of the requests loads them like others.
+    /// A few servers of one version, by [`start_hash`], so that a small share of the requests loads each about like any
+    /// other server.
     Canaries(ServerVersion, Vec<u64>),
 }
 
 impl VersionScope {
-    /// Whether a server is among them.
+    /// Returns whether a request may be sent to this server.
     pub fn admits(&self, name: &BackendServerName, entry: &ServerEntry) -> bool {
         match self {
             Self::Except(versions) => !versions.contains(&entry.version),
@@ -47,7 +48,8 @@
         }
     }
 
-    /// Whether its servers have read nothing yet: few requests of a canary meet a part that was read before.
+    /// Returns whether prompt prefixes are assumed not to be cached at these servers: few requests of a canary find a
+    /// prefix that the server has processed before.
     pub const fn is_cold(&self) -> bool {
         matches!(self, Self::Canaries(..))
     }
--- a/crates/quincevalve_forwarding/src/rollout/share.rs
+++ b/crates/quincevalve_forwarding/src/rollout/share.rs
@@ -1,4 +1,4 @@
-//! What a VM, or a collector for its members, tells of a roll-out.
+//! What a VM, or a collector for its members, reports of roll-outs.
 
 use indexmap::IndexMap;
 use quincevalve_names::ServiceName;
@@ -9,26 +9,26 @@
     record::{OrderId, RollbackCause},
 };
 
-/// What is told of a service's roll-out.
+/// Partial sum of what VMs report of a service's roll-out.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RolloutShare {
-    /// Of which order.
+    /// The order that the other fields are about.
     pub order: OrderId,
-    /// What was seen of both versions.
+    /// Observations of both versions.
     pub seen: Seen,
-    /// Requests that run at servers of the old version.
+    /// In-flight requests at servers of the old version.
     pub old_runs: u32,
-    /// VMs that send nothing to the old version any more.
+    /// Number of VMs that no longer send to the old version.
     pub following: u32,
-    /// Why, where some VM has found the new version bad.
+    /// The reason, if any VM has found the new version bad.
     pub halted: Option<RollbackCause>,
 }
 
-/// By service; of services without a roll-out nothing is told.
+/// Partial sums by service. Services without a roll-out have none.
 pub type RolloutShares = IndexMap<ServiceName, RolloutShare>;
 
 impl RolloutShare {
-    /// Adds what others tell. Of two orders only the later counts.
+    /// Adds another sum. If the orders differ, only the sum of the later one is kept.
     pub fn add(&mut self, other: &Self) {
         if other.order < self.order {
             return;
@@ -43,33 +43,36 @@
         self.halted = self.halted.or(other.halted);
     }
 
-    /// What is left of this sum without a part. That the new version was found bad stays.
+    /// Returns this sum without a sum that was added to it. A finding that the new version is bad is kept.
     #[must_use]
-    pub fn without(&self, part: &Self) -> Self {
-        if part.order != self.order {
+    pub fn without(&self, removed: &Self) -> Self {
+        if removed.order != self.order {
             return self.clone();
         }
         Self {
             order: self.order,
-            seen: self.seen.without(&part.seen),
-            old_runs: self.old_runs.saturating_sub(part.old_runs),
-            following: self.following.saturating_sub(part.following),
+            seen: self.seen.without(&removed.seen),
+            old_runs: self.old_runs.saturating_sub(removed.old_runs),
+            following: self.following.saturating_sub(removed.following),
             halted: self.halted,
         }
     }
 }
 
-/// Adds what others tell of all services.
+/// Adds another VM's or group's sums of all services.
 pub fn add_shares(sum: &mut RolloutShares, other: &RolloutShares) {
     for (service, share) in other {
         sum.entry(service.clone()).or_default().add(share);
     }
 }
 
-/// What is left of a sum without a part that was added to it.
-pub fn shares_without(sum: &RolloutShares, part: &RolloutShares) -> RolloutShares {
-    let rest = |(service, it): (&ServiceName, &RolloutShare)| {
-        (service.clone(), part.get(service).map_or_else(|| it.clone(), |part| it.without(part)))
+/// Returns the sums of all services without sums that were added to them.
+pub fn shares_without(sum: &RolloutShares, removed: &RolloutShares) -> RolloutShares {
+    let difference = |(service, it): (&ServiceName, &RolloutShare)| {
+        (
+            service.clone(),
+            removed.get(service).map_or_else(|| it.clone(), |removed| it.without(removed)),
+        )
     };
-    sum.iter().map(rest).collect()
+    sum.iter().map(difference).collect()
 }
--- a/crates/quincevalve_forwarding/src/rollout/steps.rs
+++ b/crates/quincevalve_forwarding/src/rollout/steps.rs
@@ -1,4 +1,4 @@
-//! How a roll-out goes on: decided by the holder of the duties alone.
+//! Decides the next phase of a roll-out. Only the holder of the duties does so.
 
 use std::time::Duration;
 
@@ -8,150 +8,160 @@
     verdict::Verdict,
 };
 
-/// The part of the VMs that need not be heard at the deadline: they are cut off or gone.
-const UNHEARD_PART: f64 = 0.15;
+/// Maximum fraction of VMs that may be unreachable when a roll-out is completed without them.
+const MAX_UNREACHABLE_FRACTION: f64 = 0.15;
 
-/// Time after the deadline from which on the word is written whoever isn't heard.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// Time after the deadline from which a roll-out may be completed without waiting for unreachable VMs.
+const COMPLETION_GRACE: Duration = Duration::from_secs(10);
 
-/// What the holder knows of a service when it decides.
+/// What the holder of the duties knows of a service when it decides.
 #[derive(Clone, Debug)]
 pub struct Situation<'a> {
-    /// True time in milliseconds.
+    /// Wall-clock time in milliseconds.
     pub now_ms: i64,
-    /// The order as it stands.
+    /// The current order, if it wasn't removed.
     pub order: Option<&'a RolloutOrder>,
     /// The newest record.
     pub record: Option<&'a RolloutRecord>,
-    /// What the answers say, as far as all VMs told.
+    /// The verdict by the evidence that all VMs reported.
     pub verdict: Verdict,
-    /// Whether its servers are model engines.
+    /// Whether the service's servers are model engines.
     pub has_engines: bool,
-    /// Servers of the new version that take work.
+    /// Usable servers of the new version.
     pub new_servers: usize,
-    /// Servers that carry the load.
+    /// Number of servers that can carry the load.
     pub needed_servers: usize,
-    /// Whether any other version has servers that take work.
+    /// Whether any other version has usable servers.
     pub has_old_servers: bool,
-    /// What the VMs do.
+    /// How far the VMs have followed the promotion.
     pub vms: Following,
 }
 
 /// How far the VMs have followed a promotion.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Following {
-    /// All VMs.
+    /// Number of all VMs.
     pub vms: usize,
-    /// Those that were heard lately.
+    /// Number of VMs that reported recently.
     pub heard: usize,
-    /// Those that send nothing to the old version any more.
+    /// Number of VMs that no longer send to the old version.
     pub following: usize,
-    /// Requests that run at servers of the old version.
+    /// In-flight requests at servers of the old version.
     pub old_runs: u32,
 }
 
 impl Following {
-    /// Whether no VM has work at the old version, and none will.
+    /// Returns whether no VM has requests at the old version or will send any there.
     fn is_done(&self) -> bool {
         self.following >= self.vms && self.heard >= self.vms && self.old_runs == 0
     }
 
-    /// Whether that holds of all that are heard, and nearly all are.
+    /// Returns whether the same holds for all reachable VMs, and few VMs are unreachable.
     fn is_nearly_done(&self) -> bool {
-        let unheard = self.vms.saturating_sub(self.heard) as f64;
+        let unreachable = self.vms.saturating_sub(self.heard) as f64;
         self.following >= self.heard
             && self.old_runs == 0
-            && unheard <= UNHEARD_PART * self.vms as f64
+            && unreachable <= MAX_UNREACHABLE_FRACTION * self.vms as f64
     }
 }
 
-/// The record that should be written now; `None` where the one that stands is right.
-pub fn next_step(at: &Situation<'_>) -> Option<RolloutRecord> {
-    let record = match (at.order, at.record) {
+/// Returns the record that should be written now, or `None` if the stored record needs no change.
+pub fn next_step(input: &Situation<'_>) -> Option<RolloutRecord> {
+    let record = match (input.order, input.record) {
         (None, None) => return None,
         (None, Some(record)) if record.phase.is_final() => return None,
-        (None, Some(record)) => return Some(in_phase(record, cancelled())),
-        (Some(order), None) => return Some(begin(at, RolloutRecord::first(order, at.now_ms))),
+        (None, Some(record)) => return Some(with_phase(record, cancelled())),
+        (Some(order), None) => {
+            return Some(first_record(input, RolloutRecord::first(order, input.now_ms)));
+        }
         (Some(order), Some(record)) if order.id > record.order => {
-            return Some(renewed(at, order, record));
+            return Some(record_for_new_order(input, order, record));
         }
         (Some(_), Some(record)) => record,
     };
     let next = match record.phase {
-        Phase::Canary => next_of_canary(at, record),
-        Phase::Promoting => next_of_promoting(at, record),
+        Phase::Canary => phase_after_canary(input, record),
+        Phase::Promoting => phase_after_promoting(input, record),
         Phase::Completed | Phase::RolledBack(_) => None,
     };
-    next.map(|it| in_phase(record, it))
+    next.map(|it| with_phase(record, it))
 }
 
 const fn cancelled() -> Phase {
     Phase::RolledBack(RollbackCause::Cancelled)
 }
 
-fn in_phase(record: &RolloutRecord, phase: Phase) -> RolloutRecord {
+fn with_phase(record: &RolloutRecord, phase: Phase) -> RolloutRecord {
     RolloutRecord { phase, ..record.clone() }
 }
 
-/// The first record of an order: one that leaves no time, or has nothing to move, ends at once.
-fn begin(at: &Situation<'_>, record: RolloutRecord) -> RolloutRecord {
-    if at.new_servers > 0 && !at.has_old_servers {
-        return in_phase(&record, Phase::Completed);
+/// Returns the first record of an order. An order with no time, or with no old servers to replace, ends immediately.
+fn first_record(input: &Situation<'_>, record: RolloutRecord) -> RolloutRecord {
+    if input.new_servers > 0 && !input.has_old_servers {
+        return with_phase(&record, Phase::Completed);
     }
     if record.duration.is_zero() {
-        return in_phase(&record, Phase::RolledBack(RollbackCause::NoTime));
+        return with_phase(&record, Phase::RolledBack(RollbackCause::NoTime));
     }
     record
 }
 
-/// The record of a newer order. Where it says what the one that runs says, that goes on under the new order's id and with
-/// its first deadline: operators who write an order twice mean one roll-out.
-fn renewed(at: &Situation<'_>, order: &RolloutOrder, record: &RolloutRecord) -> RolloutRecord {
+/// Returns the record of a newer order. If it asks for the same version and duration as the roll-out in progress or
+/// completed, that roll-out continues under the new order's id and keeps its deadline: operators who write an order
+/// twice mean one roll-out.
+fn record_for_new_order(
+    input: &Situation<'_>,
+    order: &RolloutOrder,
+    record: &RolloutRecord,
+) -> RolloutRecord {
     let is_same = order.to == record.to && order.duration == record.duration;
     if is_same && (!record.phase.is_final() || record.phase == Phase::Completed) {
         return RolloutRecord { order: order.id, ..record.clone() };
     }
-    begin(at, record.superseded_by(order, at.now_ms))
+    first_record(input, record.superseded_by(order, input.now_ms))
 }
 
 fn millis(span: Duration) -> i64 {
     span.as_millis() as i64
 }
 
-/// The canary lasts for as long as the order leaves time: what turns bad late is seen on few requests then.
-fn next_of_canary(at: &Situation<'_>, record: &RolloutRecord) -> Option<Phase> {
+/// Returns the phase that follows the canary, if it ends now. A good version stays a canary for as long as the order
+/// leaves time, so that a fault that shows late affects few requests.
+fn phase_after_canary(input: &Situation<'_>, record: &RolloutRecord) -> Option<Phase> {
     let rolled_back = |cause| Some(Phase::RolledBack(cause));
-    match at.verdict {
+    match input.verdict {
         Verdict::Fails => return rolled_back(RollbackCause::Failures),
         Verdict::IsSlow => return rolled_back(RollbackCause::Slowness),
         Verdict::Undecided | Verdict::Good => {}
     }
-    let left = record.deadline_ms() - at.now_ms;
-    let promotion = Promotion::of(record.duration, at.has_engines);
-    let has_servers = at.new_servers > 0 && at.new_servers >= at.needed_servers;
+    let left = record.deadline_ms() - input.now_ms;
+    let promotion = Promotion::of(record.duration, input.has_engines);
+    let has_servers = input.new_servers > 0 && input.new_servers >= input.needed_servers;
     if left < millis(promotion.too_late_before()) {
         let cause =
             if has_servers { RollbackCause::Undecided } else { RollbackCause::TooFewServers };
         return rolled_back(cause);
     }
     let is_due = left <= millis(promotion.begins_before());
-    (is_due && at.verdict == Verdict::Good && has_servers).then_some(Phase::Promoting)
+    (is_due && input.verdict == Verdict::Good && has_servers).then_some(Phase::Promoting)
 }
 
-/// Failure: old servers stop at the word, and some VM still has a stream there, or has not heard of the promotion. Symptom:
-/// its callers' answers are cut. The word waits for all VMs, beyond the deadline too; long after it only for those that
-/// are heard, if the others are few.
-fn next_of_promoting(at: &Situation<'_>, record: &RolloutRecord) -> Option<Phase> {
-    match at.verdict {
+/// Returns the phase that follows the promotion, if it ends now.
+///
+/// Old servers stop once the roll-out is completed. A VM that still has a stream there, or hasn't received the promotion,
+/// would have its callers' answers truncated. So completion waits for all VMs, even past the deadline. Later than
+/// [`COMPLETION_GRACE`] past the deadline it waits only for reachable VMs, if few are unreachable.
+fn phase_after_promoting(input: &Situation<'_>, record: &RolloutRecord) -> Option<Phase> {
+    match input.verdict {
         Verdict::Fails => return Some(Phase::RolledBack(RollbackCause::Failures)),
         Verdict::IsSlow => return Some(Phase::RolledBack(RollbackCause::Slowness)),
         Verdict::Undecided | Verdict::Good => {}
     }
-    let is_late = at.now_ms - record.deadline_ms() >= millis(PATIENCE);
-    (at.vms.is_done() || (is_late && at.vms.is_nearly_done())).then_some(Phase::Completed)
+    let is_late = input.now_ms - record.deadline_ms() >= millis(COMPLETION_GRACE);
+    (input.vms.is_done() || (is_late && input.vms.is_nearly_done())).then_some(Phase::Completed)
 }
 
-/// When the canary may end, in milliseconds of true time.
+/// Returns when the canary may end, in milliseconds of wall-clock time.
 pub fn canary_ends_ms(record: &RolloutRecord, has_engines: bool) -> i64 {
     record.deadline_ms() - millis(Promotion::of(record.duration, has_engines).begins_before())
 }
