--- a/crates/quincevalve_forwarding/src/rollout.rs
+++ b/crates/quincevalve_forwarding/src/rollout.rs
@@ -9,15 +9,15 @@
 //! 2. Each VM compares the versions by the evidence of all VMs ([`verdict`]). Once the new version is found worse, the
 //!    VM stops sending to it until another order comes, whether or not it receives a record of the roll-back.
 //! 3. Only the holder of the duties decides ([`steps`]). A good version is *promoted*: its share rises to all requests
-//!    ([`book`]) while old servers finish their requests. The roll-out is *completed* once no VM has requests at old
+//!    ([`table`]) while old servers finish their requests. The roll-out is *completed* once no VM has requests at old
 //!    servers. A bad version, or one that can't be judged in time, is *rolled back*.
 
-pub mod book;
 pub mod evidence;
 pub mod exposure;
+pub mod partial_sum;
 pub mod promotion;
 pub mod record;
 pub mod scope;
-pub mod share;
 pub mod steps;
+pub mod table;
 pub mod verdict;
--- a/crates/quincevalve_forwarding/src/rollout/evidence.rs
+++ b/crates/quincevalve_forwarding/src/rollout/evidence.rs
@@ -113,7 +113,7 @@
 
 impl Tally {
     /// Takes what is seen of an answer.
-    pub fn note(&mut self, sample: Sample) {
+    pub fn add_sample(&mut self, sample: Sample) {
         match sample {
             Sample::Succeeded => self.answers += 1,
             Sample::Failed => {
@@ -150,7 +150,7 @@
 
 /// The answers of both versions on one route.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Pair {
+pub struct VersionTallies {
     /// Of the version that served before.
     pub old: Tally,
     /// Of the version that was ordered.
@@ -159,7 +159,7 @@
 
 /// Which version an answer is of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Side {
+pub enum VersionRole {
     /// The version that served before.
     Old,
     /// The version that was ordered, at the server of that hash.
@@ -170,20 +170,20 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evidence {
     /// By route.
-    pub routes: IndexMap<RouteKey, Pair>,
+    pub routes: IndexMap<RouteKey, VersionTallies>,
     /// Of the new version by server, over all routes.
     pub servers: IndexMap<u64, Tally>,
 }
 
 impl Evidence {
     /// Takes what is seen of an answer.
-    pub fn note(&mut self, route: RouteKey, side: Side, sample: Sample) {
+    pub fn add_sample(&mut self, route: RouteKey, side: VersionRole, sample: Sample) {
         let pair = self.routes.entry(route).or_default();
         match side {
-            Side::Old => pair.old.note(sample),
-            Side::New(server) => {
-                pair.new.note(sample);
-                self.servers.entry(server).or_default().note(sample);
+            VersionRole::Old => pair.old.add_sample(sample),
+            VersionRole::New(server) => {
+                pair.new.add_sample(sample);
+                self.servers.entry(server).or_default().add_sample(sample);
             }
         }
     }
@@ -192,7 +192,8 @@
     pub fn add(&mut self, other: &Self) {
         for (route, pair) in &other.routes {
             let known = self.routes.entry(*route).or_default();
-            *known = Pair { old: known.old.plus(pair.old), new: known.new.plus(pair.new) };
+            *known =
+                VersionTallies { old: known.old.plus(pair.old), new: known.new.plus(pair.new) };
         }
         for (server, tally) in &other.servers {
             let known = self.servers.entry(*server).or_default();
@@ -203,12 +204,12 @@
     /// What is left of this sum without one that was added to it.
     #[must_use]
     pub fn without(&self, part: &Self) -> Self {
-        let pair = |(route, sum): (&RouteKey, &Pair)| {
-            let rest = part
-                .routes
-                .get(route)
-                .map_or(*sum, |it| Pair { old: sum.old.minus(it.old), new: sum.new.minus(it.new) });
-            (rest != Pair::default()).then_some((*route, rest))
+        let pair = |(route, sum): (&RouteKey, &VersionTallies)| {
+            let rest = part.routes.get(route).map_or(*sum, |it| VersionTallies {
+                old: sum.old.minus(it.old),
+                new: sum.new.minus(it.new),
+            });
+            (rest != VersionTallies::default()).then_some((*route, rest))
         };
         let tally = |(server, sum): (&u64, &Tally)| {
             let rest = part.servers.get(server).map_or(*sum, |it| sum.minus(*it));
@@ -240,21 +241,21 @@
 
 /// What all VMs, or some, saw of both versions.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Seen {
+pub struct Observations {
     /// Since both serve.
     pub all: Evidence,
     /// In the last seconds: a version that turns bad late stands out there, however long it was good.
-    pub late: Evidence,
+    pub long_window: Evidence,
     /// In the last moments.
-    pub recent: Evidence,
+    pub short_window: Evidence,
 }
 
-impl Seen {
+impl Observations {
     /// Adds what others saw.
     pub fn add(&mut self, other: &Self) {
         self.all.add(&other.all);
-        self.late.add(&other.late);
-        self.recent.add(&other.recent);
+        self.long_window.add(&other.long_window);
+        self.short_window.add(&other.short_window);
     }
 
     /// What is left of this sum without a part that was added to it.
@@ -262,42 +263,48 @@
     pub fn without(&self, part: &Self) -> Self {
         Self {
             all: self.all.without(&part.all),
-            late: self.late.without(&part.late),
-            recent: self.recent.without(&part.recent),
+            long_window: self.long_window.without(&part.long_window),
+            short_window: self.short_window.without(&part.short_window),
         }
     }
 }
 
 /// What one VM saw.
 #[derive(Clone, Debug, Default)]
-pub struct Witness {
+pub struct EvidenceRecorder {
     all: Evidence,
     slices: VecDeque<(TimePoint, Evidence)>,
 }
 
-impl Witness {
+impl EvidenceRecorder {
     /// Takes what is seen of an answer.
-    pub fn note(&mut self, route: RouteKey, side: Side, sample: Sample, now: TimePoint) {
-        self.all.note(route, side, sample);
+    pub fn add_sample(
+        &mut self,
+        route: RouteKey,
+        side: VersionRole,
+        sample: Sample,
+        now: TimePoint,
+    ) {
+        self.all.add_sample(route, side, sample);
         let is_open = self.slices.back().is_some_and(|(from, _)| now.since(*from) < SLICE);
         if !is_open {
             self.slices.push_back((now, Evidence::default()));
         }
         if let Some((_, newest)) = self.slices.back_mut() {
-            newest.note(route, side, sample);
+            newest.add_sample(route, side, sample);
         }
     }
 
     /// What was seen, at this moment.
-    pub fn seen(&mut self, now: TimePoint) -> Seen {
+    pub fn observations(&mut self, now: TimePoint) -> Observations {
         while self.slices.front().is_some_and(|(from, _)| now.since(*from) > LATE) {
             self.slices.pop_front();
         }
-        let mut seen = Seen { all: self.all.clone(), ..Seen::default() };
+        let mut seen = Observations { all: self.all.clone(), ..Observations::default() };
         for (from, slice) in &self.slices {
-            seen.late.add(slice);
+            seen.long_window.add(slice);
             if now.since(*from) <= RECENT {
-                seen.recent.add(slice);
+                seen.short_window.add(slice);
             }
         }
         seen
--- a/crates/quincevalve_forwarding/src/rollout/exposure.rs
+++ b/crates/quincevalve_forwarding/src/rollout/exposure.rs
@@ -20,9 +20,9 @@
 /// use quincevalve_forwarding::{rollout::exposure::Exposure, shared_limit::{Seat, SharedLimit}};
 /// let limit = SharedLimit { ratio: 0.1, slack: 0.0 };
 /// let mut exposure = Exposure::new(true);
-/// (0..100).for_each(|_| exposure.request());
+/// (0..100).for_each(|_| exposure.record_request());
 /// let vm_rank = Seat { rank: 0, of: 1 };
-/// let sent = (0..20).filter(|_| exposure.may_send(&limit, vm_rank, 1.0) && exposure.sent() > 0);
+/// let sent = (0..20).filter(|_| exposure.may_send(&limit, vm_rank, 1.0) && exposure.record_sent() > 0);
 /// assert_eq!(sent.count(), 9);
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -39,12 +39,12 @@
     }
 
     /// Counts a request for the service, whichever version it is sent to.
-    pub fn request(&mut self) {
+    pub fn record_request(&mut self) {
         self.requests += 1;
     }
 
     /// Counts a request sent to the new version, and returns the number sent so far.
-    pub fn sent(&mut self) -> u64 {
+    pub fn record_sent(&mut self) -> u64 {
         self.sent += 1;
         self.sent
     }
@@ -58,7 +58,7 @@
     }
 
     /// Returns the number of requests that this VM sent to the new version.
-    pub const fn spent(&self) -> u64 {
+    pub const fn sent_total(&self) -> u64 {
         self.sent
     }
 }
--- a/crates/quincevalve_forwarding/src/rollout/share.rs
+++ b/crates/quincevalve_forwarding/src/rollout/partial_sum.rs
@@ -5,29 +5,29 @@
 use serde::{Deserialize, Serialize};
 
 use crate::rollout::{
-    evidence::Seen,
+    evidence::Observations,
     record::{OrderId, RollbackCause},
 };
 
 /// Partial sum of what VMs report of a service's roll-out.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct RolloutShare {
+pub struct RolloutPartialSum {
     /// The order that the other fields are about.
     pub order: OrderId,
     /// Observations of both versions.
-    pub seen: Seen,
+    pub observations: Observations,
     /// In-flight requests at servers of the old version.
-    pub old_runs: u32,
+    pub old_in_flight: u32,
     /// Number of VMs that no longer send to the old version.
-    pub following: u32,
+    pub switched: u32,
     /// The reason, if any VM has found the new version bad.
     pub halted: Option<RollbackCause>,
 }
 
 /// Partial sums by service. Services without a roll-out have none.
-pub type RolloutShares = IndexMap<ServiceName, RolloutShare>;
+pub type RolloutPartialSums = IndexMap<ServiceName, RolloutPartialSum>;
 
-impl RolloutShare {
+impl RolloutPartialSum {
     /// Adds another sum. If the orders differ, only the sum of the later one is kept.
     pub fn add(&mut self, other: &Self) {
         if other.order < self.order {
@@ -37,9 +37,9 @@
             self.clone_from(other);
             return;
         }
-        self.seen.add(&other.seen);
-        self.old_runs += other.old_runs;
-        self.following += other.following;
+        self.observations.add(&other.observations);
+        self.old_in_flight += other.old_in_flight;
+        self.switched += other.switched;
         self.halted = self.halted.or(other.halted);
     }
 
@@ -51,24 +51,27 @@
         }
         Self {
             order: self.order,
-            seen: self.seen.without(&removed.seen),
-            old_runs: self.old_runs.saturating_sub(removed.old_runs),
-            following: self.following.saturating_sub(removed.following),
+            observations: self.observations.without(&removed.observations),
+            old_in_flight: self.old_in_flight.saturating_sub(removed.old_in_flight),
+            switched: self.switched.saturating_sub(removed.switched),
             halted: self.halted,
         }
     }
 }
 
 /// Adds another VM's or group's sums of all services.
-pub fn add_shares(sum: &mut RolloutShares, other: &RolloutShares) {
+pub fn add_partial_sums(sum: &mut RolloutPartialSums, other: &RolloutPartialSums) {
     for (service, share) in other {
         sum.entry(service.clone()).or_default().add(share);
     }
 }
 
 /// Returns the sums of all services without sums that were added to them.
-pub fn shares_without(sum: &RolloutShares, removed: &RolloutShares) -> RolloutShares {
-    let difference = |(service, it): (&ServiceName, &RolloutShare)| {
+pub fn partial_sums_without(
+    sum: &RolloutPartialSums,
+    removed: &RolloutPartialSums,
+) -> RolloutPartialSums {
+    let difference = |(service, it): (&ServiceName, &RolloutPartialSum)| {
         (
             service.clone(),
             removed.get(service).map_or_else(|| it.clone(), |removed| it.without(removed)),
--- a/crates/quincevalve_forwarding/src/rollout/promotion.rs
+++ b/crates/quincevalve_forwarding/src/rollout/promotion.rs
@@ -61,12 +61,12 @@
     }
 
     /// Returns how long before the deadline the promotion of a good version begins.
-    pub fn begins_before(&self) -> Duration {
+    pub fn lead_time(&self) -> Duration {
         self.total + self.reserve
     }
 
     /// Returns how long before the deadline a promotion may begin at the latest.
-    pub fn too_late_before(&self) -> Duration {
+    pub fn min_lead_time(&self) -> Duration {
         self.total.mul_f64(MIN_PROMOTION_FRACTION)
     }
 }
--- a/crates/quincevalve_forwarding/src/rollout/steps.rs
+++ b/crates/quincevalve_forwarding/src/rollout/steps.rs
@@ -16,7 +16,7 @@
 
 /// What the holder of the duties knows of a service when it decides.
 #[derive(Clone, Debug)]
-pub struct Situation<'a> {
+pub struct StepInput<'a> {
     /// Wall-clock time in milliseconds.
     pub now_ms: i64,
     /// The current order, if it wasn't removed.
@@ -34,39 +34,39 @@
     /// Whether any other version has usable servers.
     pub has_old_servers: bool,
     /// How far the VMs have followed the promotion.
-    pub vms: Following,
+    pub vms: PromotionProgress,
 }
 
 /// How far the VMs have followed a promotion.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Following {
+pub struct PromotionProgress {
     /// Number of all VMs.
     pub vms: usize,
     /// Number of VMs that reported recently.
-    pub heard: usize,
+    pub reachable: usize,
     /// Number of VMs that no longer send to the old version.
-    pub following: usize,
+    pub switched: usize,
     /// In-flight requests at servers of the old version.
-    pub old_runs: u32,
+    pub old_in_flight: u32,
 }
 
-impl Following {
+impl PromotionProgress {
     /// Returns whether no VM has requests at the old version or will send any there.
     fn is_done(&self) -> bool {
-        self.following >= self.vms && self.heard >= self.vms && self.old_runs == 0
+        self.switched >= self.vms && self.reachable >= self.vms && self.old_in_flight == 0
     }
 
     /// Returns whether the same holds for all reachable VMs, and few VMs are unreachable.
     fn is_nearly_done(&self) -> bool {
-        let unreachable = self.vms.saturating_sub(self.heard) as f64;
-        self.following >= self.heard
-            && self.old_runs == 0
+        let unreachable = self.vms.saturating_sub(self.reachable) as f64;
+        self.switched >= self.reachable
+            && self.old_in_flight == 0
             && unreachable <= MAX_UNREACHABLE_FRACTION * self.vms as f64
     }
 }
 
 /// Returns the record that should be written now, or `None` if the stored record needs no change.
-pub fn next_step(input: &Situation<'_>) -> Option<RolloutRecord> {
+pub fn next_record(input: &StepInput<'_>) -> Option<RolloutRecord> {
     let record = match (input.order, input.record) {
         (None, None) => return None,
         (None, Some(record)) if record.phase.is_final() => return None,
@@ -96,7 +96,7 @@
 }
 
 /// Returns the first record of an order. An order with no time, or with no old servers to replace, ends immediately.
-fn first_record(input: &Situation<'_>, record: RolloutRecord) -> RolloutRecord {
+fn first_record(input: &StepInput<'_>, record: RolloutRecord) -> RolloutRecord {
     if input.new_servers > 0 && !input.has_old_servers {
         return with_phase(&record, Phase::Completed);
     }
@@ -110,7 +110,7 @@
 /// completed, that roll-out continues under the new order's id and keeps its deadline: operators who write an order
 /// twice mean one roll-out.
 fn record_for_new_order(
-    input: &Situation<'_>,
+    input: &StepInput<'_>,
     order: &RolloutOrder,
     record: &RolloutRecord,
 ) -> RolloutRecord {
@@ -127,7 +127,7 @@
 
 /// Returns the phase that follows the canary, if it ends now. A good version stays a canary for as long as the order
 /// leaves time, so that a fault that shows late affects few requests.
-fn phase_after_canary(input: &Situation<'_>, record: &RolloutRecord) -> Option<Phase> {
+fn phase_after_canary(input: &StepInput<'_>, record: &RolloutRecord) -> Option<Phase> {
     let rolled_back = |cause| Some(Phase::RolledBack(cause));
     match input.verdict {
         Verdict::Fails => return rolled_back(RollbackCause::Failures),
@@ -137,12 +137,12 @@
     let left = record.deadline_ms() - input.now_ms;
     let promotion = Promotion::of(record.duration, input.has_engines);
     let has_servers = input.new_servers > 0 && input.new_servers >= input.needed_servers;
-    if left < millis(promotion.too_late_before()) {
+    if left < millis(promotion.min_lead_time()) {
         let cause =
             if has_servers { RollbackCause::Undecided } else { RollbackCause::TooFewServers };
         return rolled_back(cause);
     }
-    let is_due = left <= millis(promotion.begins_before());
+    let is_due = left <= millis(promotion.lead_time());
     (is_due && input.verdict == Verdict::Good && has_servers).then_some(Phase::Promoting)
 }
 
@@ -151,7 +151,7 @@
 /// Old servers stop once the roll-out is completed. A VM that still has a stream there, or hasn't received the promotion,
 /// would have its callers' answers truncated. So completion waits for all VMs, even past the deadline. Later than
 /// [`COMPLETION_GRACE`] past the deadline it waits only for reachable VMs, if few are unreachable.
-fn phase_after_promoting(input: &Situation<'_>, record: &RolloutRecord) -> Option<Phase> {
+fn phase_after_promoting(input: &StepInput<'_>, record: &RolloutRecord) -> Option<Phase> {
     match input.verdict {
         Verdict::Fails => return Some(Phase::RolledBack(RollbackCause::Failures)),
         Verdict::IsSlow => return Some(Phase::RolledBack(RollbackCause::Slowness)),
@@ -163,5 +163,5 @@
 
 /// Returns when the canary may end, in milliseconds of wall-clock time.
 pub fn canary_ends_ms(record: &RolloutRecord, has_engines: bool) -> i64 {
-    record.deadline_ms() - millis(Promotion::of(record.duration, has_engines).begins_before())
+    record.deadline_ms() - millis(Promotion::of(record.duration, has_engines).lead_time())
 }
--- a/crates/quincevalve_forwarding/src/rollout/book.rs
+++ b/crates/quincevalve_forwarding/src/rollout/table.rs
@@ -1,7 +1,7 @@
 //! One VM's part in all roll-outs: where its requests go, what it sees, and what it tells.
 
+mod attempts;
 mod halt;
-mod runs;
 mod state;
 
 use std::sync::Arc;
@@ -9,17 +9,17 @@
 use indexmap::IndexMap;
 use quincevalve_names::{ServerVersion, ServiceName, TimePoint};
 
-use self::{runs::Runs, state::Rollout};
+use self::{attempts::Runs, state::Rollout};
 pub use self::{
-    runs::{RunToWatch, Ticket},
-    state::{Judged, Told},
+    attempts::{TrackedAttempt, TrackingId},
+    state::{Comparison, RolloutProgress},
 };
 use crate::{
     rollout::{
         evidence::{RouteKey, Sample},
+        partial_sum::RolloutPartialSums,
         record::{OrderId, RolloutOrder, RolloutRecord},
         scope::VersionScope,
-        share::RolloutShares,
         verdict::{Judgement, Verdict},
     },
     servers::ServerTable,
@@ -28,26 +28,26 @@
 
 /// Where a request may go.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Choice {
+pub enum VersionChoice {
     /// To any server.
     Any,
     /// To these.
     One(Arc<VersionScope>),
     /// To the first, and where they have no room to the second.
-    Either(Arc<VersionScope>, Arc<VersionScope>),
+    WithFallback(Arc<VersionScope>, Arc<VersionScope>),
 }
 
 /// What a VM knows beside a roll-out when it goes on with it.
 #[derive(Clone, Copy, Debug)]
-pub struct Surroundings {
+pub struct RefreshContext {
     /// True time in milliseconds, if it is known.
-    pub true_ms: Option<i64>,
+    pub wall_clock_ms: Option<i64>,
     /// Whether the service's servers are model engines.
     pub has_engines: bool,
     /// This VM's place among all VMs.
-    pub seat: Seat,
+    pub vm_rank: Seat,
     /// Whether what is known of the store is new, and most VMs are heard.
-    pub is_in_touch: bool,
+    pub is_connected: bool,
 }
 
 /// A new version that was found bad here.
@@ -58,12 +58,12 @@
     /// The version.
     pub version: ServerVersion,
     /// By whom it was found.
-    pub found: FoundBad,
+    pub detected_by: DetectedBy,
 }
 
 /// By whom a version was found bad.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum FoundBad {
+pub enum DetectedBy {
     /// By this VM, from these figures.
     Here(Judgement),
     /// By another.
@@ -77,26 +77,26 @@
 /// ```
 /// use std::time::Duration;
 /// use quincevalve_forwarding::{
-///     rollout::{book::{Choice, RolloutBook}, evidence::RouteKey, record::{OrderId, RolloutOrder}},
+///     rollout::{table::{VersionChoice, RolloutTable}, evidence::RouteKey, record::{OrderId, RolloutOrder}},
 ///     shared_limit::SharedLimit,
 /// };
 /// use quincevalve_names::TimePoint;
-/// let mut book = RolloutBook::new(SharedLimit { ratio: 0.1, slack: 50.0 });
+/// let mut table = RolloutTable::new(SharedLimit { ratio: 0.1, slack: 50.0 });
 /// let (service, now) = ("engines".into(), TimePoint::ZERO);
-/// assert_eq!(book.choose(&service, RouteKey::of("chat"), 0.5, now), Choice::Any);
+/// assert_eq!(table.choose(&service, RouteKey::of("chat"), 0.5, now), VersionChoice::Any);
 /// let order = RolloutOrder { id: OrderId(7), to: "v2".into(), duration: Duration::from_secs(60) };
-/// book.order_listed(&service, order, true, now);
+/// table.apply_order(&service, order, true, now);
 /// // Until its servers are known the new version gets nothing.
-/// assert!(matches!(book.choose(&service, RouteKey::of("chat"), 0.5, now), Choice::One(_)));
+/// assert!(matches!(table.choose(&service, RouteKey::of("chat"), 0.5, now), VersionChoice::One(_)));
 /// ```
 #[derive(Clone, Debug)]
-pub struct RolloutBook {
+pub struct RolloutTable {
     limit: SharedLimit,
     rollouts: IndexMap<ServiceName, Rollout>,
     runs: Runs,
 }
 
-impl RolloutBook {
+impl RolloutTable {
     /// Begins without any; `limit` is how many requests a version may get that isn't known to be good.
     pub fn new(limit: SharedLimit) -> Self {
         Self { limit, rollouts: IndexMap::new(), runs: Runs::default() }
@@ -108,7 +108,7 @@
     }
 
     /// Takes an order; `false` if it is known. `was_running` says whether this process knew the store before it.
-    pub fn order_listed(
+    pub fn apply_order(
         &mut self,
         service: &ServiceName,
         order: RolloutOrder,
@@ -116,25 +116,25 @@
         now: TimePoint,
     ) -> bool {
         let rollout = self.rollouts.entry(service.clone()).or_default();
-        rollout.order_listed(order, was_running, now)
+        rollout.apply_order(order, was_running, now)
     }
 
     /// Takes it that an order was removed.
-    pub fn order_removed(&mut self, service: &ServiceName) {
+    pub fn remove_order(&mut self, service: &ServiceName) {
         if let Some(rollout) = self.rollouts.get_mut(service) {
-            rollout.order_removed();
+            rollout.remove_order();
         }
     }
 
     /// Takes the record of a roll-out; `false` if it is known.
-    pub fn record_listed(
+    pub fn apply_record(
         &mut self,
         service: &ServiceName,
         record: RolloutRecord,
         now: TimePoint,
     ) -> bool {
         let rollout = self.rollouts.entry(service.clone()).or_default();
-        rollout.record_listed(record, now)
+        rollout.apply_record(record, now)
     }
 
     /// Takes all orders and records; those that are missing were removed.
@@ -147,14 +147,14 @@
     ) {
         for (service, rollout) in &mut self.rollouts {
             if !orders.iter().any(|(it, _)| it == service) {
-                rollout.order_removed();
+                rollout.remove_order();
             }
         }
         for (service, order) in orders {
-            self.order_listed(&service, order, was_running, now);
+            self.apply_order(&service, order, was_running, now);
         }
         for (service, record) in records {
-            self.record_listed(&service, record, now);
+            self.apply_record(&service, record, now);
         }
     }
 
@@ -179,14 +179,14 @@
     }
 
     /// Takes what others told.
-    pub fn set_others(&mut self, shares: &RolloutShares) {
+    pub fn set_peer_sums(&mut self, shares: &RolloutPartialSums) {
         for (service, rollout) in &mut self.rollouts {
-            rollout.set_others(shares.get(service));
+            rollout.set_peer_sums(shares.get(service));
         }
     }
 
     /// What this VM tells.
-    pub fn shares(&mut self, servers: &ServerTable, now: TimePoint) -> RolloutShares {
+    pub fn partial_sums(&mut self, servers: &ServerTable, now: TimePoint) -> RolloutPartialSums {
         let tell = |(service, it): (&ServiceName, &mut Rollout)| {
             Some((service.clone(), it.share(service, servers, now)?))
         };
@@ -199,12 +199,12 @@
         &mut self,
         service: &ServiceName,
         servers: &ServerTable,
-        around: &Surroundings,
+        around: &RefreshContext,
         now: TimePoint,
     ) -> Option<Halt> {
         let rollout = self.rollouts.get_mut(service)?;
         for (route, side, ratio) in self.runs.overdue(service, now) {
-            rollout.note(route, side, Sample::First(ratio), now);
+            rollout.add_sample(route, side, Sample::First(ratio), now);
         }
         rollout.refresh(service, servers, &self.limit, around, now)
     }
@@ -216,16 +216,16 @@
         route: RouteKey,
         draw: f64,
         now: TimePoint,
-    ) -> Choice {
+    ) -> VersionChoice {
         match self.rollouts.get_mut(service) {
             Some(rollout) => rollout.choose(route, &self.limit, draw, now),
-            None => Choice::Any,
+            None => VersionChoice::Any,
         }
     }
 
     /// Where a request may go that goes to one more server.
-    pub fn regular(&self, service: &ServiceName) -> Choice {
-        self.rollouts.get(service).map_or(Choice::Any, Rollout::regular)
+    pub fn choice_for_retry(&self, service: &ServiceName) -> VersionChoice {
+        self.rollouts.get(service).map_or(VersionChoice::Any, Rollout::choice_for_retry)
     }
 
     /// Whether a request may still be sent to a server of that version.
@@ -239,8 +239,8 @@
     }
 
     /// Whether this VM sends nothing to a service's old version any more.
-    pub fn follows(&self, service: &ServiceName, now: TimePoint) -> bool {
-        self.rollouts.get(service).is_some_and(|it| it.follows(now))
+    pub fn has_switched(&self, service: &ServiceName, now: TimePoint) -> bool {
+        self.rollouts.get(service).is_some_and(|it| it.has_switched(now))
     }
 
     /// Whether the versions of a service change places at present.
@@ -249,47 +249,55 @@
     }
 
     /// When servers of that version are expected to stop; `None` where nothing says so.
-    pub fn goes_at(&self, service: &ServiceName, version: &ServerVersion) -> Option<TimePoint> {
-        self.rollouts.get(service)?.goes_at(version)
+    pub fn expected_stop(
+        &self,
+        service: &ServiceName,
+        version: &ServerVersion,
+    ) -> Option<TimePoint> {
+        self.rollouts.get(service)?.expected_stop(version)
     }
 
     /// Notes that a request is sent to a server, for whatever reason.
-    pub fn sent(&mut self, service: &ServiceName, version: &ServerVersion) {
+    pub fn record_sent(&mut self, service: &ServiceName, version: &ServerVersion) {
         if let Some(rollout) = self.rollouts.get_mut(service) {
-            rollout.sent(version);
+            rollout.record_sent(version);
         }
     }
 
     /// Watches how a request is answered, where versions are compared.
-    pub fn watch(&mut self, run: RunToWatch<'_>, now: TimePoint) -> Option<Ticket> {
+    pub fn start_tracking(
+        &mut self,
+        run: TrackedAttempt<'_>,
+        now: TimePoint,
+    ) -> Option<TrackingId> {
         let side = self.rollouts.get(run.service)?.side(run.version, run.server)?;
         Some(self.runs.begin(run, side, now))
     }
 
     /// Notes the first part of a watched request's answer.
-    pub fn first_part(&mut self, ticket: Ticket, now: TimePoint) {
+    pub fn add_first_part(&mut self, ticket: TrackingId, now: TimePoint) {
         let Some(first) = self.runs.first_part(ticket, now) else { return };
         if let Some(rollout) = self.rollouts.get_mut(&first.service) {
-            rollout.note(first.route, first.side, Sample::First(first.ratio), now);
+            rollout.add_sample(first.route, first.side, Sample::First(first.ratio), now);
         }
     }
 
     /// Notes whether the server succeeded, or the time between events.
-    pub fn note(&mut self, ticket: Ticket, sample: Sample, now: TimePoint) {
+    pub fn add_sample(&mut self, ticket: TrackingId, sample: Sample, now: TimePoint) {
         let Some((service, route, side)) = self.runs.of(ticket) else { return };
         if let Some(rollout) = self.rollouts.get_mut(service) {
-            rollout.note(route, side, sample, now);
+            rollout.add_sample(route, side, sample, now);
         }
     }
 
     /// Ends the watch of a request.
-    pub fn ended(&mut self, ticket: Ticket) {
+    pub fn stop_tracking(&mut self, ticket: TrackingId) {
         self.runs.end(ticket);
     }
 
     /// What the answers of a service's versions say, and the answers, as far as all VMs told.
-    pub fn judged(&self, service: &ServiceName) -> Option<&Judged> {
-        self.rollouts.get(service).map(Rollout::judged)
+    pub fn comparison(&self, service: &ServiceName) -> Option<&Comparison> {
+        self.rollouts.get(service).map(Rollout::comparison)
     }
 
     /// The verdict on a service's new version, found here or elsewhere.
@@ -298,7 +306,7 @@
     }
 
     /// What all VMs told of a service's roll-out and what this one has to tell.
-    pub fn told(&self, service: &ServiceName) -> Option<Told> {
-        self.rollouts.get(service).map(Rollout::told)
+    pub fn progress(&self, service: &ServiceName) -> Option<RolloutProgress> {
+        self.rollouts.get(service).map(Rollout::progress)
     }
 }
--- a/crates/quincevalve_forwarding/src/rollout/book/runs.rs
+++ b/crates/quincevalve_forwarding/src/rollout/table/attempts.rs
@@ -5,15 +5,15 @@
 use indexmap::IndexMap;
 use quincevalve_names::{ServerVersion, ServiceName, TimePoint};
 
-use crate::rollout::evidence::{RouteKey, Side};
+use crate::rollout::evidence::{RouteKey, VersionRole};
 
 /// Names a watched request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Ticket(u64);
+pub struct TrackingId(u64);
 
 /// A request that goes to a server.
 #[derive(Clone, Copy, Debug)]
-pub struct RunToWatch<'a> {
+pub struct TrackedAttempt<'a> {
     /// Its service.
     pub service: &'a ServiceName,
     /// Its route.
@@ -39,7 +39,7 @@
 struct Run {
     service: ServiceName,
     route: RouteKey,
-    side: Side,
+    side: VersionRole,
     sent: TimePoint,
     /// Until the time to the first part was noted.
     expected: Option<Duration>,
@@ -49,7 +49,7 @@
 pub(super) struct FirstPart {
     pub(super) service: ServiceName,
     pub(super) route: RouteKey,
-    pub(super) side: Side,
+    pub(super) side: VersionRole,
     /// Against the expected one.
     pub(super) ratio: f64,
 }
@@ -57,20 +57,25 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct Runs {
     next: u64,
-    runs: IndexMap<Ticket, Run>,
+    runs: IndexMap<TrackingId, Run>,
 }
 
 impl Runs {
-    pub(super) fn begin(&mut self, run: RunToWatch<'_>, side: Side, now: TimePoint) -> Ticket {
-        let ticket = Ticket(self.next);
+    pub(super) fn begin(
+        &mut self,
+        run: TrackedAttempt<'_>,
+        side: VersionRole,
+        now: TimePoint,
+    ) -> TrackingId {
+        let ticket = TrackingId(self.next);
         self.next += 1;
-        let RunToWatch { service, route, expected, .. } = run;
+        let TrackedAttempt { service, route, expected, .. } = run;
         let run = Run { service: service.clone(), route, side, sent: now, expected };
         self.runs.insert(ticket, run);
         ticket
     }
 
-    pub(super) fn first_part(&mut self, ticket: Ticket, now: TimePoint) -> Option<FirstPart> {
+    pub(super) fn first_part(&mut self, ticket: TrackingId, now: TimePoint) -> Option<FirstPart> {
         let run = self.runs.get_mut(&ticket)?;
         let expected = run.expected.take()?;
         let ratio = ratio(now.since(run.sent), expected);
@@ -82,7 +87,7 @@
         &mut self,
         service: &ServiceName,
         now: TimePoint,
-    ) -> Vec<(RouteKey, Side, f64)> {
+    ) -> Vec<(RouteKey, VersionRole, f64)> {
         let mut overdue = Vec::new();
         for run in self.runs.values_mut().filter(|it| it.service == *service) {
             let Some(expected) = run.expected else { continue };
@@ -96,11 +101,11 @@
         overdue
     }
 
-    pub(super) fn of(&self, ticket: Ticket) -> Option<(&ServiceName, RouteKey, Side)> {
+    pub(super) fn of(&self, ticket: TrackingId) -> Option<(&ServiceName, RouteKey, VersionRole)> {
         self.runs.get(&ticket).map(|it| (&it.service, it.route, it.side))
     }
 
-    pub(super) fn end(&mut self, ticket: Ticket) {
+    pub(super) fn end(&mut self, ticket: TrackingId) {
         self.runs.swap_remove(&ticket);
     }
 }
--- a/crates/quincevalve_forwarding/src/rollout/book/halt.rs
+++ b/crates/quincevalve_forwarding/src/rollout/table/halt.rs
@@ -16,7 +16,7 @@
     #[default]
     NotFoundBad,
     /// It is told why, since then.
-    Told(RollbackCause, TimePoint),
+    Reporting(RollbackCause, TimePoint),
     /// And the version gets nothing.
     Halted(RollbackCause),
 }
@@ -25,20 +25,22 @@
     /// Failure: the holder has heard from all VMs that they send nothing to the old servers, and one sends there again as
     /// it finds the new version bad. Symptom: the old servers stop at the word, and answers are cut.
     pub(super) fn begin(cause: RollbackCause, has_told_following: bool, now: TimePoint) -> Self {
-        if has_told_following { Self::Told(cause, now) } else { Self::Halted(cause) }
+        if has_told_following { Self::Reporting(cause, now) } else { Self::Halted(cause) }
     }
 
     pub(super) fn at(self, now: TimePoint) -> Self {
         match self {
-            Self::Told(cause, since) if now.since(since) >= HOLDER_HEARS => Self::Halted(cause),
-            Self::NotFoundBad | Self::Told(..) | Self::Halted(_) => self,
+            Self::Reporting(cause, since) if now.since(since) >= HOLDER_HEARS => {
+                Self::Halted(cause)
+            }
+            Self::NotFoundBad | Self::Reporting(..) | Self::Halted(_) => self,
         }
     }
 
     pub(super) fn cause(self) -> Option<RollbackCause> {
         match self {
             Self::NotFoundBad => None,
-            Self::Told(cause, _) | Self::Halted(cause) => Some(cause),
+            Self::Reporting(cause, _) | Self::Halted(cause) => Some(cause),
         }
     }
 
--- a/crates/quincevalve_forwarding/src/rollout/book/state.rs
+++ b/crates/quincevalve_forwarding/src/rollout/table/state.rs
@@ -6,15 +6,15 @@
     BackendServerName, ServerVersion, ServiceName, TimePoint, rendezvous_score,
 };
 
-use super::{Choice, FoundBad, Halt, Surroundings, halt::HaltState};
+use super::{DetectedBy, Halt, RefreshContext, VersionChoice, halt::HaltState};
 use crate::{
     rollout::{
-        evidence::{Evidence, RouteKey, Sample, Side, Witness},
+        evidence::{Evidence, EvidenceRecorder, RouteKey, Sample, VersionRole},
         exposure::Exposure,
+        partial_sum::RolloutPartialSum,
         promotion::Promotion,
         record::{OrderId, Phase, RollbackCause, RolloutOrder, RolloutRecord},
         scope::VersionScope,
-        share::RolloutShare,
         steps::canary_ends_ms,
         verdict::{Judgement, Verdict, judge},
     },
@@ -43,7 +43,7 @@
 
 /// What the answers of both versions say.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Judged {
+pub struct Comparison {
     /// The verdict; `None` before anything was compared.
     pub judgement: Option<Judgement>,
     /// All answers, of all VMs as far as they told.
@@ -52,13 +52,13 @@
 
 /// What VMs told of a roll-out, this one included.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Told {
+pub struct RolloutProgress {
     /// Requests that run at servers of the old version.
-    pub old_runs: u32,
+    pub old_in_flight: u32,
     /// VMs that send nothing to the old version any more.
-    pub following: u32,
+    pub switched: u32,
     /// Requests that this VM sent to the new version.
-    pub spent: u64,
+    pub sent_to_new: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -85,9 +85,9 @@
     /// Servers of the new version that take work.
     new_servers: usize,
     exposure: Exposure,
-    own: Witness,
-    others: RolloutShare,
-    judged: Judged,
+    own: EvidenceRecorder,
+    others: RolloutPartialSum,
+    judged: Comparison,
     /// When the first server of the new version was seen.
     new_since: Option<TimePoint>,
     /// The part of what the limit allows that may be used by now.
@@ -152,7 +152,7 @@
         }
     }
 
-    pub(super) fn order_listed(
+    pub(super) fn apply_order(
         &mut self,
         order: RolloutOrder,
         was_running: bool,
@@ -183,18 +183,18 @@
         self.halt = HaltState::NotFoundBad;
         self.has_told_following = false;
         self.exposure = Exposure::new(was_running);
-        self.own = Witness::default();
-        self.others = RolloutShare::default();
-        self.judged = Judged::default();
+        self.own = EvidenceRecorder::default();
+        self.others = RolloutPartialSum::default();
+        self.judged = Comparison::default();
         self.new_since = None;
         self.canaries = None;
     }
 
-    pub(super) fn order_removed(&mut self) {
+    pub(super) fn remove_order(&mut self) {
         self.order = None;
     }
 
-    pub(super) fn record_listed(&mut self, record: RolloutRecord, now: TimePoint) -> bool {
+    pub(super) fn apply_record(&mut self, record: RolloutRecord, now: TimePoint) -> bool {
         let known = self.record.as_ref();
         // Failure: an old copy of the store is read after newer changes. Symptom: a roll-out that was taken back goes on.
         let is_older = known.is_some_and(|it| {
@@ -213,7 +213,7 @@
         true
     }
 
-    pub(super) fn set_others(&mut self, share: Option<&RolloutShare>) {
+    pub(super) fn set_peer_sums(&mut self, share: Option<&RolloutPartialSum>) {
         let id = self.id();
         self.others = share.filter(|it| it.order == id).cloned().unwrap_or_default();
     }
@@ -223,19 +223,19 @@
         service: &ServiceName,
         servers: &ServerTable,
         now: TimePoint,
-    ) -> Option<RolloutShare> {
+    ) -> Option<RolloutPartialSum> {
         let is_over = self.current_record().is_some_and(|it| it.phase.is_final());
         if is_over || self.stage() == Stage::Free {
             return None;
         }
         self.own_old_runs = self.old_runs(service, servers, now);
-        let is_following = self.follows(now);
+        let is_following = self.has_switched(now);
         self.has_told_following |= is_following;
-        Some(RolloutShare {
+        Some(RolloutPartialSum {
             order: self.id(),
-            seen: self.own.seen(now),
-            old_runs: self.own_old_runs,
-            following: u32::from(is_following),
+            observations: self.own.observations(now),
+            old_in_flight: self.own_old_runs,
+            switched: u32::from(is_following),
             halted: self.halt.cause(),
         })
     }
@@ -252,7 +252,7 @@
     }
 
     /// Whether this VM sends nothing to the old version any more.
-    pub(super) fn follows(&self, now: TimePoint) -> bool {
+    pub(super) fn has_switched(&self, now: TimePoint) -> bool {
         self.stage() == Stage::Promoting && now.since(self.phase_since) >= self.promotion().ramp
     }
 
@@ -261,11 +261,11 @@
         Promotion::of(duration, self.has_engines)
     }
 
-    pub(super) fn told(&self) -> Told {
-        Told {
-            old_runs: self.others.old_runs + self.own_old_runs,
-            following: self.others.following,
-            spent: self.exposure.spent(),
+    pub(super) fn progress(&self) -> RolloutProgress {
+        RolloutProgress {
+            old_in_flight: self.others.old_in_flight + self.own_old_runs,
+            switched: self.others.switched,
+            sent_to_new: self.exposure.sent_total(),
         }
     }
 
@@ -279,7 +279,7 @@
         }
     }
 
-    pub(super) fn judged(&self) -> &Judged {
+    pub(super) fn comparison(&self) -> &Comparison {
         &self.judged
     }
 
@@ -288,17 +288,17 @@
         service: &ServiceName,
         servers: &ServerTable,
         limit: &SharedLimit,
-        around: &Surroundings,
+        around: &RefreshContext,
         now: TimePoint,
     ) -> Option<Halt> {
         let to = self.to()?.clone();
-        self.seat = Some(around.seat);
-        self.is_in_touch = around.is_in_touch;
+        self.seat = Some(around.vm_rank);
+        self.is_in_touch = around.is_connected;
         self.has_engines = around.has_engines;
-        self.set_scopes(service, &to, servers, limit, around.true_ms, now);
+        self.set_scopes(service, &to, servers, limit, around.wall_clock_ms, now);
         self.part = self.part_by_now(around, now);
         let found = self.judge(now)?;
-        Some(Halt { service: service.clone(), version: to, found })
+        Some(Halt { service: service.clone(), version: to, detected_by: found })
     }
 
     fn set_scopes(
@@ -369,7 +369,7 @@
         hashes
     }
 
-    fn part_by_now(&self, around: &Surroundings, now: TimePoint) -> f64 {
+    fn part_by_now(&self, around: &RefreshContext, now: TimePoint) -> f64 {
         let Some(new_since) = self.new_since else { return 0.0 };
         let served = now.since(new_since).as_secs_f64();
         let left = self.canary_left(around, now).as_secs_f64();
@@ -378,9 +378,9 @@
     }
 
     /// The time until the canary may end.
-    fn canary_left(&self, around: &Surroundings, now: TimePoint) -> Duration {
+    fn canary_left(&self, around: &RefreshContext, now: TimePoint) -> Duration {
         let record = self.current_record();
-        if let Some((record, true_ms)) = record.zip(around.true_ms) {
+        if let Some((record, true_ms)) = record.zip(around.wall_clock_ms) {
             let left = canary_ends_ms(record, around.has_engines) - true_ms;
             return Duration::from_millis(left.max(0) as u64);
         }
@@ -389,7 +389,7 @@
     }
 
     /// Compares the versions, and says by whom the new one was found bad, if it just was.
-    fn judge(&mut self, now: TimePoint) -> Option<FoundBad> {
+    fn judge(&mut self, now: TimePoint) -> Option<DetectedBy> {
         if !matches!(self.stage(), Stage::Canary | Stage::Promoting) {
             return None;
         }
@@ -397,10 +397,10 @@
         if self.halt.cause().is_some() {
             return None;
         }
-        let mut seen = self.own.seen(now);
-        seen.add(&self.others.seen);
+        let mut seen = self.own.observations(now);
+        seen.add(&self.others.observations);
         let judgement = judge(&seen, self.stage() == Stage::Promoting, self.new_servers);
-        self.judged = Judged { judgement: Some(judgement), evidence: seen.all };
+        self.judged = Comparison { judgement: Some(judgement), evidence: seen.all };
         // A VM that hears few others compares what may be its own trouble.
         let found = match judgement.verdict {
             Verdict::Fails => Some(RollbackCause::Failures),
@@ -410,7 +410,7 @@
         let found = found.filter(|_| self.is_in_touch);
         let cause = found.or(self.others.halted)?;
         self.halt = HaltState::begin(cause, self.has_told_following, now);
-        Some(found.map_or(FoundBad::Elsewhere, |_| FoundBad::Here(judgement)))
+        Some(found.map_or(DetectedBy::Elsewhere, |_| DetectedBy::Here(judgement)))
     }
 
     pub(super) fn choose(
@@ -419,17 +419,17 @@
         limit: &SharedLimit,
         draw: f64,
         now: TimePoint,
-    ) -> Choice {
-        self.exposure.request();
+    ) -> VersionChoice {
+        self.exposure.record_request();
         let canaries = self.canaries.clone().filter(|_| {
             self.stage() == Stage::Canary
                 && self.is_in_touch
                 && self.may_use_share(route, draw, limit)
         });
         match (canaries, &self.old) {
-            (Some(canaries), Some(old)) => Choice::Either(canaries, old.clone()),
+            (Some(canaries), Some(old)) => VersionChoice::WithFallback(canaries, old.clone()),
             _ if self.stage() == Stage::Promoting => self.promoted(draw, now),
-            _ => self.regular(),
+            _ => self.choice_for_retry(),
         }
     }
 
@@ -444,30 +444,34 @@
     }
 
     /// Where a request goes while a good version takes over: to it by its rising share, else to the old one.
-    fn promoted(&self, draw: f64, now: TimePoint) -> Choice {
+    fn promoted(&self, draw: f64, now: TimePoint) -> VersionChoice {
         let (Some(old), Some(new)) = (self.old.clone(), self.new.clone()) else {
-            return Choice::Any;
+            return VersionChoice::Any;
         };
         let ramp = self.promotion().ramp.as_secs_f64();
         let risen = now.since(self.phase_since).as_secs_f64() / ramp;
         if risen >= 1.0 {
-            return Choice::One(new);
+            return VersionChoice::One(new);
         }
         let share = RAMP_FROM.powf(1.0 - risen);
-        if draw < share { Choice::Either(new, old) } else { Choice::Either(old, new) }
+        if draw < share {
+            VersionChoice::WithFallback(new, old)
+        } else {
+            VersionChoice::WithFallback(old, new)
+        }
     }
 
-    pub(super) fn regular(&self) -> Choice {
+    pub(super) fn choice_for_retry(&self) -> VersionChoice {
         let scope = match self.stage() {
             Stage::Free => None,
             Stage::Canary | Stage::Halted => self.old.clone(),
             Stage::Promoting | Stage::Completed => self.new.clone(),
         };
         match scope {
-            Some(scope) => Choice::One(scope),
+            Some(scope) => VersionChoice::One(scope),
             // Not refreshed yet: what an order names gets nothing until then.
-            None => self.to().map_or(Choice::Any, |to| {
-                Choice::One(Arc::new(VersionScope::Except(vec![to.clone()])))
+            None => self.to().map_or(VersionChoice::Any, |to| {
+                VersionChoice::One(Arc::new(VersionScope::Except(vec![to.clone()])))
             }),
         }
     }
@@ -491,26 +495,32 @@
         self.stage() == Stage::Promoting
     }
 
-    pub(super) fn goes_at(&self, version: &ServerVersion) -> Option<TimePoint> {
+    pub(super) fn expected_stop(&self, version: &ServerVersion) -> Option<TimePoint> {
         let is_old = self.to().is_some_and(|it| it != version);
         (is_old && self.stage() == Stage::Promoting)
             .then(|| self.phase_since + self.promotion().old_servers_stay)
     }
 
-    pub(super) fn sent(&mut self, version: &ServerVersion) {
+    pub(super) fn record_sent(&mut self, version: &ServerVersion) {
         if self.to() == Some(version) && self.stage() != Stage::Completed {
-            self.exposure.sent();
+            self.exposure.record_sent();
         }
     }
 
     /// The side of an answer; `None` where nothing is compared.
-    pub(super) fn side(&self, version: &ServerVersion, server: u64) -> Option<Side> {
+    pub(super) fn side(&self, version: &ServerVersion, server: u64) -> Option<VersionRole> {
         let is_compared = matches!(self.stage(), Stage::Canary | Stage::Promoting);
         self.new_since.filter(|_| is_compared)?;
-        Some(if self.to() == Some(version) { Side::New(server) } else { Side::Old })
+        Some(if self.to() == Some(version) { VersionRole::New(server) } else { VersionRole::Old })
     }
 
-    pub(super) fn note(&mut self, route: RouteKey, side: Side, sample: Sample, now: TimePoint) {
-        self.own.note(route, side, sample, now);
+    pub(super) fn add_sample(
+        &mut self,
+        route: RouteKey,
+        side: VersionRole,
+        sample: Sample,
+        now: TimePoint,
+    ) {
+        self.own.add_sample(route, side, sample, now);
     }
 }
--- a/crates/quincevalve_forwarding/src/rollout/verdict.rs
+++ b/crates/quincevalve_forwarding/src/rollout/verdict.rs
@@ -10,7 +10,7 @@
 //!
 //! A few servers may be bad whatever their version: one that stands out from the others of its version is left out.
 
-use crate::rollout::evidence::{Evidence, LogSum, Pair, RouteKey, Seen, Tally};
+use crate::rollout::evidence::{Evidence, LogSum, Observations, RouteKey, Tally, VersionTallies};
 
 /// A version that fails in so many more of its answers is bad.
 const LEAST_EXCESS: f64 = 0.05;
@@ -127,24 +127,24 @@
 ///
 /// ```
 /// use quincevalve_forwarding::rollout::{
-///     evidence::{RouteKey, Sample, Side, Witness},
+///     evidence::{RouteKey, Sample, VersionRole, EvidenceRecorder},
 ///     verdict::{Verdict, judge},
 /// };
 /// use quincevalve_names::TimePoint;
-/// let mut witness = Witness::default();
+/// let mut recorder = EvidenceRecorder::default();
 /// for at in 0..400_u64 {
-///     witness.note(RouteKey(1), Side::Old, Sample::Succeeded, TimePoint::ZERO);
+///     recorder.add_sample(RouteKey(1), VersionRole::Old, Sample::Succeeded, TimePoint::ZERO);
 ///     let fails = at % 100 < 20;
 ///     let sample = if fails { Sample::Failed } else { Sample::Succeeded };
-///     witness.note(RouteKey(1), Side::New(at % 4), sample, TimePoint::ZERO);
+///     recorder.add_sample(RouteKey(1), VersionRole::New(at % 4), sample, TimePoint::ZERO);
 /// }
-/// assert_eq!(judge(&witness.seen(TimePoint::ZERO), false, 4).verdict, Verdict::Fails);
+/// assert_eq!(judge(&recorder.observations(TimePoint::ZERO), false, 4).verdict, Verdict::Fails);
 /// ```
-pub fn judge(seen: &Seen, is_promoting: bool, servers: usize) -> Judgement {
+pub fn judge(seen: &Observations, is_promoting: bool, servers: usize) -> Judgement {
     let has_others = servers > 1;
     let against = |it| View::of(it).without_worst(has_others);
     let since_begin = against(&seen.all);
-    let lately = [&seen.late, &seen.recent].map(against);
+    let lately = [&seen.long_window, &seen.short_window].map(against);
     let fails =
         since_begin.fails(FALSE_ALARM) || lately.iter().any(|it| it.fails(FALSE_ALARM_LATELY));
     let is_slow =
@@ -224,8 +224,8 @@
     /// Whether each route that matters speaks for the new version by itself.
     fn no_route_looks_bad(&self) -> bool {
         let all = f64::from(self.evidence.new_version().answers);
-        let matters = |pair: &Pair| f64::from(pair.new.answers) >= LEAST_ROUTE_PART * all;
-        let looks_good = |pair: &Pair| {
+        let matters = |pair: &VersionTallies| f64::from(pair.new.answers) >= LEAST_ROUTE_PART * all;
+        let looks_good = |pair: &VersionTallies| {
             let is_noisy = rate(pair.old.failed, pair.old.answers) >= NOISY_RATE;
             let bound = if is_noisy { NOISY_ODDS.ln() } else { MISSED_ON_ROUTE.ln() };
             let failed = pair.new.failed.saturating_sub(self.left_out.failed);
@@ -237,7 +237,7 @@
     fn fails(&self, alpha: f64) -> bool {
         let bound = (1.0 / alpha).ln();
         let routes = self.routes().count().max(1) as f64;
-        let of_route = |pair: &Pair| {
+        let of_route = |pair: &VersionTallies| {
             // All of the outliers' failures may have been on this route.
             let failed = pair.new.failed.saturating_sub(self.left_out.failed);
             let kept = part(failed, pair.new.failed);
@@ -293,7 +293,7 @@
             self.difference(times).with_error(error_part * error).is_above(factor, SURE)
         };
         let error = self.error_over_servers(|it| it.first);
-        let route_is_above = |pair: &Pair| {
+        let route_is_above = |pair: &VersionTallies| {
             let Some(error) = error else { return false };
             let difference = self.difference_on_route(pair);
             difference.with_error(error_part * error).is_above(factor, SURE_OF_ROUTE)
@@ -304,7 +304,7 @@
     }
 
     /// How much later the first parts of the new version's answers come on one route.
-    fn difference_on_route(&self, pair: &Pair) -> Difference {
+    fn difference_on_route(&self, pair: &VersionTallies) -> Difference {
         let (old, new) = (pair.old.first, pair.new.first);
         // Outliers may have had all of the route's requests.
         if old.count() < LEAST_TIMES || self.left_out.first.count() * 2 > new.count() {
@@ -316,7 +316,7 @@
     }
 
     /// Routes on which the new version answered.
-    fn routes(&self) -> impl Iterator<Item = (&RouteKey, &Pair)> {
+    fn routes(&self) -> impl Iterator<Item = (&RouteKey, &VersionTallies)> {
         self.evidence.routes.iter().filter(|(_, it)| it.new != Tally::default())
     }
 }
@@ -331,7 +331,7 @@
 }
 
 /// The logarithm of the likelihood ratio of one route, of so much of its failures and successes.
-fn ratio(pair: &Pair, failed_part: f64, fine_part: f64) -> f64 {
+fn ratio(pair: &VersionTallies, failed_part: f64, fine_part: f64) -> f64 {
     let usual = rate(pair.old.failed, pair.old.answers);
     let failed = f64::from(pair.new.failed) * failed_part;
     let fine = f64::from(pair.new.answers - pair.new.failed.min(pair.new.answers)) * fine_part;
--- a/crates/quincevalve_forwarding/src/sums.rs
+++ b/crates/quincevalve_forwarding/src/sums.rs
@@ -9,7 +9,7 @@
 use crate::{
     config::ForwardingConfig,
     load::WorkSum,
-    rollout::share::{RolloutShares, add_shares, shares_without},
+    rollout::partial_sum::{RolloutPartialSums, add_partial_sums, partial_sums_without},
 };
 
 /// What was told counts for this long: several periods, so that a lost datagram or two change nothing.
@@ -36,7 +36,7 @@
     /// The work that they take on, in busy servers, by service.
     pub demand: Demand,
     /// What they saw of roll-outs, by service.
-    pub rollouts: RolloutShares,
+    pub rollouts: RolloutPartialSums,
 }
 
 /// Servers that a collector names to each of its members, and to each other collector.
@@ -67,7 +67,7 @@
         for (service, busy) in &other.demand {
             *self.demand.entry(service.clone()).or_default() += busy;
         }
-        add_shares(&mut self.rollouts, &other.rollouts);
+        add_partial_sums(&mut self.rollouts, &other.rollouts);
     }
 
     /// Names no more than so many servers, the busiest.
@@ -116,7 +116,7 @@
             works: self.works.iter().filter_map(work).collect(),
             spending: rates_without(&self.spending, &part.spending),
             demand: rates_without(&self.demand, &part.demand),
-            rollouts: shares_without(&self.rollouts, &part.rollouts),
+            rollouts: partial_sums_without(&self.rollouts, &part.rollouts),
         }
     }
 }
--- a/crates/quincevalve_forwarding/tests/rollout_world/world.rs
+++ b/crates/quincevalve_forwarding/tests/rollout_world/world.rs
@@ -6,12 +6,12 @@
 use quincevalve_forwarding::{
     load::Work,
     rollout::{
-        book::{Choice, RolloutBook, RunToWatch, Surroundings, Ticket},
         evidence::{RouteKey, Sample},
+        partial_sum::{RolloutPartialSums, add_partial_sums, partial_sums_without},
         record::{OrderId, Phase, RolloutOrder, RolloutRecord},
         scope::VersionScope,
-        share::{RolloutShares, add_shares, shares_without},
-        steps::{Following, Situation, next_step},
+        steps::{PromotionProgress, StepInput, next_record},
+        table::{RefreshContext, RolloutTable, TrackedAttempt, TrackingId, VersionChoice},
     },
     servers::{ServerEntry, ServerStart, ServerTable, start_hash},
     shared_limit::{Seat, SharedLimit},
@@ -76,7 +76,7 @@
     vm: usize,
     vm_start: u32,
     server: usize,
-    ticket: Option<Ticket>,
+    ticket: Option<TrackingId>,
     first_at: u64,
     ends: u64,
     fails: bool,
@@ -87,7 +87,7 @@
 
 #[derive(Debug)]
 struct Vm {
-    book: RolloutBook,
+    book: RolloutTable,
     table: ServerTable,
     starts: u32,
     down_until: u64,
@@ -96,7 +96,7 @@
     unsound: u64,
     /// Changes of the store that are on their way to it.
     inbox: VecDeque<(u64, StoreChange)>,
-    told: VecDeque<RolloutShares>,
+    told: VecDeque<RolloutPartialSums>,
 }
 
 #[derive(Clone, Debug)]
@@ -145,7 +145,7 @@
     vms: Vec<Vm>,
     servers: Vec<Server>,
     runs: Vec<Run>,
-    sums: VecDeque<RolloutShares>,
+    sums: VecDeque<RolloutPartialSums>,
     order: Option<RolloutOrder>,
     record: Option<RolloutRecord>,
     holder: Option<usize>,
@@ -394,11 +394,11 @@
         let vm = &mut self.vms[vm];
         match change {
             StoreChange::Order(Some(order)) => {
-                vm.book.order_listed(&self.service, order, was_running, now);
+                vm.book.apply_order(&self.service, order, was_running, now);
             }
-            StoreChange::Order(None) => vm.book.order_removed(&self.service),
+            StoreChange::Order(None) => vm.book.remove_order(&self.service),
             StoreChange::Record(record) => {
-                vm.book.record_listed(&self.service, record, now);
+                vm.book.apply_record(&self.service, record, now);
             }
             StoreChange::Server(at) => {
                 let server = &self.servers[at];
@@ -414,11 +414,11 @@
 
     fn refresh(&mut self, vm: usize) {
         let is_cut = is_cut(&self.vms[vm], self.now);
-        let around = Surroundings {
-            true_ms: Some(START_MS + self.now.cast_signed()),
+        let around = RefreshContext {
+            wall_clock_ms: Some(START_MS + self.now.cast_signed()),
             has_engines: self.plan.has_engines,
-            seat: Seat { rank: vm, of: self.plan.vms },
-            is_in_touch: !is_cut,
+            vm_rank: Seat { rank: vm, of: self.plan.vms },
+            is_connected: !is_cut,
         };
         let vm = &mut self.vms[vm];
         vm.book.refresh(&self.service, &vm.table, &around, at(self.now));
@@ -427,13 +427,16 @@
     /// Each VM tells what it saw, and hears what all others told some time ago.
     fn tell(&mut self) {
         let now = at(self.now);
-        let mut sum = RolloutShares::default();
+        let mut sum = RolloutPartialSums::default();
         for vm in 0..self.vms.len() {
             let is_heard = self.now >= self.vms[vm].down_until && !is_cut(&self.vms[vm], self.now);
             let vm = &mut self.vms[vm];
-            let told =
-                if is_heard { vm.book.shares(&vm.table, now) } else { RolloutShares::default() };
-            add_shares(&mut sum, &told);
+            let told = if is_heard {
+                vm.book.partial_sums(&vm.table, now)
+            } else {
+                RolloutPartialSums::default()
+            };
+            add_partial_sums(&mut sum, &told);
             vm.told.push_back(told);
             if vm.told.len() > DIGEST_DELAY {
                 vm.told.pop_front();
@@ -452,10 +455,10 @@
                 let own = if self.vms[vm].told.len() == self.sums.len() {
                     self.vms[vm].told.front().cloned().unwrap_or_default()
                 } else {
-                    RolloutShares::default()
+                    RolloutPartialSums::default()
                 };
-                let others = shares_without(sum, &own);
-                self.vms[vm].book.set_others(&others);
+                let others = partial_sums_without(sum, &own);
+                self.vms[vm].book.set_peer_sums(&others);
             }
             self.refresh(vm);
         }
@@ -489,10 +492,10 @@
         let usable: Vec<_> = vm.table.usable(&self.service, now).collect();
         let new = usable.iter().filter(|(_, it)| it.entry.version.as_str() == "v2").count();
         let old = usable.len() - new;
-        let told = vm.book.told(&self.service).unwrap_or_default();
+        let told = vm.book.progress(&self.service).unwrap_or_default();
         let heard = self.vms.iter();
         let heard = heard.filter(|it| self.now >= it.down_until && !is_cut(it, self.now)).count();
-        next_step(&Situation {
+        next_record(&StepInput {
             now_ms: START_MS + self.now.cast_signed(),
             order,
             record: self.record.as_ref(),
@@ -501,12 +504,12 @@
             new_servers: new,
             needed_servers: old * 3 / 4,
             has_old_servers: old > 0,
-            vms: Following {
+            vms: PromotionProgress {
                 vms: self.vms.len(),
-                heard,
-                following: told.following as usize
-                    + usize::from(vm.book.follows(&self.service, now)),
-                old_runs: told.old_runs,
+                reachable: heard,
+                switched: told.switched as usize
+                    + usize::from(vm.book.has_switched(&self.service, now)),
+                old_in_flight: told.old_in_flight,
             },
         })
     }
@@ -522,10 +525,10 @@
             }
         }
         self.outcome.phases.push((self.now, next.phase));
-        let judged = self.vms[holder].book.judged(&self.service);
+        let judged = self.vms[holder].book.comparison(&self.service);
         self.outcome.figures = format!("{:?}", judged.and_then(|it| it.judgement));
         self.record = Some(next.clone());
-        self.vms[holder].book.record_listed(&self.service, next.clone(), at(self.now));
+        self.vms[holder].book.apply_record(&self.service, next.clone(), at(self.now));
         self.refresh(holder);
         self.tell_all(StoreChange::Record(next.clone()), self.now + WRITE_TIME);
         if next.phase.is_final() {
@@ -579,10 +582,10 @@
                 let vm = &mut self.vms[run.vm];
                 if let Some(ticket) = run.ticket {
                     if !run.fails {
-                        vm.book.first_part(ticket, at(now));
+                        vm.book.add_first_part(ticket, at(now));
                     }
                     let sample = if run.fails { Sample::Failed } else { Sample::Succeeded };
-                    vm.book.note(ticket, sample, at(now));
+                    vm.book.add_sample(ticket, sample, at(now));
                 }
             }
             if is_broken || now >= run.ends {
@@ -603,7 +606,7 @@
         server.running = server.running.saturating_sub(1);
         let vm = &mut self.vms[run.vm];
         if let Some(ticket) = run.ticket {
-            vm.book.ended(ticket);
+            vm.book.stop_tracking(ticket);
         }
         if let Some(it) = vm.table.get_mut(&self.servers[run.server].name, START) {
             it.load.end(run.work);
@@ -618,20 +621,20 @@
         }
         let version = "v1".into();
         let vm = &self.vms[run.vm];
-        let Some(goes_at) = vm.book.goes_at(&self.service, &version) else { return };
+        let Some(goes_at) = vm.book.expected_stop(&self.service, &version) else { return };
         let is_due = goes_at <= at(self.now + MOVE_BEFORE);
         if !is_due {
             return;
         }
         let (vm, vm_start, ends, work) = (run.vm, run.vm_start, run.ends, run.work);
-        let choice = self.vms[vm].book.regular(&self.service);
+        let choice = self.vms[vm].book.choice_for_retry(&self.service);
         let Some(to) = self.pick(vm, &choice) else { return };
         self.forget_run(at_run);
         if self.rng.random::<f64>() > MOVE_SUCCEEDS {
             return;
         }
         self.count_sent(vm, to);
-        self.vms[vm].book.sent(&self.service, &version_of(self.servers[to].is_new));
+        self.vms[vm].book.record_sent(&self.service, &version_of(self.servers[to].is_new));
         self.begin(vm, to, work);
         self.runs.push(Run {
             vm,
@@ -655,11 +658,11 @@
         }
     }
 
-    fn pick(&mut self, vm: usize, choice: &Choice) -> Option<usize> {
+    fn pick(&mut self, vm: usize, choice: &VersionChoice) -> Option<usize> {
         let scopes: Vec<Option<&VersionScope>> = match choice {
-            Choice::Any => vec![None],
-            Choice::One(scope) => vec![Some(scope)],
-            Choice::Either(first, second) => vec![Some(first), Some(second)],
+            VersionChoice::Any => vec![None],
+            VersionChoice::One(scope) => vec![Some(scope)],
+            VersionChoice::WithFallback(first, second) => vec![Some(first), Some(second)],
         };
         for scope in scopes {
             let now = at(self.now);
@@ -731,7 +734,7 @@
             return;
         };
         let is_new = self.servers[server].is_new;
-        self.vms[vm].book.sent(&self.service, &version_of(is_new));
+        self.vms[vm].book.record_sent(&self.service, &version_of(is_new));
         self.count_sent(vm, server);
         if is_new {
             self.naive_sent += 1;
@@ -742,8 +745,8 @@
         self.run(vm, server, at_route);
     }
 
-    fn naive_choice(&self, draw: f64) -> Choice {
-        let only = |it: &str| Choice::One(VersionScope::Only(it.into()).into());
+    fn naive_choice(&self, draw: f64) -> VersionChoice {
+        let only = |it: &str| VersionChoice::One(VersionScope::Only(it.into()).into());
         match self.outcome.phase {
             Some(Phase::Completed) => only("v2"),
             None if draw < 0.1 && self.servers.iter().any(|it| it.is_new && it.is_up(self.now)) => {
@@ -782,14 +785,14 @@
         }
         let name = self.servers[server].name.clone();
         let version = version_of(self.servers[server].is_new);
-        let watched = RunToWatch {
+        let watched = TrackedAttempt {
             service: &self.service,
             route: RouteKey::of(route.name),
             version: &version,
             server: start_hash(&name, START),
             expected: Some(Duration::from_secs_f64(expected / 1_000.0)),
         };
-        let ticket = self.vms[vm].book.watch(watched, at(self.now));
+        let ticket = self.vms[vm].book.start_tracking(watched, at(self.now));
         let work = Work { prefill: 100, memory: 100, output: 50, urgency: 1 };
         self.begin(vm, server, work);
         self.runs.push(Run {
@@ -827,7 +830,7 @@
 
 fn new_vm(plan: &Plan, starts: u32) -> Vm {
     Vm {
-        book: RolloutBook::new(SharedLimit { ratio: plan.share, slack: plan.slack }),
+        book: RolloutTable::new(SharedLimit { ratio: plan.share, slack: plan.slack }),
         table: ServerTable::default(),
         starts,
         down_until: 0,
--- a/crates/quincevalve_node/src/duties/rollouts.rs
+++ b/crates/quincevalve_node/src/duties/rollouts.rs
@@ -7,7 +7,7 @@
     rollout::{
         evidence::RouteKey,
         record::{OrderId, Phase, RolloutRecord},
-        steps::{Following, Situation, next_step},
+        steps::{PromotionProgress, StepInput, next_record},
     },
 };
 use quincevalve_names::{ServiceName, TimePoint};
@@ -140,9 +140,9 @@
         let busy = measured.get(service).and_then(MeasuredDemand::measured);
         let peers = node.peers.borrow();
         let vms = node.vms();
-        let told = book.told(service).unwrap_or_default();
-        let is_own_follower = u32::from(book.follows(service, now));
-        let situation = Situation {
+        let told = book.progress(service).unwrap_or_default();
+        let is_own_follower = u32::from(book.has_switched(service, now));
+        let situation = StepInput {
             now_ms,
             order,
             record: known,
@@ -151,14 +151,14 @@
             new_servers: new.len(),
             needed_servers: needed(old, busy),
             has_old_servers: old > 0,
-            vms: Following {
+            vms: PromotionProgress {
                 vms,
-                heard: (peers.reachable_part() * vms as f64).round() as usize,
-                following: (told.following + is_own_follower) as usize,
-                old_runs: told.old_runs,
+                reachable: (peers.reachable_part() * vms as f64).round() as usize,
+                switched: (told.switched + is_own_follower) as usize,
+                old_in_flight: told.old_in_flight,
             },
         };
-        next_step(&situation)
+        next_record(&situation)
     }
 
     /// Writes the record and the word to the operators, if this VM still holds the duties and the order still stands.
@@ -198,10 +198,10 @@
             Phase::RolledBack(cause) => cause.name(),
             Phase::Canary | Phase::Promoting | Phase::Completed => "",
         };
-        let told = self.node.rollouts.borrow().told(service).unwrap_or_default();
+        let told = self.node.rollouts.borrow().progress(service).unwrap_or_default();
         log::info!(
             service = service.as_str(), order = next.order.0, to:% = next.to, phase:? = next.phase,
-            cause, old_runs = told.old_runs, left_ms = self.left_ms(next);
+            cause, old_runs = told.old_in_flight, left_ms = self.left_ms(next);
             "rollout-step"
         );
     }
@@ -215,7 +215,7 @@
         }
         self.told.insert(service.clone(), now);
         let book = self.node.rollouts.borrow();
-        let Some(judged) = book.judged(service) else { return };
+        let Some(judged) = book.comparison(service) else { return };
         let Some(found) = judged.judgement else { return };
         let (old, new) = (judged.evidence.old_version(), judged.evidence.new_version());
         log::info!(
--- a/crates/quincevalve_node/src/node.rs
+++ b/crates/quincevalve_node/src/node.rs
@@ -21,7 +21,7 @@
     poison::PoisonGuard,
     quota::QuotaBook,
     retry_window::RetryWindow,
-    rollout::book::RolloutBook,
+    rollout::table::RolloutTable,
     servers::ServerTable,
     signal_outbox::SignalOutbox,
     store_contact::StoreContact,
@@ -92,7 +92,7 @@
     pub(crate) poison: RefCell<PoisonGuard>,
     pub(crate) quarantine: QuarantineStore,
     /// What is known of services that are moved to another version.
-    pub(crate) rollouts: RefCell<RolloutBook>,
+    pub(crate) rollouts: RefCell<RolloutTable>,
     pub(crate) lines: RefCell<LineBudget>,
     pub(crate) refusal_lines: RefCell<LineBudget>,
     pub(crate) metrics: Metrics,
@@ -140,7 +140,7 @@
             mover,
             poison: RefCell::new(PoisonGuard::new(settings.name.as_str())),
             quarantine,
-            rollouts: RefCell::new(RolloutBook::new(settings.exposure)),
+            rollouts: RefCell::new(RolloutTable::new(settings.exposure)),
             lines: RefCell::default(),
             refusal_lines: RefCell::new(LineBudget::for_refusals()),
             metrics: Metrics::default(),
@@ -269,7 +269,7 @@
         let servers = self.servers.borrow();
         let Some(server) = servers.get(&place.server) else { return };
         let service = &server.entry.service;
-        self.rollouts.borrow_mut().sent(service, &place.version);
+        self.rollouts.borrow_mut().record_sent(service, &place.version);
         self.metrics.sent_to(service.as_str(), place.version.as_str());
     }
 
--- a/crates/quincevalve_node/src/peers/send.rs
+++ b/crates/quincevalve_node/src/peers/send.rs
@@ -105,7 +105,7 @@
     node.servers.borrow_mut().set_seat(seat, true_ms, now);
     measure_demand(node, now);
     if !node.rollouts.borrow().is_idle() {
-        node.rollouts.borrow_mut().set_others(&others.rollouts);
+        node.rollouts.borrow_mut().set_peer_sums(&others.rollouts);
         rollouts::refresh(node);
     }
     node.servers.borrow_mut().set_others(&others.works, now);
@@ -131,7 +131,7 @@
         works: node.servers.borrow().own_work(now),
         spending,
         demand: demand.collect(),
-        rollouts: node.rollouts.borrow_mut().shares(&node.servers.borrow(), now),
+        rollouts: node.rollouts.borrow_mut().partial_sums(&node.servers.borrow(), now),
     }
 }
 
--- a/crates/quincevalve_node/src/request/placing.rs
+++ b/crates/quincevalve_node/src/request/placing.rs
@@ -5,7 +5,7 @@
 use quincevalve_forwarding::{
     load::Work,
     placement::{Ask, NoPlace, Placement},
-    rollout::{book::Choice, scope::VersionScope},
+    rollout::{scope::VersionScope, table::VersionChoice},
     servers::ServerStart,
 };
 use quincevalve_names::BackendServerName;
@@ -157,16 +157,18 @@
 }
 
 /// The best server among those that a request may go to.
-fn place(node: &Node, ask: &Ask<'_>, choice: &Choice) -> Result<Placement, NoPlace> {
+fn place(node: &Node, ask: &Ask<'_>, choice: &VersionChoice) -> Result<Placement, NoPlace> {
     let now = clock::now();
     let mut servers = node.servers.borrow_mut();
     let mut rng = node.rng.borrow_mut();
     let mut place_in =
         |scope: Option<&VersionScope>| servers.place(&Ask { scope, ..*ask }, &mut *rng, now);
     let place = match choice {
-        Choice::Any => place_in(None),
-        Choice::One(scope) => place_in(Some(scope)),
-        Choice::Either(first, second) => place_in(Some(first)).or_else(|_| place_in(Some(second))),
+        VersionChoice::Any => place_in(None),
+        VersionChoice::One(scope) => place_in(Some(scope)),
+        VersionChoice::WithFallback(first, second) => {
+            place_in(Some(first)).or_else(|_| place_in(Some(second)))
+        }
     }?;
     servers.spend_allowance(&place.server, place.start, now);
     Ok(place)
--- a/crates/quincevalve_node/src/rollouts.rs
+++ b/crates/quincevalve_node/src/rollouts.rs
@@ -6,9 +6,9 @@
     load::step_ms,
     placement::Placement,
     rollout::{
-        book::{Choice, Halt, RunToWatch, Surroundings, Ticket},
         evidence::{RouteKey, Sample},
         record::{RolloutOrder, RolloutRecord},
+        table::{Halt, RefreshContext, TrackedAttempt, TrackingId, VersionChoice},
     },
     servers::start_hash,
 };
@@ -51,10 +51,10 @@
     let mut book = node.rollouts.borrow_mut();
     let Some(order) = order else {
         log::info!(service = service.as_str(); "rollout-order-removed");
-        return book.order_removed(service);
+        return book.remove_order(service);
     };
     let (id, to, seconds) = (order.id.0, order.to.clone(), order.duration.as_secs_f64());
-    if book.order_listed(service, order, true, clock::now()) {
+    if book.apply_order(service, order, true, clock::now()) {
         log::info!(service = service.as_str(), order = id, to:% = to, seconds; "rollout-ordered");
     }
     drop(book);
@@ -64,7 +64,7 @@
 /// Takes how far a roll-out has come.
 pub(crate) fn take_record(node: &Node, service: &ServiceName, record: RolloutRecord) {
     let (id, to, phase) = (record.order.0, record.to.clone(), record.phase);
-    if node.rollouts.borrow_mut().record_listed(service, record, clock::now()) {
+    if node.rollouts.borrow_mut().apply_record(service, record, clock::now()) {
         log::info!(service = service.as_str(), order = id, to:% = to, phase:? = phase; "rollout-phase");
     }
     refresh_service(node, service);
@@ -94,17 +94,17 @@
     let now = clock::now();
     let config = node.config();
     let engine = config.as_ref().and_then(|it| it.services.get(service)?.engine);
-    let around = Surroundings {
-        true_ms: node.wall.borrow().true_ms(now),
+    let around = RefreshContext {
+        wall_clock_ms: node.wall.borrow().true_ms(now),
         has_engines: engine.is_some(),
-        seat: node.peers.borrow().book.seat(order.0),
-        is_in_touch: is_in_touch(node),
+        vm_rank: node.peers.borrow().book.seat(order.0),
+        is_connected: is_in_touch(node),
     };
     let mut book = node.rollouts.borrow_mut();
     let halt = book.refresh(service, &node.servers.borrow(), &around, now);
-    if let Some(Halt { service, version, found }) = halt {
+    if let Some(Halt { service, version, detected_by }) = halt {
         log::warn!(
-            service = service.as_str(), version:% = version, order = order.0, found:? = found;
+            service = service.as_str(), version:% = version, order = order.0, found:? = detected_by;
             "rollout-halted"
         );
         drop(book);
@@ -119,9 +119,9 @@
 }
 
 /// Where a new request may go.
-pub(crate) fn choose(node: &Node, req: &Identified) -> Choice {
+pub(crate) fn choose(node: &Node, req: &Identified) -> VersionChoice {
     if node.rollouts.borrow().is_idle() {
-        return Choice::Any;
+        return VersionChoice::Any;
     }
     let draw = node.rng.borrow_mut().random();
     let route = RouteKey::of(&req.route.name);
@@ -129,14 +129,14 @@
 }
 
 /// Where a request may go that was sent before.
-pub(crate) fn regular(node: &Node, service: &ServiceName) -> Choice {
-    node.rollouts.borrow().regular(service)
+pub(crate) fn regular(node: &Node, service: &ServiceName) -> VersionChoice {
+    node.rollouts.borrow().choice_for_retry(service)
 }
 
 /// Watches how a request is answered, where versions are compared; ends with it.
 pub(crate) struct WatchedRun {
     node: Rc<Node>,
-    ticket: Ticket,
+    ticket: TrackingId,
     /// The load of the server that it was sent to.
     running: u32,
 }
@@ -147,20 +147,20 @@
         if book.is_idle() {
             return None;
         }
-        let run = RunToWatch {
+        let run = TrackedAttempt {
             service: &req.service,
             route: RouteKey::of(&req.route.name),
             version: &place.version,
             server: start_hash(&place.server, place.start),
             expected: place.expected,
         };
-        let ticket = book.watch(run, clock::now())?;
+        let ticket = book.start_tracking(run, clock::now())?;
         Some(Self { node: node.clone(), ticket, running: place.seen.requests })
     }
 
     /// Notes the first part of its answer.
     pub(crate) fn first_part(&self) {
-        self.node.rollouts.borrow_mut().first_part(self.ticket, clock::now());
+        self.node.rollouts.borrow_mut().add_first_part(self.ticket, clock::now());
     }
 
     /// Notes whether the server succeeded.
@@ -174,12 +174,12 @@
     }
 
     fn note(&self, sample: Sample) {
-        self.node.rollouts.borrow_mut().note(self.ticket, sample, clock::now());
+        self.node.rollouts.borrow_mut().add_sample(self.ticket, sample, clock::now());
     }
 }
 
 impl Drop for WatchedRun {
     fn drop(&mut self) {
-        self.node.rollouts.borrow_mut().ended(self.ticket);
+        self.node.rollouts.borrow_mut().stop_tracking(self.ticket);
     }
 }
