--- a/crates/quincevalve_forwarding/src/config.rs
+++ b/crates/quincevalve_forwarding/src/config.rs
@@ -11,7 +11,7 @@
 
 /// What a repetition of a request does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Repeat {
+pub enum RetrySafety {
     /// It may run any number of times.
     Idempotent,
     /// It runs at most once for each attempt of the caller.
@@ -22,14 +22,14 @@
     ResumableStream,
 }
 
-impl Repeat {
+impl RetrySafety {
     /// Whether the answer is a stream of events.
     pub const fn is_stream(self) -> bool {
         matches!(self, Self::Stream | Self::ResumableStream)
     }
 
     /// Whether a second run does no harm.
-    pub const fn may_run_again(self) -> bool {
+    pub const fn is_retryable(self) -> bool {
         matches!(self, Self::Idempotent | Self::ResumableStream)
     }
 }
@@ -55,7 +55,7 @@
     /// Where requests go.
     pub targets: Vec<Target>,
     /// What may be repeated.
-    pub repeat: Repeat,
+    pub retry_safety: RetrySafety,
     /// The longest time that a request may be kept without its final answer.
     pub timeout: Duration,
     /// The time within which an answer (a stream's first event) is on time.
@@ -101,7 +101,7 @@
     /// Its prompt and the most that it may generate.
     Tokens {
         /// What a request without token counts is taken for.
-        unsized_request: u32,
+        default_tokens: u32,
     },
 }
 
@@ -124,7 +124,7 @@
     /// Tokens that one server's KV cache holds.
     pub kv_tokens: u64,
     /// Whether a running request can be moved to another server.
-    pub moves: bool,
+    pub supports_migration: bool,
 }
 
 /// Within which bounds the number of a service's servers may be ordered.
@@ -135,7 +135,7 @@
     /// Servers of both kinds in a data centre at most.
     pub max: u32,
     /// From an order to service.
-    pub boot: Duration,
+    pub boot_time: Duration,
     /// The price of a reclaimable server against an on-demand one; `None` where there are none.
     pub reclaimable_price: Option<f64>,
     /// The price of an on-demand server for a second, by data centre.
@@ -161,9 +161,9 @@
     /// Bytes of a request's body.
     pub body_bytes: usize,
     /// How long a head may take.
-    pub head_time: Duration,
+    pub head_timeout: Duration,
     /// How long a connection may be idle.
-    pub idle_time: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// One version of the configuration, whole.
--- a/crates/quincevalve_forwarding/src/demand.rs
+++ b/crates/quincevalve_forwarding/src/demand.rs
@@ -46,7 +46,7 @@
     }
 
     /// The demand that another VM measured, taken as if it had been measured here.
-    pub fn told(busy: f64) -> Self {
+    pub fn from_report(busy: f64) -> Self {
         Self { last: None, busy, looks: LOOKS_BEFORE_BELIEF }
     }
 
@@ -56,7 +56,7 @@
     }
 
     /// Whether no work was seen at all.
-    pub fn is_none(&self) -> bool {
+    pub fn has_no_observations(&self) -> bool {
         self.looks == 0
     }
 
@@ -78,10 +78,10 @@
 /// use quincevalve_forwarding::demand::WorkRate;
 /// use quincevalve_names::TimePoint;
 /// let mut work = WorkRate::new(TimePoint::ZERO);
-/// assert_eq!(work.busy_each(TimePoint::ZERO), None);
+/// assert_eq!(work.busy_seconds_per_request(TimePoint::ZERO), None);
 /// (0..8).for_each(|_| work.add(0.5, TimePoint::ZERO));
 /// assert_eq!(work.busy(TimePoint::ZERO), 4.0);
-/// assert_eq!(work.busy_each(TimePoint::ZERO), Some(0.5));
+/// assert_eq!(work.busy_seconds_per_request(TimePoint::ZERO), Some(0.5));
 /// ```
 #[derive(Clone, Copy, Debug)]
 pub struct WorkRate {
@@ -107,7 +107,7 @@
     }
 
     /// Seconds for which a request keeps a server busy; `None` where none came lately.
-    pub fn busy_each(&self, now: TimePoint) -> Option<f64> {
+    pub fn busy_seconds_per_request(&self, now: TimePoint) -> Option<f64> {
         let requests = self.requests.per_second(now);
         (requests > RECENT_REQUESTS).then(|| self.busy(now) / requests)
     }
--- a/crates/quincevalve_forwarding/src/fleet_size.rs
+++ b/crates/quincevalve_forwarding/src/fleet_size.rs
@@ -13,7 +13,7 @@
 
 /// Servers in a data centre at present.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Present {
+pub struct ServerCounts {
     /// Reclaimable ones that take new work.
     pub reclaimable: u32,
     /// On-demand ones that take new work.
@@ -114,18 +114,18 @@
 /// # Examples
 ///
 /// ```
-/// use quincevalve_forwarding::{fleet_size::counts_with, server_signals::RequestRate};
-/// assert!(counts_with(RequestRate::new(8.0), Some(0.05)));
-/// assert!(!counts_with(RequestRate::new(1.2), Some(0.05)));
-/// assert!(counts_with(None, Some(0.05)));
+/// use quincevalve_forwarding::{fleet_size::counts_toward_fleet, server_signals::RequestRate};
+/// assert!(counts_toward_fleet(RequestRate::new(8.0), Some(0.05)));
+/// assert!(!counts_toward_fleet(RequestRate::new(1.2), Some(0.05)));
+/// assert!(counts_toward_fleet(None, Some(0.05)));
 /// ```
-pub fn counts_with(limit: Option<RequestRate>, busy_each: Option<f64>) -> bool {
+pub fn counts_toward_fleet(limit: Option<RequestRate>, busy_each: Option<f64>) -> bool {
     let carried = limit.zip(busy_each).map(|(limit, each)| limit.per_second() * each);
     carried.is_none_or(|it| it >= WANTED_BUSY * LEAST_CARRIED)
 }
 
 /// The demand that accounts' quotas let expect, in busy servers.
-pub fn expected_busy(config: &ForwardingConfig) -> f64 {
+pub fn expected_demand(config: &ForwardingConfig) -> f64 {
     let quotas = config.accounts.values().filter_map(|it| it.quota);
     let tokens = quotas
         .filter(|it| matches!(it.unit, QuotaUnit::Tokens { .. }))
@@ -139,7 +139,7 @@
 /// Failure: the duty passes to a VM that has not yet measured any demand. Symptom: it plans for none and
 /// gives the fleet back. Until it has measured, it takes the fleet for the right size, unless quotas let
 /// expect much less.
-fn expected_at_first(promised: f64, present: &IndexMap<DataCentreName, Present>) -> f64 {
+fn expected_at_first(promised: f64, present: &IndexMap<DataCentreName, ServerCounts>) -> f64 {
     let servers: u32 = present.values().map(|it| it.reclaimable + it.on_demand).sum();
     let carried = f64::from(servers) * WANTED_BUSY;
     if promised <= 0.0 { carried } else { carried.min(promised * MOST_PROMISED).max(promised) }
@@ -162,7 +162,7 @@
     sent: IndexMap<(DataCentreName, ServerKind), Sent>,
     fewer_since: IndexMap<(DataCentreName, ServerKind), TimePoint>,
     /// The servers that the newest orders were reckoned from.
-    seen: IndexMap<DataCentreName, Present>,
+    seen: IndexMap<DataCentreName, ServerCounts>,
 }
 
 impl FleetPlanner {
@@ -193,7 +193,7 @@
         rate: f64,
         part: f64,
         promised: f64,
-        present: &IndexMap<DataCentreName, Present>,
+        present: &IndexMap<DataCentreName, ServerCounts>,
         now: TimePoint,
     ) -> f64 {
         self.demand.observe(rate, part, now);
@@ -214,17 +214,17 @@
     /// Failure: the holder's lease ends in an outage of the store, or it dies. Symptom: its successor knows no demand,
     /// takes the whole fleet for the right size, and orders on demand whatever of it is gone, several times what is
     /// needed, until it has measured for itself. All VMs hear what all take on, and measure it all the time.
-    pub fn go_on_from(&mut self, demand: MeasuredDemand) {
+    pub fn set_demand(&mut self, demand: MeasuredDemand) {
         self.demand = demand;
     }
 
     /// The orders that should be sent now for `busy` servers: reclaimable ones first, and with their answers
     /// the others at the next call.
-    pub fn due(
+    pub fn due_orders(
         &mut self,
         scaling: &Scaling,
         busy: f64,
-        present: &IndexMap<DataCentreName, Present>,
+        present: &IndexMap<DataCentreName, ServerCounts>,
         now: TimePoint,
     ) -> Vec<Order> {
         self.seen.clone_from(present);
@@ -252,7 +252,7 @@
         };
         // Nothing is given back before everything was seen: what looks superfluous may be all there is.
         let wanted = wanted.into_iter().filter(|it| !(is_new && is_fewer(it)));
-        let started = scaling.boot + LISTING_TIME;
+        let started = scaling.boot_time + LISTING_TIME;
         let due: Vec<_> = wanted.filter(|it| self.is_due(it, started, now)).collect();
         // On-demand servers stand in for reclaimable ones that can't be had: that is known by the answers.
         let (reclaimable, on_demand): (Vec<_>, Vec<_>) =
@@ -284,7 +284,7 @@
             sent.map_or_else(|| self.there(centre, ServerKind::OnDemand), |it| it.count)
         };
         let now_ordered: u32 = self.seen.keys().map(ordered).sum();
-        let is_idle = self.demand.is_none();
+        let is_idle = self.demand.has_no_observations();
         let mut wanted = if is_idle { least } else { now_ordered.clamp(least, most) };
         let all_wanted = wanted;
         let mut cheapest: Vec<_> = self.seen.keys().collect();
@@ -319,7 +319,7 @@
     }
 
     /// Notes an order that was sent.
-    pub fn sent(&mut self, order: &Order, outcome: OrderOutcome, now: TimePoint) {
+    pub fn record_order(&mut self, order: &Order, outcome: OrderOutcome, now: TimePoint) {
         let there = self.there(&order.data_centre, order.kind);
         let sent = Sent { count: order.count, there, at: now, outcome };
         self.sent.insert((order.data_centre.clone(), order.kind), sent);
@@ -338,7 +338,7 @@
     /// start too: where there are fewer than at the order, none are awaited.
     fn coming(&self, centre: &DataCentreName, scaling: &Scaling, now: TimePoint) -> u32 {
         let sent = self.sent.get(&(centre.clone(), ServerKind::Reclaimable));
-        let started = scaling.boot + LISTING_TIME;
+        let started = scaling.boot_time + LISTING_TIME;
         let there = self.there(centre, ServerKind::Reclaimable);
         sent.filter(|it| it.outcome == OrderOutcome::Taken && now.since(it.at) < started)
             .filter(|it| there >= it.there)
--- a/crates/quincevalve_forwarding/src/placement.rs
+++ b/crates/quincevalve_forwarding/src/placement.rs
@@ -20,7 +20,7 @@
     /// Prompt tokens.
     pub input: u32,
     /// Tokens generated at most.
-    pub output: u32,
+    pub max_output: u32,
     /// Tokens that will be generated, as the caller guesses.
     pub expected_output: Option<u32>,
     /// The last part of the prompt that other requests share, and the tokens up to its end.
@@ -30,11 +30,11 @@
 impl Prompt {
     /// Tokens that will be generated, as far as can be told.
     fn output_tokens(&self) -> u32 {
-        self.expected_output.unwrap_or(self.output / 2).min(self.output)
+        self.expected_output.unwrap_or(self.max_output / 2).min(self.max_output)
     }
 
     /// The work that it usually is: its shared part is in memory at the server that it has affinity to, and elsewhere it isn't.
-    pub fn usual_work(&self) -> Work {
+    pub fn expected_work(&self) -> Work {
         let kept = self.shared.map_or(0, |(_, tokens)| (f64::from(tokens) * USUALLY_KEPT) as u32);
         let output = self.output_tokens();
         Work {
@@ -48,7 +48,7 @@
 
 /// A request that needs a server.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask<'a> {
+pub struct PlacementRequest<'a> {
     /// The service that it goes to.
     pub service: &'a ServiceName,
     /// What it asks, if the service's servers are model engines.
@@ -56,16 +56,16 @@
     /// Urgency, 0 first.
     pub urgency: u8,
     /// The time in which the first answer should come.
-    pub within: Duration,
+    pub latency_budget: Duration,
     /// Where this entry VM stands.
     pub data_centre: &'a DataCentreName,
     /// Servers that have had the request.
-    pub had: &'a [BackendServerName],
+    pub tried: &'a [BackendServerName],
     /// The servers that it may go to, where their versions differ.
     pub scope: Option<&'a VersionScope>,
 }
 
-impl Ask<'_> {
+impl PlacementRequest<'_> {
     fn admits(&self, name: &BackendServerName, server: &Server) -> bool {
         self.scope.is_none_or(|it| it.admits(name, &server.entry))
     }
@@ -87,18 +87,18 @@
     /// When the first answer is expected, from now.
     pub predicted: Duration,
     /// The same of a server without a record; `None` while it is slow after its start.
-    pub expected: Option<Duration>,
+    pub baseline: Option<Duration>,
     /// The work that the server had, as far as known.
-    pub seen: WorkSum,
+    pub known_load: WorkSum,
     /// How long ago others told their part of it.
-    pub told_age: Duration,
+    pub peer_report_age: Duration,
     /// For how long the server's entry has been missing; `None` while it is listed.
     pub unlisted_for: Option<Duration>,
 }
 
 /// Why there is no server for a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum NoPlace {
+pub enum PlacementError {
     /// No server of the service is known to live.
     NoServer,
     /// All are too busy; the nearest could answer so long from now.
@@ -162,7 +162,12 @@
     /// Load: many entry VMs, stale views of each other's work, prompts that share long beginnings. The
     /// server that comes first in rendezvous order for the shared part is taken to hold it, so each shared
     /// part is read on few servers, and hot ones spill to the next by their queue alone.
-    pub fn place<R>(&self, ask: &Ask<'_>, rng: &mut R, now: TimePoint) -> Result<Placement, NoPlace>
+    pub fn place<R>(
+        &self,
+        ask: &PlacementRequest<'_>,
+        rng: &mut R,
+        now: TimePoint,
+    ) -> Result<Placement, PlacementError>
     where
         R: Rng,
     {
@@ -185,7 +190,7 @@
 
 impl ServerTable {
     /// Why there is no server where each of them is under a restraint.
-    fn held_back(&self, restraints: impl Iterator<Item = Restraint>) -> NoPlace {
+    fn held_back(&self, restraints: impl Iterator<Item = Restraint>) -> PlacementError {
         let (mut limits, mut rest) = (Vec::new(), Duration::MAX);
         for restraint in restraints {
             match restraint {
@@ -194,20 +199,20 @@
             }
         }
         if limits.is_empty() {
-            NoPlace::Resting { wait: rest }
+            PlacementError::Resting { wait: rest }
         } else {
-            NoPlace::Limited { wait: self.wait_for_allowance(&limits) }
+            PlacementError::Limited { wait: self.wait_for_allowance(&limits) }
         }
     }
 }
 
 fn best_of<R>(
-    ask: &Ask<'_>,
+    ask: &PlacementRequest<'_>,
     usable: &[(&BackendServerName, &Server)],
     candidates: &[usize],
     rng: &mut R,
     now: TimePoint,
-) -> Result<Placement, NoPlace>
+) -> Result<Placement, PlacementError>
 where
     R: Rng,
 {
@@ -217,7 +222,7 @@
     let mut nearest: Option<Duration> = None;
     for at in candidates {
         let (name, server) = usable[*at];
-        if ask.had.contains(name) || (reachable && server.load.is_paused(now)) {
+        if ask.tried.contains(name) || (reachable && server.load.is_paused(now)) {
             continue;
         }
         let affinity = preferred.iter().position(|it| it == at);
@@ -226,11 +231,11 @@
             predict(ask, server, rank, now);
         let predicted = Duration::from_secs_f64(predicted_ms / 1_000.0);
         nearest = Some(nearest.map_or(predicted, |it| it.min(predicted)));
-        if !room || predicted > ask.within {
+        if !room || predicted > ask.latency_budget {
             continue;
         }
         let mut cost = predicted_ms * (1.0 + JITTER * rng.random::<f64>());
-        cost += FAILING_MS * server.load.failing();
+        cost += FAILING_MS * server.load.failure_rate();
         cost += READING_MS * reading * reading;
         cost += SLOTS_MS * slots.powi(3);
         cost += READ_AGAIN_MS * read_again(ask, rank) / 1_000.0;
@@ -238,8 +243,8 @@
             cost += if ask.prompt.is_some() { OTHER_DATA_CENTRE_MS } else { CALL_ACROSS_MS };
         }
         if best.as_ref().is_none_or(|(least, _)| cost < *least) {
-            let seen = server.load.total(now);
-            let told_age = server.load.told_age(now);
+            let seen = server.load.total_work(now);
+            let told_age = server.load.peer_report_age(now);
             let unlisted_for = server.unlisted_for(now);
             let expected = Duration::from_secs_f64(expected_ms / 1_000.0);
             let place = Placement {
@@ -249,9 +254,9 @@
                 work,
                 affinity,
                 predicted,
-                expected: (!server.entry.is_cold).then_some(expected),
-                seen,
-                told_age,
+                baseline: (!server.entry.is_cold).then_some(expected),
+                known_load: seen,
+                peer_report_age: told_age,
                 unlisted_for,
             };
             best = Some((cost, place));
@@ -259,8 +264,8 @@
     }
     match (best, nearest) {
         (Some((_, placement)), _) => Ok(placement),
-        (None, Some(predicted)) => Err(NoPlace::Busy { predicted }),
-        (None, None) => Err(NoPlace::NoServer),
+        (None, Some(predicted)) => Err(PlacementError::Busy { predicted }),
+        (None, None) => Err(PlacementError::NoServer),
     }
 }
 
@@ -270,7 +275,11 @@
 /// newest requests all of them send theirs there. Symptom: one server gets several times what it was
 /// told to run, and first tokens are late while others idle. Each request therefore looks at a few
 /// servers of its own choice, beside those that keep its prompt's shared part.
-fn candidates<R>(ask: &Ask<'_>, usable: &[(&BackendServerName, &Server)], rng: &mut R) -> Vec<usize>
+fn candidates<R>(
+    ask: &PlacementRequest<'_>,
+    usable: &[(&BackendServerName, &Server)],
+    rng: &mut R,
+) -> Vec<usize>
 where
     R: Rng,
 {
@@ -289,7 +298,10 @@
 
 /// The servers that come first in order for a prompt's shared part, best first. A server that starts again keeps none of
 /// its prompts and takes another place in the order.
-fn affinity_servers(ask: &Ask<'_>, usable: &[(&BackendServerName, &Server)]) -> Vec<usize> {
+fn affinity_servers(
+    ask: &PlacementRequest<'_>,
+    usable: &[(&BackendServerName, &Server)],
+) -> Vec<usize> {
     let Some((part, _)) = ask.prompt.and_then(|(prompt, _)| prompt.shared) else {
         return Vec::new();
     };
@@ -307,7 +319,7 @@
 
 /// Tokens that a server would read although another keeps them, as they weigh. The second in order is where a
 /// hot part spills over, and often keeps it too.
-fn read_again(ask: &Ask<'_>, rank: usize) -> f64 {
+fn read_again(ask: &PlacementRequest<'_>, rank: usize) -> f64 {
     let shared = ask.prompt.and_then(|(prompt, _)| prompt.shared);
     let weight = if rank == 0 {
         0.0
@@ -334,11 +346,11 @@
     slots: f64,
 }
 
-fn predict(ask: &Ask<'_>, server: &Server, rank: usize, now: TimePoint) -> Prediction {
-    let load = server.load.total(now);
+fn predict(ask: &PlacementRequest<'_>, server: &Server, rank: usize, now: TimePoint) -> Prediction {
+    let load = server.load.total_work(now);
     let Some((prompt, engine)) = ask.prompt else {
         let slots = f64::from(server.entry.slots.max(1));
-        let each = server.load.answer_ms().max(CALL_MS);
+        let each = server.load.mean_answer_ms().max(CALL_MS);
         // Work beyond the slots waits for one of them to come free.
         let queued = (f64::from(load.requests) + 1.0 - slots).max(0.0);
         let spread = f64::from(load.requests) / slots;
@@ -349,7 +361,7 @@
     };
     let is_cold = ask.scope.is_some_and(VersionScope::is_cold);
     let kept = prompt.shared.map_or(0, |(_, tokens)| match rank {
-        0 if !is_cold => (f64::from(tokens) * server.load.warmth(now)) as u32,
+        0 if !is_cold => (f64::from(tokens) * server.load.cache_warmth(now)) as u32,
         _ => 0,
     });
     let prefill = prompt.input.saturating_sub(kept);
@@ -363,7 +375,7 @@
     let ms = expected_ms * server.load.slowness();
     let memory_left = engine.kv_tokens as f64 * MEMORY_PART - load.memory as f64;
     let slots = f64::from(load.requests) / f64::from(engine.slots.max(1));
-    let reading = server.load.reading_part(&load);
+    let reading = server.load.prefill_utilization(&load);
     let own_part = f64::from(prefill) / PREFILL_PER_MS / 1_000.0;
     let most = READING_PART[usize::from(ask.urgency).min(READING_PART.len() - 1)];
     let room = slots < SLOT_PART
--- a/crates/quincevalve_forwarding/src/quota.rs
+++ b/crates/quincevalve_forwarding/src/quota.rs
@@ -15,7 +15,7 @@
     match (quota.unit, tokens) {
         (QuotaUnit::Requests, _) => 1.0,
         (QuotaUnit::Tokens { .. }, Some((prompt, most))) => f64::from(prompt) + f64::from(most),
-        (QuotaUnit::Tokens { unsized_request }, None) => f64::from(unsized_request),
+        (QuotaUnit::Tokens { default_tokens }, None) => f64::from(default_tokens),
     }
 }
 
--- a/crates/quincevalve_forwarding/src/rollout/book/state.rs
+++ b/crates/quincevalve_forwarding/src/rollout/book/state.rs
@@ -248,7 +248,7 @@
         let Some(to) = self.to() else { return 0 };
         let of_service = servers.all().filter(|(_, it)| it.entry.service == *service);
         let old = of_service.filter(|(_, it)| it.entry.version != *to);
-        old.map(|(_, it)| it.load.own(now).requests).sum()
+        old.map(|(_, it)| it.load.own_work(now).requests).sum()
     }
 
     /// Whether this VM sends nothing to the old version any more.
--- a/crates/quincevalve_forwarding/src/servers.rs
+++ b/crates/quincevalve_forwarding/src/servers.rs
@@ -411,7 +411,7 @@
         now: TimePoint,
     ) -> Vec<(BackendServerName, ServerStart)> {
         let Some(server) = self.get_mut(name, start) else { return Vec::new() };
-        server.load.unreachable(now);
+        server.load.record_unreachable(now);
         let centre = server.entry.data_centre.clone();
         let lately = self.unreached.entry(centre.clone()).or_default();
         lately.retain(|(at, it)| now.since(*at) <= UNREACHED_WITHIN && it != name);
@@ -422,7 +422,7 @@
         let mut out_of_reach = Vec::new();
         for (name, server) in &mut self.servers {
             if server.entry.data_centre == centre {
-                server.load.full(CENTRE_PAUSE, now);
+                server.load.pause(CENTRE_PAUSE, now);
                 out_of_reach.push((name.clone(), server.entry.start));
             }
         }
@@ -596,15 +596,15 @@
     /// This VM's own work at servers, for its peers.
     pub fn own_work(&self, now: TimePoint) -> Works {
         let busy = self.servers.values().filter(|it| it.load.has_work());
-        let work = busy.map(|it| (it.hash, it.load.own(now)));
-        work.filter(|(_, it)| it.matters()).collect()
+        let work = busy.map(|it| (it.hash, it.load.own_work(now)));
+        work.filter(|(_, it)| it.is_significant()).collect()
     }
 
     /// Takes the work of all other VMs; servers that aren't named have none that matters.
     pub fn set_others(&mut self, works: &Works, now: TimePoint) {
         for server in self.servers.values_mut() {
             let work = works.get(&server.hash).copied().unwrap_or_default();
-            server.load.set_others(work, now);
+            server.load.set_peer_work(work, now);
         }
     }
 
--- a/crates/quincevalve_forwarding/src/sums.rs
+++ b/crates/quincevalve_forwarding/src/sums.rs
@@ -92,7 +92,7 @@
     /// Whether a VM has taken on or ended anything since it told `before`. That what was sent lately fades is no news.
     pub fn has_news_since(&self, before: &Self) -> bool {
         let is_same = |(server, work): (&u64, &WorkSum)| {
-            before.works.get(server).is_some_and(|it| it.is_same_but_faded(*work))
+            before.works.get(server).is_some_and(|it| it.differs_only_by_decay(*work))
         };
         let has_ended = |(server, work): (&u64, &WorkSum)| {
             work.requests > 0 && !self.works.contains_key(server)
--- a/crates/quincevalve_forwarding/tests/fleet_size.rs
+++ b/crates/quincevalve_forwarding/tests/fleet_size.rs
@@ -6,7 +6,7 @@
 use quincevalve_forwarding::{
     config::Scaling,
     demand::MeasuredDemand,
-    fleet_size::{FleetPlanner, Order, OrderOutcome, Present, ServerKind},
+    fleet_size::{FleetPlanner, Order, OrderOutcome, ServerCounts, ServerKind},
     load::demand,
     rate::Rate,
     sums::{Share, Sums},
@@ -14,11 +14,11 @@
 use quincevalve_names::{DataCentreName, ServiceName, TimePoint};
 use support::{ms, scaling};
 
-type Fleet = IndexMap<DataCentreName, Present>;
+type Fleet = IndexMap<DataCentreName, ServerCounts>;
 
 fn fleet(reclaimable: [u32; 4], on_demand: [u32; 4]) -> Fleet {
     let counts = reclaimable.into_iter().zip(on_demand);
-    let counts = counts.map(|(reclaimable, on_demand)| Present { reclaimable, on_demand });
+    let counts = counts.map(|(reclaimable, on_demand)| ServerCounts { reclaimable, on_demand });
     ["a", "b", "c", "d"].into_iter().map(Into::into).zip(counts).collect()
 }
 
@@ -37,7 +37,7 @@
 }
 
 fn due(planner: &mut FleetPlanner, busy: f64, fleet: &Fleet, now: TimePoint) -> Vec<Order> {
-    planner.due(&scaling(), busy, fleet, now)
+    planner.due_orders(&scaling(), busy, fleet, now)
 }
 
 /// Sends what is due, reclaimable servers first, and returns all of it.
@@ -48,7 +48,11 @@
         let orders = due(planner, busy, fleet, now);
         for order in &orders {
             let is_reclaimable = order.kind == ServerKind::Reclaimable;
-            planner.sent(order, if is_reclaimable { outcome } else { OrderOutcome::Taken }, now);
+            planner.record_order(
+                order,
+                if is_reclaimable { outcome } else { OrderOutcome::Taken },
+                now,
+            );
         }
         all.extend(orders);
     }
@@ -137,7 +141,7 @@
 fn a_successor_inherits_the_demand() {
     let present = fleet([4; 4], [0; 4]);
     let mut planner = FleetPlanner::new(ms(0));
-    planner.go_on_from(MeasuredDemand::told(3.0));
+    planner.set_demand(MeasuredDemand::from_report(3.0));
     let busy = planner.observe(3.0, 1.0, 9.0, &present, ms(0));
     assert!((busy - 3.0).abs() < 1e-9);
 }
@@ -153,7 +157,7 @@
         measured.observe(3.0, 1.0, ms(second * 1_000));
     }
     let mut planner = FleetPlanner::new(ms(8_000));
-    planner.go_on_from(measured);
+    planner.set_demand(measured);
     let busy = planner.observe(3.0, 1.0, 9.0, &gone, ms(8_100));
     assert!((2.5..=3.1).contains(&busy), "{busy}");
     let on_demand = count(&due(&mut planner, busy, &gone, ms(8_100)), ServerKind::OnDemand);
@@ -166,13 +170,13 @@
 fn a_new_holder_keeps_on_demand_servers_until_those_that_start_serve() {
     let standing_in = fleet([0; 4], [0, 5, 0, 5]);
     let mut planner = FleetPlanner::new(ms(80_000));
-    planner.go_on_from(MeasuredDemand::told(8.0));
+    planner.set_demand(MeasuredDemand::from_report(8.0));
     for order in due(&mut planner, 8.0, &standing_in, ms(90_000)) {
-        planner.sent(&order, OrderOutcome::NoneAvailable, ms(90_000));
+        planner.record_order(&order, OrderOutcome::NoneAvailable, ms(90_000));
     }
     for order in due(&mut planner, 8.0, &standing_in, ms(99_000)) {
         assert_eq!(order.kind, ServerKind::Reclaimable);
-        planner.sent(&order, OrderOutcome::Taken, ms(99_000));
+        planner.record_order(&order, OrderOutcome::Taken, ms(99_000));
     }
     for after in [50, 1_000, 4_000, 6_000] {
         let orders = due(&mut planner, 8.0, &standing_in, ms(99_000 + after));
@@ -189,7 +193,7 @@
 fn a_new_holder_that_has_known_the_servers_for_long_gives_back_soon() {
     let present = fleet([12; 4], [10; 4]);
     let mut planner = FleetPlanner::new(ms(0));
-    planner.go_on_from(MeasuredDemand::told(20.0));
+    planner.set_demand(MeasuredDemand::from_report(20.0));
     let given_back = (60_000..63_000).step_by(500).map(ms).find(|now| {
         let orders = due(&mut planner, 20.0, &present, *now);
         orders.iter().any(|it| it.kind == ServerKind::OnDemand && it.count == 0)
@@ -207,7 +211,7 @@
         let now = ms(99_000 + after);
         let orders = due(planner, 4.0, &standing_in, now);
         for order in orders.iter().filter(|it| it.kind == ServerKind::Reclaimable) {
-            planner.sent(order, OrderOutcome::NoneAvailable, now);
+            planner.record_order(order, OrderOutcome::NoneAvailable, now);
         }
         let orders = due(planner, 4.0, &standing_in, now);
         orders.iter().any(|it| it.kind == ServerKind::OnDemand)
@@ -223,7 +227,7 @@
 fn vms_that_are_heard_one_after_the_other_ask_no_more_than_they_do() {
     let present = fleet([3; 4], [0; 4]);
     let mut planner = FleetPlanner::new(ms(0));
-    planner.go_on_from(MeasuredDemand::told(6.0));
+    planner.set_demand(MeasuredDemand::from_report(6.0));
     for second in 0..20_u64 {
         let mut sums = Sums::default();
         let heard = (second + 1).min(10);
@@ -301,7 +305,7 @@
 fn a_new_holder_gives_reclaimable_servers_back_as_slowly() {
     let present = fleet([5; 4], [0; 4]);
     let mut planner = FleetPlanner::new(ms(0));
-    planner.go_on_from(MeasuredDemand::told(4.0));
+    planner.set_demand(MeasuredDemand::from_report(4.0));
     for second in 0..29 {
         let now = ms(second * 1_000);
         let busy = planner.observe(4.0, 1.0, 0.0, &present, now);
@@ -324,7 +328,7 @@
     let at = |millis: u64| ms(99_000 + millis);
     let refused = due(&mut planner, 8.0, &hit, at(7_000));
     for order in &refused {
-        planner.sent(order, OrderOutcome::NoneAvailable, at(7_000));
+        planner.record_order(order, OrderOutcome::NoneAvailable, at(7_000));
     }
     let orders = due(&mut planner, 8.0, &hit, at(7_000));
     assert!(count(&orders, ServerKind::OnDemand) >= 4, "{orders:?}");
@@ -341,7 +345,7 @@
     let at = |millis: u64| ms(99_000 + millis);
     let standing_in = fleet([0; 4], [0, 6, 0, 6]);
     for order in due(&mut planner, 8.0, &standing_in, at(13_000)) {
-        planner.sent(&order, OrderOutcome::Taken, at(13_000));
+        planner.record_order(&order, OrderOutcome::Taken, at(13_000));
     }
     for after in [13_100, 15_000, 18_000] {
         let orders = due(&mut planner, 8.0, &standing_in, at(after));
@@ -360,7 +364,7 @@
 fn callers_that_come_back_are_not_new_demand() {
     let present = fleet([1; 4], [0; 4]);
     let mut planner = FleetPlanner::new(ms(0));
-    planner.go_on_from(MeasuredDemand::told(4.0));
+    planner.set_demand(MeasuredDemand::from_report(4.0));
     let mut rate = Rate::new(support::millis(1_000), ms(0));
     let mut busy = 0.0;
     // A request each 10 ms that keeps a server busy for 40 ms; every other one is refused, comes back and is served.
@@ -382,7 +386,7 @@
     let orders = due(&mut planner, 5.0, &before, now);
     assert_eq!(count(&orders, ServerKind::Reclaimable), 12);
     for order in &orders {
-        planner.sent(order, outcome, now);
+        planner.record_order(order, outcome, now);
     }
     let present = fleet([3; 4], [0; 4]);
     let later = now + support::millis(after_ms);
@@ -416,6 +420,6 @@
     let only = Scaling { reclaimable_price: None, ..scaling() };
     let present = fleet([0; 4], [3; 4]);
     let (mut planner, now) = planner(5.0, &present);
-    let orders = planner.due(&only, 5.0, &present, now);
+    let orders = planner.due_orders(&only, 5.0, &present, now);
     assert!(orders.iter().all(|it| it.kind == ServerKind::OnDemand && it.count == 2));
 }
--- a/crates/quincevalve_forwarding/tests/leaving.rs
+++ b/crates/quincevalve_forwarding/tests/leaving.rs
@@ -311,12 +311,12 @@
 fn work_of_an_earlier_start_is_not_taken_off_the_new_one() {
     let mut table = ServerTable::default();
     table.listed(&server(0), entry("a"), ms(0));
-    table.get_mut(&server(0), START).unwrap().load.begin(work(), ms(0));
+    table.get_mut(&server(0), START).unwrap().load.add_request(work(), ms(0));
     table.listed(&server(0), started_again("a", 2), ms(100));
-    assert_eq!(table.get(&server(0)).unwrap().load.total(ms(100)).requests, 0);
-    table.get_mut(&server(0), ServerStart(2)).unwrap().load.begin(work(), ms(100));
+    assert_eq!(table.get(&server(0)).unwrap().load.total_work(ms(100)).requests, 0);
+    table.get_mut(&server(0), ServerStart(2)).unwrap().load.add_request(work(), ms(100));
     assert!(table.get_mut(&server(0), START).is_none());
-    assert_eq!(table.get(&server(0)).unwrap().load.total(ms(100)).requests, 1);
+    assert_eq!(table.get(&server(0)).unwrap().load.total_work(ms(100)).requests, 1);
 }
 
 // Another writer spoils a server's entry. Nothing new is sent there, what runs there isn't moved away, and the server
--- a/crates/quincevalve_forwarding/tests/placement.rs
+++ b/crates/quincevalve_forwarding/tests/placement.rs
@@ -6,7 +6,7 @@
 
 use quincevalve_forwarding::{
     load::{Work, WorkSum},
-    placement::{NoPlace, Placement},
+    placement::{Placement, PlacementError},
     servers::ServerTable,
 };
 use quincevalve_names::{BackendServerName, TimePoint};
@@ -18,26 +18,26 @@
     Pcg64Mcg::seed_from_u64(1)
 }
 
-fn place(table: &ServerTable, asking: &Asking) -> Result<Placement, NoPlace> {
+fn place(table: &ServerTable, asking: &Asking) -> Result<Placement, PlacementError> {
     table.place(&asking.ask(), &mut rng(), ms(0))
 }
 
 fn load(table: &mut ServerTable, at: usize, prefill: u32, count: u32) {
     let server = table.get_mut(&server(at), START).expect("a server of the table");
     for _ in 0..count {
-        server.load.begin(Work { prefill, memory: prefill, output: 100, urgency: 1 }, ms(0));
+        server.load.add_request(Work { prefill, memory: prefill, output: 100, urgency: 1 }, ms(0));
     }
 }
 
 #[test]
 fn without_servers_there_is_no_place() {
-    assert_eq!(place(&ServerTable::default(), &Asking::default()), Err(NoPlace::NoServer));
+    assert_eq!(place(&ServerTable::default(), &Asking::default()), Err(PlacementError::NoServer));
 }
 
 #[test]
 fn a_server_that_had_the_request_does_not_get_it_again() {
     let asking = Asking { had: vec![server(0)], ..Asking::default() };
-    assert_eq!(place(&table(1), &asking), Err(NoPlace::NoServer));
+    assert_eq!(place(&table(1), &asking), Err(PlacementError::NoServer));
     assert_eq!(place(&table(2), &asking).unwrap().server, server(1));
 }
 
@@ -55,15 +55,16 @@
     let mut table = table(1);
     load(&mut table, 0, 12_000, 5);
     let asking = Asking { within: millis(300), ..Asking::default() };
-    let Err(NoPlace::Busy { predicted }) = place(&table, &asking) else { panic!("a place") };
+    let Err(PlacementError::Busy { predicted }) = place(&table, &asking) else { panic!("a place") };
     assert!(predicted > millis(500), "{predicted:?}");
 }
 
 #[test]
 fn work_that_others_told_counts() {
     let mut table = table(2);
-    let others = WorkSum { requests: 9, prefill: 60_000, recent: 60_000, ..WorkSum::default() };
-    table.get_mut(&server(0), START).unwrap().load.set_others(others, ms(0));
+    let others =
+        WorkSum { requests: 9, prefill: 60_000, recent_prefill: 60_000, ..WorkSum::default() };
+    table.get_mut(&server(0), START).unwrap().load.set_peer_work(others, ms(0));
     assert_eq!(place(&table, &Asking::default()).unwrap().server, server(1));
 }
 
@@ -74,7 +75,7 @@
     let urgent = Asking { urgency: 0, within: millis(400), ..Asking::default() };
     let other = Asking { urgency: 1, within: millis(400), ..Asking::default() };
     assert!(place(&table, &urgent).is_ok());
-    assert!(matches!(place(&table, &other), Err(NoPlace::Busy { .. })));
+    assert!(matches!(place(&table, &other), Err(PlacementError::Busy { .. })));
 }
 
 // Long answers die at their deadlines though their first tokens came in time: the engine read prompts all
@@ -86,10 +87,10 @@
     let server = table.get_mut(&server(0), START).unwrap();
     for _ in 0..10 {
         let work = Work { prefill: 9_500, memory: 9_500, output: 100, urgency: 1 };
-        server.load.begin(work, ms(0));
-        server.load.prefilled(work);
+        server.load.add_request(work, ms(0));
+        server.load.complete_prefill(work);
     }
-    assert!(matches!(place(&table, &Asking::default()), Err(NoPlace::Busy { .. })));
+    assert!(matches!(place(&table, &Asking::default()), Err(PlacementError::Busy { .. })));
     let later = ms(1_000);
     let placed = table.place(&Asking::default().ask(), &mut rng(), later);
     assert!(placed.is_ok());
@@ -99,7 +100,7 @@
 fn an_engine_without_free_slots_gets_nothing() {
     let mut table = table(1);
     load(&mut table, 0, 1, 122);
-    assert!(matches!(place(&table, &Asking::default()), Err(NoPlace::Busy { .. })));
+    assert!(matches!(place(&table, &Asking::default()), Err(PlacementError::Busy { .. })));
 }
 
 #[test]
@@ -107,9 +108,9 @@
     let mut table = table(1);
     let server = table.get_mut(&server(0), START).unwrap();
     let work = Work { prefill: 0, memory: 340_000, output: 100, urgency: 1 };
-    server.load.begin(work, ms(0));
-    server.load.begin(work, ms(0));
-    assert!(matches!(place(&table, &Asking::default()), Err(NoPlace::Busy { .. })));
+    server.load.add_request(work, ms(0));
+    server.load.add_request(work, ms(0));
+    assert!(matches!(place(&table, &Asking::default()), Err(PlacementError::Busy { .. })));
 }
 
 /// Places requests about `subjects` shared parts on 12 idle servers, and counts servers by part.
@@ -156,7 +157,7 @@
 #[test]
 fn a_paused_server_is_avoided_while_another_is_there() {
     let mut table = table(2);
-    table.get_mut(&server(0), START).unwrap().load.unreachable(TimePoint::ZERO);
+    table.get_mut(&server(0), START).unwrap().load.record_unreachable(TimePoint::ZERO);
     for seed in 0..20 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let placed = table.place(&Asking::default().ask(), &mut rng, ms(0)).unwrap();
@@ -167,7 +168,7 @@
 #[test]
 fn a_paused_server_is_better_than_none() {
     let mut table = table(1);
-    table.get_mut(&server(0), START).unwrap().load.unreachable(TimePoint::ZERO);
+    table.get_mut(&server(0), START).unwrap().load.record_unreachable(TimePoint::ZERO);
     assert!(place(&table, &Asking::default()).is_ok());
 }
 
@@ -207,12 +208,12 @@
 fn pauses_grow_and_end() {
     let mut table = table(1);
     let load = &mut table.get_mut(&server(0), START).unwrap().load;
-    load.unreachable(ms(0));
+    load.record_unreachable(ms(0));
     assert!(load.is_paused(ms(399)) && !load.is_paused(ms(400)));
-    load.unreachable(ms(1_000));
+    load.record_unreachable(ms(1_000));
     assert!(load.is_paused(ms(1_799)) && !load.is_paused(ms(1_800)));
-    load.answered(millis(10), millis(10));
-    load.unreachable(ms(5_000));
+    load.record_answer(millis(10), millis(10));
+    load.record_unreachable(ms(5_000));
     assert!(!load.is_paused(ms(5_400)));
 }
 
@@ -220,7 +221,7 @@
 fn a_server_that_fails_lately_is_put_back() {
     let mut table = table(2);
     for _ in 0..10 {
-        table.get_mut(&server(0), START).unwrap().load.failed();
+        table.get_mut(&server(0), START).unwrap().load.record_failure();
     }
     assert_eq!(place(&table, &Asking::default()).unwrap().server, server(1));
 }
@@ -229,7 +230,7 @@
 fn a_slow_server_is_put_back() {
     let mut table = table(2);
     for _ in 0..20 {
-        table.get_mut(&server(0), START).unwrap().load.answered(millis(800), millis(100));
+        table.get_mut(&server(0), START).unwrap().load.record_answer(millis(800), millis(100));
     }
     assert_eq!(place(&table, &Asking::default()).unwrap().server, server(1));
 }
@@ -263,8 +264,8 @@
     assert_eq!(cold, 17_000);
     assert!(cold_ms > 170, "{cold_ms}");
     let load = &mut table.get_mut(&server(0), START).unwrap().load;
-    load.set_others(WorkSum { requests: 1, ..WorkSum::default() }, ms(0));
-    load.set_others(WorkSum::default(), ms(100));
+    load.set_peer_work(WorkSum { requests: 1, ..WorkSum::default() }, ms(0));
+    load.set_peer_work(WorkSum::default(), ms(100));
     let (_, warming) = predicted(&table, ms(2_000));
     assert!((9_000..12_000).contains(&warming), "{warming}");
     let (warm_ms, warm) = predicted(&table, ms(20_000));
--- a/crates/quincevalve_forwarding/tests/restraints.rs
+++ b/crates/quincevalve_forwarding/tests/restraints.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 use quincevalve_forwarding::{
     allowance::Allowance,
-    placement::NoPlace,
+    placement::PlacementError,
     server_signals::{RequestRate, ServerSignals},
     servers::{Server, ServerTable},
     shared_limit::Seat,
@@ -124,7 +124,7 @@
     server_0_names(&mut table, Some(4.0));
     assert!(placed_on_0(&mut table, 100, ms(0)) <= 4);
     let refused = table.place(&Asking::default().ask(), &mut Pcg64Mcg::seed_from_u64(1), ms(0));
-    assert_eq!(refused, Err(NoPlace::Limited { wait: millis(500) }));
+    assert_eq!(refused, Err(PlacementError::Limited { wait: millis(500) }));
 }
 
 #[test]
@@ -141,7 +141,7 @@
     table.get_mut(&server(at), START).expect("listed").rests(millis(rest), ms(now));
 }
 
-fn place(table: &ServerTable, now: u64) -> Result<usize, NoPlace> {
+fn place(table: &ServerTable, now: u64) -> Result<usize, PlacementError> {
     let place = table.place(&Asking::default().ask(), &mut Pcg64Mcg::seed_from_u64(1), ms(now));
     place.map(|it| usize::from(it.server != server(0)))
 }
@@ -163,7 +163,7 @@
     let mut table = table(1);
     rests(&mut table, 0, 3_000, 0);
     rests(&mut table, 0, 200, 1_000);
-    assert_eq!(place(&table, 2_000), Err(NoPlace::Resting { wait: millis(1_000) }));
+    assert_eq!(place(&table, 2_000), Err(PlacementError::Resting { wait: millis(1_000) }));
 }
 
 #[test]
@@ -171,7 +171,7 @@
     let mut table = table(2);
     rests(&mut table, 0, 3_000, 0);
     rests(&mut table, 1, 1_000, 0);
-    assert_eq!(place(&table, 400), Err(NoPlace::Resting { wait: millis(600) }));
+    assert_eq!(place(&table, 400), Err(PlacementError::Resting { wait: millis(600) }));
 }
 
 #[test]
--- a/crates/quincevalve_forwarding/tests/rollout.rs
+++ b/crates/quincevalve_forwarding/tests/rollout.rs
@@ -590,7 +590,11 @@
     book.record_listed(&service(), promoting(&order(5, "v2", 60)), ms(100));
     book.refresh(&service(), &table, &AROUND, ms(110));
     for at in [0, 4] {
-        table.get_mut(&server(at), START).expect("a server").load.begin(Work::default(), ms(120));
+        table
+            .get_mut(&server(at), START)
+            .expect("a server")
+            .load
+            .add_request(Work::default(), ms(120));
     }
     let shares = book.shares(&table, ms(120));
     assert_eq!(shares[&service()].old_runs, 1);
--- a/crates/quincevalve_forwarding/tests/rollout_world/world.rs
+++ b/crates/quincevalve_forwarding/tests/rollout_world/world.rs
@@ -606,7 +606,7 @@
             vm.book.ended(ticket);
         }
         if let Some(it) = vm.table.get_mut(&self.servers[run.server].name, START) {
-            it.load.end(run.work);
+            it.load.remove_request(run.work);
         }
     }
 
@@ -651,7 +651,7 @@
         self.servers[server].running += 1;
         let name = &self.servers[server].name;
         if let Some(it) = self.vms[vm].table.get_mut(name, START) {
-            it.load.begin(work, at(self.now));
+            it.load.add_request(work, at(self.now));
         }
     }
 
--- a/crates/quincevalve_forwarding/tests/signals_world/world.rs
+++ b/crates/quincevalve_forwarding/tests/signals_world/world.rs
@@ -4,7 +4,7 @@
 
 use quincevalve_forwarding::{
     config::Engine,
-    placement::{Ask, Prompt},
+    placement::{PlacementRequest, Prompt},
     server_signals::{RequestRate, ServerSignals, ToldSignals},
     servers::{ServerEntry, ServerStart, ServerTable},
     shared_limit::Seat,
@@ -525,15 +525,15 @@
         let service: ServiceName = "engines".into();
         let data_centre: DataCentreName = "a".into();
         let shared = Some((self.rng.random_range(0..SHARED), 800));
-        let prompt = Prompt { input: 1_000, output: 100, expected_output: None, shared };
-        let engine = Engine { slots: 128, kv_tokens: 800_000, moves: true };
-        let ask = Ask {
+        let prompt = Prompt { input: 1_000, max_output: 100, expected_output: None, shared };
+        let engine = Engine { slots: 128, kv_tokens: 800_000, supports_migration: true };
+        let ask = PlacementRequest {
             service: &service,
             prompt: Some((prompt, engine)),
             urgency: 1,
-            within: Duration::from_millis(800),
+            latency_budget: Duration::from_millis(800),
             data_centre: &data_centre,
-            had: &[],
+            tried: &[],
             scope: None,
         };
         let now = at(self.now);
--- a/crates/quincevalve_forwarding/tests/sums.rs
+++ b/crates/quincevalve_forwarding/tests/sums.rs
@@ -19,7 +19,7 @@
             prefill,
             urgent_prefill,
             memory,
-            recent,
+            recent_prefill: recent,
         },
     )
 }
@@ -98,7 +98,7 @@
         prefill: it * 37 % 9_000,
         urgent_prefill: it * 11 % 2_000,
         memory: it * 97 % 60_000,
-        recent: it * 131 % 20_000,
+        recent_prefill: it * 131 % 20_000,
     };
     let works = (0..servers).map(|it| (hash_text(&it.to_string()), work(it))).collect();
     Share { works, ..Share::default() }
@@ -151,7 +151,8 @@
 // A request begins or ends, and the others hear of it a second late.
 #[test]
 fn what_begins_and_ends_is_news() {
-    let work = |requests, recent| WorkSum { requests, recent, ..WorkSum::default() };
+    let work =
+        |requests, recent| WorkSum { requests, recent_prefill: recent, ..WorkSum::default() };
     let share = |works: &[(u64, WorkSum)]| Share {
         works: works.iter().copied().collect(),
         ..Share::default()
--- a/crates/quincevalve_forwarding/tests/support/mod.rs
+++ b/crates/quincevalve_forwarding/tests/support/mod.rs
@@ -6,10 +6,10 @@
 use indexmap::IndexMap;
 use quincevalve_forwarding::{
     config::{
-        Account, CallerLimits, Engine, ForwardingConfig, Quota, QuotaUnit, Repeat, Route, Scaling,
-        Service, Target,
+        Account, CallerLimits, Engine, ForwardingConfig, Quota, QuotaUnit, RetrySafety, Route,
+        Scaling, Service, Target,
     },
-    placement::{Ask, Prompt},
+    placement::{PlacementRequest, Prompt},
     servers::{ServerEntry, ServerStart, ServerTable},
 };
 use quincevalve_names::{BackendServerName, DataCentreName, ServiceName, TimePoint};
@@ -39,8 +39,8 @@
     CallerLimits {
         head_bytes: 16 << 10,
         body_bytes: 4 << 20,
-        head_time: millis(3_000),
-        idle_time: millis(15_000),
+        head_timeout: millis(3_000),
+        idle_timeout: millis(15_000),
     }
 }
 
@@ -50,7 +50,7 @@
         host: host.to_owned(),
         prefix: prefix.to_owned(),
         targets: vec![Target { service: "engines".into(), weight: 1 }],
-        repeat: Repeat::NonIdempotent,
+        retry_safety: RetrySafety::NonIdempotent,
         timeout: millis(1_000),
         objective: millis(200),
         max_servers: 1,
@@ -68,11 +68,11 @@
 }
 
 pub fn quota(per_second: f64, burst: f64) -> Quota {
-    Quota { per_second, burst, unit: QuotaUnit::Tokens { unsized_request: 200 } }
+    Quota { per_second, burst, unit: QuotaUnit::Tokens { default_tokens: 200 } }
 }
 
 pub fn engine() -> Engine {
-    Engine { slots: 128, kv_tokens: 800_000, moves: true }
+    Engine { slots: 128, kv_tokens: 800_000, supports_migration: true }
 }
 
 pub fn scaling() -> Scaling {
@@ -81,7 +81,7 @@
     Scaling {
         min: 1,
         max: 6,
-        boot: millis(4_000),
+        boot_time: millis(4_000),
         reclaimable_price: Some(0.18),
         prices: centres.iter().zip(prices).map(|(it, price)| ((*it).into(), price)).collect(),
     }
@@ -123,7 +123,7 @@
 }
 
 pub fn prompt(input: u32, shared: Option<(u64, u32)>) -> Prompt {
-    Prompt { input, output: 400, expected_output: None, shared }
+    Prompt { input, max_output: 400, expected_output: None, shared }
 }
 
 /// What a request asks that comes to an entry VM of data centre `a`.
@@ -150,14 +150,14 @@
 }
 
 impl Asking {
-    pub fn ask(&self) -> Ask<'_> {
-        Ask {
+    pub fn ask(&self) -> PlacementRequest<'_> {
+        PlacementRequest {
             service: &self.service,
             prompt: self.prompt.map(|it| (it, engine())),
             urgency: self.urgency,
-            within: self.within,
+            latency_budget: self.within,
             data_centre: &self.data_centre,
-            had: &self.had,
+            tried: &self.had,
             scope: None,
         }
     }
--- a/crates/quincevalve_measure/src/experiments/digests.rs
+++ b/crates/quincevalve_measure/src/experiments/digests.rs
@@ -45,7 +45,7 @@
         prefill: rng.random_range(0..60_000),
         urgent_prefill: rng.random_range(0..4_000),
         memory: rng.random_range(50_000..400_000),
-        recent: rng.random_range(5_000..80_000),
+        recent_prefill: rng.random_range(5_000..80_000),
     };
     let works = (0..servers).map(|_| (rng.random(), work(&mut rng))).collect();
     let account = |at: usize| format!("account-{at}").as_str().into();
--- a/crates/quincevalve_measure/src/experiments/placement.rs
+++ b/crates/quincevalve_measure/src/experiments/placement.rs
@@ -5,7 +5,7 @@
 use quincevalve_forwarding::{
     config::Engine,
     load::WorkSum,
-    placement::{Ask, Prompt},
+    placement::{PlacementRequest, Prompt},
     servers::{ServerEntry, ServerStart, ServerTable},
 };
 use quincevalve_names::{BackendServerName, TimePoint};
@@ -65,23 +65,23 @@
     }
     for (_, server) in servers.all_mut() {
         let requests = rng.random_range(0..12);
-        let work = WorkSum { requests, recent: 30_000, ..WorkSum::default() };
-        server.load.set_others(work, now());
+        let work = WorkSum { requests, recent_prefill: 30_000, ..WorkSum::default() };
+        server.load.set_peer_work(work, now());
     }
     servers
 }
 
 fn place(servers: &ServerTable, rng: &mut Pcg64Mcg) {
     let shared = Some((rng.random_range(0..PARTS), 5_000));
-    let prompt = Prompt { input: 9_000, output: 400, expected_output: None, shared };
-    let engine = Engine { slots: 16, kv_tokens: 545_000, moves: true };
-    let ask = Ask {
+    let prompt = Prompt { input: 9_000, max_output: 400, expected_output: None, shared };
+    let engine = Engine { slots: 16, kv_tokens: 545_000, supports_migration: true };
+    let ask = PlacementRequest {
         service: &"model".into(),
         prompt: Some((prompt, engine)),
         urgency: 1,
-        within: Duration::from_millis(680),
+        latency_budget: Duration::from_millis(680),
         data_centre: &"a".into(),
-        had: &[],
+        tried: &[],
         scope: None,
     };
     std::hint::black_box(servers.place(&ask, rng, now()).is_ok());
@@ -89,6 +89,6 @@
 
 fn take_over(servers: &mut ServerTable) {
     for (_, server) in servers.all_mut() {
-        server.load.set_others(WorkSum::default(), now());
+        server.load.set_peer_work(WorkSum::default(), now());
     }
 }
--- a/crates/quincevalve_node/src/duties/orders.rs
+++ b/crates/quincevalve_node/src/duties/orders.rs
@@ -5,7 +5,8 @@
 use indexmap::IndexMap;
 use quincevalve_forwarding::{
     fleet_size::{
-        FleetPlanner, Order, OrderOutcome, Present, ServerKind, counts_with, expected_busy,
+        FleetPlanner, Order, OrderOutcome, ServerCounts, ServerKind, counts_toward_fleet,
+        expected_demand,
     },
     servers::Server,
 };
@@ -45,7 +46,7 @@
             sleep(PLAN_PERIOD).await;
             continue;
         };
-        let promised = expected_busy(&config);
+        let promised = expected_demand(&config);
         for (name, service) in &config.services {
             let Some(scaling) = &service.scaling else { continue };
             let now = clock::now();
@@ -60,16 +61,16 @@
             let planner =
                 planners.entry(name.clone()).or_insert_with(|| FleetPlanner::new(node.began));
             if let Some(measured) = node.measured.borrow().get(name) {
-                planner.go_on_from(measured.clone());
+                planner.set_demand(measured.clone());
             }
             let present = present(node, name, scaling.prices.keys());
             let part = node.peers.borrow().reachable_part();
             let busy = planner.observe(node.demand_of(name), part, promised, &present, now);
             for _ in 0..KINDS {
-                for order in planner.due(scaling, busy, &present, clock::now()) {
+                for order in planner.due_orders(scaling, busy, &present, clock::now()) {
                     let sent = send_order(node, cloud, name, &order, busy, scaling.max).await;
                     let Some(outcome) = sent else { break };
-                    planner.sent(&order, outcome, clock::now());
+                    planner.record_order(&order, outcome, clock::now());
                 }
             }
         }
@@ -99,8 +100,9 @@
     node: &Node,
     service: &ServiceName,
     centres: impl Iterator<Item = &'a DataCentreName>,
-) -> IndexMap<DataCentreName, Present> {
-    let mut present: IndexMap<_, _> = centres.map(|it| (it.clone(), Present::default())).collect();
+) -> IndexMap<DataCentreName, ServerCounts> {
+    let mut present: IndexMap<_, _> =
+        centres.map(|it| (it.clone(), ServerCounts::default())).collect();
     let servers = node.servers.borrow();
     let usable = servers.usable(service, clock::now());
     for (_, server) in usable.filter(|(_, it)| planned(node, service, it) == Planned::Counted) {
@@ -128,7 +130,7 @@
     if !node.rollouts.borrow().carries_load(service, &server.entry.version) {
         return Planned::OtherVersion;
     }
-    if counts_with(server.limit(), node.busy_each(service)) {
+    if counts_toward_fleet(server.limit(), node.busy_each(service)) {
         Planned::Counted
     } else {
         Planned::Limited
--- a/crates/quincevalve_node/src/duties/reports.rs
+++ b/crates/quincevalve_node/src/duties/reports.rs
@@ -192,7 +192,7 @@
     for (service, busy) in &report.busy {
         let known = measured.entry(service.clone()).or_default();
         if known.measured().is_none() {
-            *known = MeasuredDemand::told(*busy);
+            *known = MeasuredDemand::from_report(*busy);
         }
     }
 }
--- a/crates/quincevalve_node/src/node.rs
+++ b/crates/quincevalve_node/src/node.rs
@@ -222,7 +222,7 @@
     /// caller comes back to another VM.
     pub(crate) fn can_finish(&self, route: &Route) -> bool {
         let Phase::Draining { until } = self.phase.get() else { return true };
-        let needs = if route.repeat.is_stream() { STREAM_TIME } else { route.timeout };
+        let needs = if route.retry_safety.is_stream() { STREAM_TIME } else { route.timeout };
         left(until) >= needs.min(route.timeout)
     }
 
@@ -308,7 +308,7 @@
 
     /// Seconds for which a request of a service keeps a server busy, as seen here lately.
     pub(crate) fn busy_each(&self, service: &ServiceName) -> Option<f64> {
-        self.demand.borrow().get(service)?.busy_each(clock::now())
+        self.demand.borrow().get(service)?.busy_seconds_per_request(clock::now())
     }
 }
 
--- a/crates/quincevalve_node/src/peers/send/tests.rs
+++ b/crates/quincevalve_node/src/peers/send/tests.rs
@@ -22,7 +22,7 @@
 }
 
 fn work(requests: u32) -> WorkSum {
-    WorkSum { requests, prefill: 9_000, urgent_prefill: 900, memory: 50_000, recent: 9_000 }
+    WorkSum { requests, prefill: 9_000, urgent_prefill: 900, memory: 50_000, recent_prefill: 9_000 }
 }
 
 fn share(servers: impl Iterator<Item = u64>) -> Share {
--- a/crates/quincevalve_node/src/request/dispatch.rs
+++ b/crates/quincevalve_node/src/request/dispatch.rs
@@ -4,7 +4,7 @@
 
 use http::Response;
 use http_body_util::{BodyExt, Limited};
-use quincevalve_forwarding::{config::Repeat, placement::Placement};
+use quincevalve_forwarding::{config::RetrySafety, placement::Placement};
 use quincevalve_names::BackendServerName;
 use tokio::time::{Instant, timeout_at};
 
@@ -41,7 +41,7 @@
     loop {
         let found = find_place(node, &req, &had).await;
         if let Some(prompt) = req.prompt.filter(|_| had.is_empty()) {
-            node.note_demand(&req.service, prompt.usual_work(), found.is_ok());
+            node.note_demand(&req.service, prompt.expected_work(), found.is_ok());
         }
         let place = match found {
             Ok(place) => place,
@@ -57,9 +57,9 @@
             node, req,
             server = place.server.as_str(), urgency = req.urgency, version = &place.version,
             affinity = place.affinity.map_or(-1, usize::cast_signed) as i64,
-            predicted_ms = place.predicted.as_millis() as u64, running = place.seen.requests,
-            prefill = place.seen.prefill, recent = place.seen.recent,
-            told_age_ms = place.told_age.as_millis() as u64, unlisted_ms = unlisted_ms(&place),
+            predicted_ms = place.predicted.as_millis() as u64, running = place.known_load.requests,
+            prefill = place.known_load.prefill, recent = place.known_load.recent_prefill,
+            told_age_ms = place.peer_report_age.as_millis() as u64, unlisted_ms = unlisted_ms(&place),
             digest = req.cheap_digest().map_or_else(String::new, |it| it.to_string());
             "placed"
         );
@@ -118,8 +118,8 @@
     runs: u32,
     refusals: usize,
 ) -> bool {
-    let harmless = failed == Failed::NotRun || req.repeat() == Repeat::Idempotent;
-    let starts_again = req.repeat() == Repeat::ResumableStream;
+    let harmless = failed == Failed::NotRun || req.repeat() == RetrySafety::Idempotent;
+    let starts_again = req.repeat() == RetrySafety::ResumableStream;
     (harmless || starts_again)
         && runs < req.route.max_servers
         && refusals < MAX_REFUSALS
@@ -140,7 +140,7 @@
     let status = answer.response.status();
     if !answer.sealed && !status.is_client_error() && !status.is_server_error() {
         log::warn!(id = req.id, server = place.server.as_str(), status = status.as_u16(); "unsealed");
-        about(node, place, |it, _| it.load.failed());
+        about(node, place, |it, _| it.load.record_failure());
         guard.judged(false);
         return Err(Failed::MayHaveRun);
     }
@@ -148,19 +148,19 @@
         guard.judged(false);
     }
     if !answer.sealed || status.is_server_error() {
-        about(node, place, |it, _| it.load.failed());
+        about(node, place, |it, _| it.load.record_failure());
     }
     if !answer.sealed {
         return Err(Failed::MayHaveRun);
     }
     // The server didn't say that it has not run it, and its status would say so to the caller.
-    if promises_not_run(status) && !req.repeat().may_run_again() {
+    if promises_not_run(status) && !req.repeat().is_retryable() {
         guard.judged(false);
         note!(node, req, server = place.server.as_str(), status = status.as_u16(); "server-error");
         return Err(Failed::MayHaveRun);
     }
     let again = status.is_server_error()
-        && req.repeat() == Repeat::Idempotent
+        && req.repeat() == RetrySafety::Idempotent
         && runs + 1 < req.route.max_servers;
     if again {
         note!(node, req, server = place.server.as_str(), status = status.as_u16(); "server-error");
@@ -175,7 +175,7 @@
         Err(_) => return Err(Failed::TimedOut),
         Ok(Err(error)) => {
             log::warn!(id = req.id, server = place.server.as_str(), error:% = error; "answer-broke-off");
-            about(node, place, |it, _| it.load.failed());
+            about(node, place, |it, _| it.load.record_failure());
             connection_broke(node, req, place);
             return Err(Failed::MayHaveRun);
         }
--- a/crates/quincevalve_node/src/request/exchange.rs
+++ b/crates/quincevalve_node/src/request/exchange.rs
@@ -86,7 +86,7 @@
     let sent = connection.sender.try_send_request(outgoing);
     let response = match timeout_at(req.deadline, sent).await {
         Err(_) => {
-            about(node, place, |it, _| it.load.failed());
+            about(node, place, |it, _| it.load.record_failure());
             node.metrics.sending(service, "timed-out");
             return Err(Failed::TimedOut);
         }
@@ -105,7 +105,7 @@
             node.metrics.sending(service, "lost");
             // Other connections of the same age are likely to be gone too.
             node.backends.forget(place);
-            about(node, place, |it, now| it.load.unreachable(now));
+            about(node, place, |it, now| it.load.record_unreachable(now));
             connection_broke(node, req, place);
             return Err(Failed::MayHaveRun);
         }
@@ -147,7 +147,7 @@
             node.servers.borrow_mut().leaves(&place.server, place.start, Leaving::Replaced);
             node.backends.forget(place);
         } else {
-            about(node, place, |it, now| it.load.full(FULL_PAUSE, now));
+            about(node, place, |it, now| it.load.pause(FULL_PAUSE, now));
         }
         node.metrics.sending(req.service.as_str(), "refused");
         return Err(Failed::NotRun);
@@ -205,7 +205,7 @@
 
 /// Takes the time to a first answer into the server's record.
 pub(crate) fn note_answered(node: &Node, place: &Placement, sent: Instant) {
-    about(node, place, |it, _| it.load.answered(sent.elapsed(), place.predicted));
+    about(node, place, |it, _| it.load.record_answer(sent.elapsed(), place.predicted));
 }
 
 /// A server's answer as the caller gets it.
--- a/crates/quincevalve_node/src/request/front.rs
+++ b/crates/quincevalve_node/src/request/front.rs
@@ -77,7 +77,7 @@
         log::debug!(error:% = error; "nodelay-failed");
     }
     let limits = node.config().map(|it| it.limits);
-    let idle_time = limits.map_or(FIRST_IDLE_TIME, |it| it.idle_time) + IDLE_MARGIN;
+    let idle_time = limits.map_or(FIRST_IDLE_TIME, |it| it.idle_timeout) + IDLE_MARGIN;
     let head_bytes = limits.map_or(FIRST_HEAD_BYTES, |it| it.head_bytes).max(LEAST_BUFFER);
     let service = service_fn(|req| handle(node.clone(), req));
     let connection = http1::Builder::new()
--- a/crates/quincevalve_node/src/request/identify.rs
+++ b/crates/quincevalve_node/src/request/identify.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use http::{HeaderMap, HeaderName, HeaderValue, Method, Request, Uri, header};
 use quincevalve_forwarding::{
-    config::{ForwardingConfig, Repeat, Route},
+    config::{ForwardingConfig, RetrySafety, Route},
     placement::Prompt,
     request_digest::RequestDigest,
 };
@@ -45,8 +45,8 @@
 }
 
 impl Identified {
-    pub(crate) fn repeat(&self) -> Repeat {
-        self.route.repeat
+    pub(crate) fn repeat(&self) -> RetrySafety {
+        self.route.retry_safety
     }
 
     /// What it asks for, by whom.
@@ -62,7 +62,7 @@
 
     /// The prompt's tokens and the most that may be generated.
     pub(crate) fn token_counts(&self) -> Option<(u32, u32)> {
-        self.prompt.map(|it| (it.input, it.output))
+        self.prompt.map(|it| (it.input, it.max_output))
     }
 }
 
@@ -135,7 +135,7 @@
     let parts = text(headers, &names.prompt_parts).unwrap_or_default();
     Some(Prompt {
         input: input.trim().parse().ok()?,
-        output: output.trim().parse().ok()?,
+        max_output: output.trim().parse().ok()?,
         expected_output: number(headers, &names.length_hint).map(|it| it as u32),
         shared: last_shared_part(parts),
     })
--- a/crates/quincevalve_node/src/request/placing.rs
+++ b/crates/quincevalve_node/src/request/placing.rs
@@ -4,7 +4,7 @@
 
 use quincevalve_forwarding::{
     load::Work,
-    placement::{Ask, NoPlace, Placement},
+    placement::{Placement, PlacementError, PlacementRequest},
     rollout::{book::Choice, scope::VersionScope},
     servers::ServerStart,
 };
@@ -46,7 +46,7 @@
 
 impl WorkGuard {
     pub(crate) fn new(node: &Rc<Node>, place: &Placement) -> Self {
-        about(node, place, |it, now| it.load.begin(place.work, now));
+        about(node, place, |it, now| it.load.add_request(place.work, now));
         node.note_sent(place);
         let (server, start, work) = (place.server.clone(), place.start, place.work);
         Self { node: node.clone(), server, start, work, reading: true, watched: None }
@@ -77,7 +77,7 @@
         if std::mem::take(&mut self.reading)
             && let Some(server) = self.node.servers.borrow_mut().get_mut(&self.server, self.start)
         {
-            server.load.prefilled(self.work);
+            server.load.complete_prefill(self.work);
         }
     }
 }
@@ -86,7 +86,7 @@
     fn drop(&mut self) {
         self.prefilled();
         if let Some(server) = self.node.servers.borrow_mut().get_mut(&self.server, self.start) {
-            server.load.end(self.work);
+            server.load.remove_request(self.work);
         }
     }
 }
@@ -118,7 +118,7 @@
             Err(lacking) => lacking,
         };
         let next_look = match lacking {
-            NoPlace::Resting { wait } => wait,
+            PlacementError::Resting { wait } => wait,
             _ => WAIT_STEP,
         };
         if Instant::now() + next_look >= waits_until {
@@ -143,26 +143,31 @@
     req: &'a Identified,
     had: &'a [BackendServerName],
     within: Duration,
-) -> Ask<'a> {
+) -> PlacementRequest<'a> {
     let engine = req.config.services.get(&req.service).and_then(|it| it.engine);
-    Ask {
+    PlacementRequest {
         service: &req.service,
         prompt: req.prompt.zip(engine),
         urgency: req.urgency,
-        within,
+        latency_budget: within,
         data_centre: &node.settings.data_centre,
-        had,
+        tried: had,
         scope: None,
     }
 }
 
 /// The best server among those that a request may go to.
-fn place(node: &Node, ask: &Ask<'_>, choice: &Choice) -> Result<Placement, NoPlace> {
+fn place(
+    node: &Node,
+    ask: &PlacementRequest<'_>,
+    choice: &Choice,
+) -> Result<Placement, PlacementError> {
     let now = clock::now();
     let mut servers = node.servers.borrow_mut();
     let mut rng = node.rng.borrow_mut();
-    let mut place_in =
-        |scope: Option<&VersionScope>| servers.place(&Ask { scope, ..*ask }, &mut *rng, now);
+    let mut place_in = |scope: Option<&VersionScope>| {
+        servers.place(&PlacementRequest { scope, ..*ask }, &mut *rng, now)
+    };
     let place = match choice {
         Choice::Any => place_in(None),
         Choice::One(scope) => place_in(Some(scope)),
@@ -172,15 +177,15 @@
     Ok(place)
 }
 
-fn no_place(ask: &Ask<'_>, lacking: NoPlace) -> Refused {
+fn no_place(ask: &PlacementRequest<'_>, lacking: PlacementError) -> Refused {
     match lacking {
-        NoPlace::NoServer => {
+        PlacementError::NoServer => {
             Refused { refusal: Refusal::NoServer, retry_after: Some(RETRY_AFTER.1) }
         }
-        NoPlace::Limited { wait } => held_back(Refusal::Limited, wait),
-        NoPlace::Resting { wait } => held_back(Refusal::Resting, wait),
-        NoPlace::Busy { predicted } => {
-            let excess = predicted.saturating_sub(ask.within);
+        PlacementError::Limited { wait } => held_back(Refusal::Limited, wait),
+        PlacementError::Resting { wait } => held_back(Refusal::Resting, wait),
+        PlacementError::Busy { predicted } => {
+            let excess = predicted.saturating_sub(ask.latency_budget);
             let after = excess.clamp(RETRY_AFTER.0, RETRY_AFTER.1);
             Refused { refusal: Refusal::Busy, retry_after: Some(after) }
         }
--- a/crates/quincevalve_node/src/request/relay.rs
+++ b/crates/quincevalve_node/src/request/relay.rs
@@ -6,7 +6,7 @@
 use http::{HeaderName, HeaderValue, Response};
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
-use quincevalve_forwarding::{config::Repeat, placement::Placement};
+use quincevalve_forwarding::{config::RetrySafety, placement::Placement};
 use tokio::{
     sync::mpsc,
     time::{Instant, sleep_until, timeout_at},
@@ -145,7 +145,7 @@
                     return self.break_off().await;
                 }
                 End::BrokeOff => {
-                    about(&self.node, &source.place, |it, _| it.load.failed());
+                    about(&self.node, &source.place, |it, _| it.load.record_failure());
                     connection_broke(&self.node, &self.req, &source.place);
                     drop(source);
                     let Some(next) = self.resume(&mut servers).await else {
@@ -238,7 +238,7 @@
 
     fn can_move(&self) -> bool {
         let engine = self.req.config.services.get(&self.req.service).and_then(|it| it.engine);
-        engine.is_some_and(|it| it.moves)
+        engine.is_some_and(|it| it.supports_migration)
     }
 
     /// When the stream has to be moved, if its server goes.
@@ -332,7 +332,7 @@
         &mut self,
         servers: &mut Vec<quincevalve_names::BackendServerName>,
     ) -> Option<Source> {
-        if self.req.repeat() != Repeat::ResumableStream {
+        if self.req.repeat() != RetrySafety::ResumableStream {
             return None;
         }
         self.partial.clear();
--- a/crates/quincevalve_node/src/rollouts.rs
+++ b/crates/quincevalve_node/src/rollouts.rs
@@ -152,10 +152,10 @@
             route: RouteKey::of(&req.route.name),
             version: &place.version,
             server: start_hash(&place.server, place.start),
-            expected: place.expected,
+            expected: place.baseline,
         };
         let ticket = book.watch(run, clock::now())?;
-        Some(Self { node: node.clone(), ticket, running: place.seen.requests })
+        Some(Self { node: node.clone(), ticket, running: place.known_load.requests })
     }
 
     /// Notes the first part of its answer.
--- a/crates/quincevalve_node/src/store/config_copy/tests.rs
+++ b/crates/quincevalve_node/src/store/config_copy/tests.rs
@@ -25,8 +25,8 @@
     let limits = CallerLimits {
         head_bytes: 16 << 10,
         body_bytes: 1_000,
-        head_time: Duration::from_secs(3),
-        idle_time: Duration::from_secs(15),
+        head_timeout: Duration::from_secs(3),
+        idle_timeout: Duration::from_secs(15),
     };
     let accounts: IndexMap<_, _> = (0..800).map(account).collect();
     ForwardingConfig::new(version, Vec::new(), IndexMap::new(), accounts, limits)
--- a/crates/quincevalve_node/src/test_node.rs
+++ b/crates/quincevalve_node/src/test_node.rs
@@ -98,8 +98,8 @@
     let limits = CallerLimits {
         head_bytes: 16 << 10,
         body_bytes: 1_000,
-        head_time: Duration::from_secs(3),
-        idle_time: Duration::from_secs(15),
+        head_timeout: Duration::from_secs(3),
+        idle_timeout: Duration::from_secs(15),
     };
     let accounts = IndexMap::from([("desk".into(), Account::default())]);
     ForwardingConfig::new(version, Vec::new(), IndexMap::new(), accounts, limits)
--- a/crates/quincevalve_node/tests/support/mod.rs
+++ b/crates/quincevalve_node/tests/support/mod.rs
@@ -12,7 +12,9 @@
 use http::{HeaderMap, HeaderName};
 use indexmap::IndexMap;
 use quincevalve_forwarding::{
-    config::{Account, CallerLimits, Engine, ForwardingConfig, Repeat, Route, Service, Target},
+    config::{
+        Account, CallerLimits, Engine, ForwardingConfig, RetrySafety, Route, Service, Target,
+    },
     peer_book::VmCard,
     quota::QuotaLimits,
     retry_window::RetryLimits,
@@ -497,13 +499,13 @@
     }
 }
 
-fn route(prefix: &str, repeat: Repeat) -> Route {
+fn route(prefix: &str, repeat: RetrySafety) -> Route {
     Route {
         name: prefix.into(),
         host: "a.example".to_owned(),
         prefix: prefix.to_owned(),
         targets: vec![Target { service: "engines".into(), weight: 1 }],
-        repeat,
+        retry_safety: repeat,
         timeout: Duration::from_secs(20),
         objective: Duration::from_secs(5),
         max_servers: 2,
@@ -514,20 +516,20 @@
 
 fn config() -> ForwardingConfig {
     let account = Account { keys: vec!["key-1".into()], urgency: None, quota: None };
-    let engine = Engine { slots: 64, kv_tokens: 100_000, moves: true };
+    let engine = Engine { slots: 64, kv_tokens: 100_000, supports_migration: true };
     let service = Service { engine: Some(engine), ..Service::default() };
     let limits = CallerLimits {
         head_bytes: 16 << 10,
         body_bytes: 1_000,
-        head_time: Duration::from_secs(3),
-        idle_time: Duration::from_secs(15),
+        head_timeout: Duration::from_secs(3),
+        idle_timeout: Duration::from_secs(15),
     };
     let routes = vec![
-        route("/safe/", Repeat::Idempotent),
-        route("/once/", Repeat::NonIdempotent),
-        route("/stream/", Repeat::Stream),
-        route("/resumable/", Repeat::ResumableStream),
-        Route { anonymous: true, ..route("/open/", Repeat::NonIdempotent) },
+        route("/safe/", RetrySafety::Idempotent),
+        route("/once/", RetrySafety::NonIdempotent),
+        route("/stream/", RetrySafety::Stream),
+        route("/resumable/", RetrySafety::ResumableStream),
+        Route { anonymous: true, ..route("/open/", RetrySafety::NonIdempotent) },
     ];
     ForwardingConfig::new(
         1,
