--- a/crates/quincevalve_forwarding/tests/rollout.rs
+++ b/crates/quincevalve_forwarding/tests/rollout.rs
@@ -594,7 +594,11 @@
     book.apply_record(&service(), promoting(&order(5, "v2", 60)), ms(100));
     book.refresh(&service(), &table, &AROUND, ms(110));
     for at in [0, 4] {
-        table.get_mut(&server(at), START).expect("a server").load.begin(Work::default(), ms(120));
+        table
+            .get_mut(&server(at), START)
+            .expect("a server")
+            .load
+            .add_request(Work::default(), ms(120));
     }
     let shares = book.partial_sums(&table, ms(120));
     assert_eq!(shares[&service()].old_in_flight, 1);
