--- a/crates/quincevalve_forwarding/src/rollout/evidence.rs
+++ b/crates/quincevalve_forwarding/src/rollout/evidence.rs
@@ -1,4 +1,4 @@
-//! What was seen of two versions of a service, in counts that add up over VMs.
+//! Observed answers of two versions of a service, in counts that can be summed over VMs.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -6,26 +6,27 @@
 use quincevalve_names::{TimePoint, hash_text};
 use serde::{Deserialize, Serialize};
 
-/// A route, as VMs tell it.
+/// A route's key in messages between VMs: a hash of its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct RouteKey(pub u32);
 
 impl RouteKey {
-    /// The key of a route's name.
+    /// Returns the key of a route's name.
     pub fn of(name: &str) -> Self {
         Self(hash_text(name) as u32)
     }
 }
 
-/// Hundredths of a natural logarithm: sums of whole numbers don't depend on the order in which VMs are heard.
-const HUNDREDTHS: f64 = 100.0;
-/// A ratio counts as if it lay within these bounds, as logarithms: one answer that takes a minute says no more than one
-/// that takes ten times as long as expected.
-const LEAST_LOG: f64 = -2.5;
-const MOST_LOG: f64 = 2.5;
+/// Steps per unit of a natural logarithm. Logarithms are summed as integers in hundredths, so that the sum doesn't depend
+/// on the order in which VMs' reports are added.
+const STEPS_PER_UNIT: f64 = 100.0;
+/// Bounds to which the logarithm of a ratio is clamped, so that an answer that takes a minute weighs no more than one that
+/// takes about ten times as long as expected.
+const MIN_LOG: f64 = -2.5;
+const MAX_LOG: f64 = 2.5;
 
-/// The logarithms of some ratios, summed up.
+/// Count, sum and sum of squares of the logarithms of ratios.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogSum {
     n: u32,
@@ -34,37 +35,37 @@
 }
 
 impl LogSum {
-    /// Takes a ratio.
+    /// Adds a ratio.
     pub fn add(&mut self, ratio: f64) {
-        let log = ratio.max(f64::MIN_POSITIVE).ln().clamp(LEAST_LOG, MOST_LOG);
-        let hundredths = (log * HUNDREDTHS).round() as i64;
+        let log = ratio.max(f64::MIN_POSITIVE).ln().clamp(MIN_LOG, MAX_LOG);
+        let hundredths = (log * STEPS_PER_UNIT).round() as i64;
         self.n += 1;
         self.sum += hundredths;
         self.squares += (hundredths * hundredths) as u64;
     }
 
-    /// How many there are.
+    /// Returns the number of ratios.
     pub const fn count(&self) -> u32 {
         self.n
     }
 
-    /// Their mean; 0 where there is none.
+    /// Returns the mean of the logarithms, or 0 if there are none.
     pub fn mean(&self) -> f64 {
-        self.sum as f64 / HUNDREDTHS / f64::from(self.n.max(1))
+        self.sum as f64 / STEPS_PER_UNIT / f64::from(self.n.max(1))
     }
 
-    /// The variance of one of them.
+    /// Returns the sample variance of the logarithms, or 0 if there are fewer than two.
     pub fn variance(&self) -> f64 {
         let n = f64::from(self.n);
         if self.n < 2 {
             return 0.0;
         }
         let mean = self.mean();
-        let squares = self.squares as f64 / (HUNDREDTHS * HUNDREDTHS);
+        let squares = self.squares as f64 / (STEPS_PER_UNIT * STEPS_PER_UNIT);
         ((squares - n * mean * mean) / (n - 1.0)).max(0.0)
     }
 
-    /// Both together.
+    /// Returns the sum of both.
     #[must_use]
     pub const fn plus(self, other: Self) -> Self {
         Self {
@@ -74,45 +75,45 @@
         }
     }
 
-    /// What is left without a part.
+    /// Returns the difference, where `removed` was added before.
     #[must_use]
-    pub const fn minus(self, part: Self) -> Self {
+    pub const fn minus(self, removed: Self) -> Self {
         Self {
-            n: self.n.saturating_sub(part.n),
-            sum: self.sum - part.sum,
-            squares: self.squares.saturating_sub(part.squares),
+            n: self.n.saturating_sub(removed.n),
+            sum: self.sum - removed.sum,
+            squares: self.squares.saturating_sub(removed.squares),
         }
     }
 }
 
-/// What is seen of one answer.
+/// One observation of an answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Sample {
-    /// It was a success.
+    /// The server succeeded.
     Succeeded,
-    /// It was the server's failure.
+    /// The server failed.
     Failed,
-    /// The time to its first part against what was expected.
+    /// Ratio of the measured to the expected time to the first part of the answer.
     First(f64),
-    /// The time between two events against what was expected.
+    /// Ratio of the measured to the expected time between two events.
     Pace(f64),
 }
 
-/// Answers of one kind, summed up.
+/// Sums of the samples of some answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tally {
-    /// Answers that were judged.
+    /// Number of answers that succeeded or failed.
     pub answers: u32,
-    /// Failures among them.
+    /// Number of failures among `answers`.
     pub failed: u32,
-    /// Times to the first part.
+    /// Ratios of measured to expected times to the first part.
     pub first: LogSum,
-    /// Times between events.
+    /// Ratios of measured to expected times between events.
     pub pace: LogSum,
 }
 
 impl Tally {
-    /// Takes what is seen of an answer.
+    /// Adds a sample.
     pub fn add_sample(&mut self, sample: Sample) {
         match sample {
             Sample::Succeeded => self.answers += 1,
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Both together.
+    /// Returns the sum of both.
     #[must_use]
     pub const fn plus(self, other: Self) -> Self {
         Self {
@@ -136,50 +137,50 @@
         }
     }
 
-    /// What is left without a part.
+    /// Returns the difference, where `removed` was added before.
     #[must_use]
-    pub const fn minus(self, part: Self) -> Self {
+    pub const fn minus(self, removed: Self) -> Self {
         Self {
-            answers: self.answers.saturating_sub(part.answers),
-            failed: self.failed.saturating_sub(part.failed),
-            first: self.first.minus(part.first),
-            pace: self.pace.minus(part.pace),
+            answers: self.answers.saturating_sub(removed.answers),
+            failed: self.failed.saturating_sub(removed.failed),
+            first: self.first.minus(removed.first),
+            pace: self.pace.minus(removed.pace),
         }
     }
 }
 
-/// The answers of both versions on one route.
+/// Tallies of both versions on one route.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionTallies {
-    /// Of the version that served before.
+    /// Answers of the version that served before.
     pub old: Tally,
-    /// Of the version that was ordered.
+    /// Answers of the version that was ordered.
     pub new: Tally,
 }
 
-/// Which version an answer is of.
+/// The version that gave an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VersionRole {
     /// The version that served before.
     Old,
-    /// The version that was ordered, at the server of that hash.
+    /// The version that was ordered, at the server with this start hash.
     New(u64),
 }
 
-/// Answers of both versions while both served.
+/// Answers of both versions from when both serve.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evidence {
-    /// By route.
+    /// Tallies of both versions by route.
     pub routes: IndexMap<RouteKey, VersionTallies>,
-    /// Of the new version by server, over all routes.
+    /// Tallies of the new version by start hash of the server, over all routes.
     pub servers: IndexMap<u64, Tally>,
 }
 
 impl Evidence {
-    /// Takes what is seen of an answer.
-    pub fn add_sample(&mut self, route: RouteKey, side: VersionRole, sample: Sample) {
+    /// Adds a sample.
+    pub fn add_sample(&mut self, route: RouteKey, role: VersionRole, sample: Sample) {
         let pair = self.routes.entry(route).or_default();
-        match side {
+        match role {
             VersionRole::Old => pair.old.add_sample(sample),
             VersionRole::New(server) => {
                 pair.new.add_sample(sample);
@@ -188,32 +189,32 @@
         }
     }
 
-    /// Adds what others saw.
+    /// Adds other VMs' evidence.
     pub fn add(&mut self, other: &Self) {
         for (route, pair) in &other.routes {
-            let known = self.routes.entry(*route).or_default();
-            *known =
-                VersionTallies { old: known.old.plus(pair.old), new: known.new.plus(pair.new) };
+            let total = self.routes.entry(*route).or_default();
+            *total =
+                VersionTallies { old: total.old.plus(pair.old), new: total.new.plus(pair.new) };
         }
         for (server, tally) in &other.servers {
-            let known = self.servers.entry(*server).or_default();
-            *known = known.plus(*tally);
+            let total = self.servers.entry(*server).or_default();
+            *total = total.plus(*tally);
         }
     }
 
-    /// What is left of this sum without one that was added to it.
+    /// Returns this evidence without evidence that was added to it.
     #[must_use]
-    pub fn without(&self, part: &Self) -> Self {
+    pub fn without(&self, removed: &Self) -> Self {
         let pair = |(route, sum): (&RouteKey, &VersionTallies)| {
-            let rest = part.routes.get(route).map_or(*sum, |it| VersionTallies {
+            let remainder = removed.routes.get(route).map_or(*sum, |it| VersionTallies {
                 old: sum.old.minus(it.old),
                 new: sum.new.minus(it.new),
             });
-            (rest != VersionTallies::default()).then_some((*route, rest))
+            (remainder != VersionTallies::default()).then_some((*route, remainder))
         };
         let tally = |(server, sum): (&u64, &Tally)| {
-            let rest = part.servers.get(server).map_or(*sum, |it| sum.minus(*it));
-            (rest != Tally::default()).then_some((*server, rest))
+            let remainder = removed.servers.get(server).map_or(*sum, |it| sum.minus(*it));
+            (remainder != Tally::default()).then_some((*server, remainder))
         };
         Self {
             routes: self.routes.iter().filter_map(pair).collect(),
@@ -221,55 +222,55 @@
         }
     }
 
-    /// All answers of the new version.
+    /// Returns the answers of the new version over all routes.
     pub fn new_version(&self) -> Tally {
         self.routes.values().fold(Tally::default(), |sum, it| sum.plus(it.new))
     }
 
-    /// All answers of the old version.
+    /// Returns the answers of the old version over all routes.
     pub fn old_version(&self) -> Tally {
         self.routes.values().fold(Tally::default(), |sum, it| sum.plus(it.old))
     }
 }
 
-/// The length of one slice of what was seen lately.
-const SLICE: Duration = Duration::from_millis(500);
-/// The spans that count as lately: a version that turns bad at many requests a second stands out in the first at once,
-/// one with few requests, or a little worse, in the second.
-const RECENT: Duration = Duration::from_millis(1_500);
-const LATE: Duration = Duration::from_secs(6);
+/// Time covered by one slice of the sliding windows.
+const SLICE_LENGTH: Duration = Duration::from_millis(500);
+/// Lengths of the sliding windows. A version that turns bad at many requests per second is detected at once in the short
+/// window, and one with few requests, or that is only a little worse, in the long one.
+const SHORT_WINDOW: Duration = Duration::from_millis(1_500);
+const LONG_WINDOW: Duration = Duration::from_secs(6);
 
-/// What all VMs, or some, saw of both versions.
+/// Evidence of one or more VMs, since the start and in the sliding windows.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Observations {
-    /// Since both serve.
+    /// Evidence from when both versions serve.
     pub all: Evidence,
-    /// In the last seconds: a version that turns bad late stands out there, however long it was good.
+    /// Evidence of the last 6 s, in which a version that turns bad late is detected however long it was good.
     pub long_window: Evidence,
-    /// In the last moments.
+    /// Evidence of the last 1.5 s.
     pub short_window: Evidence,
 }
 
 impl Observations {
-    /// Adds what others saw.
+    /// Adds other VMs' observations.
     pub fn add(&mut self, other: &Self) {
         self.all.add(&other.all);
         self.long_window.add(&other.long_window);
         self.short_window.add(&other.short_window);
     }
 
-    /// What is left of this sum without a part that was added to it.
+    /// Returns these observations without observations that were added to them.
     #[must_use]
-    pub fn without(&self, part: &Self) -> Self {
+    pub fn without(&self, removed: &Self) -> Self {
         Self {
-            all: self.all.without(&part.all),
-            long_window: self.long_window.without(&part.long_window),
-            short_window: self.short_window.without(&part.short_window),
+            all: self.all.without(&removed.all),
+            long_window: self.long_window.without(&removed.long_window),
+            short_window: self.short_window.without(&removed.short_window),
         }
     }
 }
 
-/// What one VM saw.
+/// Collects the evidence of one VM.
 #[derive(Clone, Debug, Default)]
 pub struct EvidenceRecorder {
     all: Evidence,
@@ -277,36 +278,36 @@
 }
 
 impl EvidenceRecorder {
-    /// Takes what is seen of an answer.
+    /// Adds a sample.
     pub fn add_sample(
         &mut self,
         route: RouteKey,
-        side: VersionRole,
+        role: VersionRole,
         sample: Sample,
         now: TimePoint,
     ) {
-        self.all.add_sample(route, side, sample);
-        let is_open = self.slices.back().is_some_and(|(from, _)| now.since(*from) < SLICE);
+        self.all.add_sample(route, role, sample);
+        let is_open = self.slices.back().is_some_and(|(from, _)| now.since(*from) < SLICE_LENGTH);
         if !is_open {
             self.slices.push_back((now, Evidence::default()));
         }
         if let Some((_, newest)) = self.slices.back_mut() {
-            newest.add_sample(route, side, sample);
+            newest.add_sample(route, role, sample);
         }
     }
 
-    /// What was seen, at this moment.
+    /// Returns the observations at this time.
     pub fn observations(&mut self, now: TimePoint) -> Observations {
-        while self.slices.front().is_some_and(|(from, _)| now.since(*from) > LATE) {
+        while self.slices.front().is_some_and(|(from, _)| now.since(*from) > LONG_WINDOW) {
             self.slices.pop_front();
         }
-        let mut seen = Observations { all: self.all.clone(), ..Observations::default() };
+        let mut observations = Observations { all: self.all.clone(), ..Observations::default() };
         for (from, slice) in &self.slices {
-            seen.long_window.add(slice);
-            if now.since(*from) <= RECENT {
-                seen.short_window.add(slice);
+            observations.long_window.add(slice);
+            if now.since(*from) <= SHORT_WINDOW {
+                observations.short_window.add(slice);
             }
         }
-        seen
+        observations
     }
 }
