--- a/crates/quincevalve_forwarding/src/digest_pace.rs
+++ b/crates/quincevalve_forwarding/src/digest_pace.rs
@@ -1,27 +1,28 @@
-//! How often a collector tells each of its members what all others do.
+//! Rate at which a collector sends digests to each of its members.
 //!
-//! Load: a digest names each server that has work, so its size grows with the servers, and a collector sends one to each
-//! member. With 48 members and 204 servers that is 4 MB a second when all are told in each period: little for a strong VM,
-//! and more than the link of a weak one, which collects where the strong ones of its data centre are lost or cut off. A
-//! link that is full loses datagrams and holds requests up. Members are therefore told by turns, as far as the collector's
-//! own link and processor allow.
+//! A digest lists each server that has work, so its size grows with the number of servers, and a collector sends one to
+//! each member. With 48 members and 204 servers, sending to all members in each period takes 4 MB per second. A large
+//! VM carries that easily, but it exceeds the link of a small VM, which becomes the collector when the large VMs of its
+//! data centre are down or cut off. A saturated link drops datagrams and delays requests. Members therefore get their
+//! digests in turn, as often as the collector's link and processor allow.
 
-/// The part of its link that a collector uses for digests. Callers' requests and answers, and what comes from members,
-/// share the link; at a quarter a burst of them still finds most of it free.
-const LINK_PART: f64 = 0.25;
-/// The part of its processor share that a collector uses for digests; the rest is for its own callers.
-const CPU_PART: f64 = 0.25;
-/// Bytes of digests that a whole processor core makes and sends in a second. Making and encoding them alone ran at 160 to
-/// 335 MB/s, from 50 to 910 servers, on a machine more and less busy (`quincevalve-measure digests`); sending is taken to
+/// Fraction of its link that a collector uses for digests. Requests and answers of callers and digests from members
+/// share the link; at a quarter, a burst of them still finds most of the link free.
+const LINK_FRACTION: f64 = 0.25;
+/// Fraction of its processor share that a collector uses for digests; the rest is for its own callers.
+const CPU_FRACTION: f64 = 0.25;
+/// Bytes of digests that one processor core builds and sends per second. Building and encoding alone reach 160 to 335
+/// MB/s with 50 to 910 servers, depending on the machine's load (`quincevalve-measure digests`); sending is assumed to
 /// cost half as much again.
-const BYTES_PER_CORE: f64 = 100_000_000.0;
-/// Periods between two digests of one member at most: 360 ms. What was told counts for 800 ms, and a member that hears
-/// nothing for so long takes its collector for lost; two in a row must not be missing for that.
-const MOST_PERIODS: u32 = 6;
-/// Weight of the newest digest's size in the running mean.
-const NEW: f64 = 0.05;
+const BYTES_PER_CORE_SECOND: f64 = 100_000_000.0;
+/// Maximum number of periods between two digests to one member: 360 ms. A received partial sum expires after 800 ms,
+/// and a member that receives nothing for that long considers its collector lost, so the loss of one digest must not
+/// suffice.
+const MAX_PERIODS: u32 = 6;
+/// Weight of the newest digest's size in the moving average.
+const NEWEST_SIZE_WEIGHT: f64 = 0.05;
 
-/// How often each member is told.
+/// Schedules the digests of a collector to its members.
 ///
 /// # Examples
 ///
@@ -32,38 +33,47 @@
 /// for _ in 0..100 {
 ///     pace.sent(5_000);
 /// }
-/// let told = (0..48).filter(|at| pace.is_due(*at, 0, 48, 16.7)).count();
-/// assert!(told <= 10);
+/// let sent = (0..48).filter(|member| pace.is_due(*member, 0, 48, 16.7)).count();
+/// assert!(sent <= 10);
 /// ```
 #[derive(Clone, Copy, Debug)]
 pub struct DigestPace {
-    /// Bytes a second that digests may take.
+    /// Maximum bytes per second for digests.
     budget: f64,
-    /// Bytes of a digest, on average.
-    bytes: f64,
+    /// Moving average of a digest's size in bytes.
+    mean_bytes: f64,
 }
 
 impl DigestPace {
-    /// For a VM whose link carries `link` bytes a second, with `cpu` thousandths of a processor core.
+    /// Creates a schedule for a VM whose link carries `link` bytes per second, with `cpu` thousandths of a processor
+    /// core.
     pub fn new(link: u64, cpu: u32) -> Self {
-        let by_link = link as f64 * LINK_PART;
-        let by_cpu = f64::from(cpu) / 1_000.0 * BYTES_PER_CORE * CPU_PART;
-        Self { budget: by_link.min(by_cpu), bytes: 0.0 }
+        let link_budget = link as f64 * LINK_FRACTION;
+        let cpu_budget = f64::from(cpu) / 1_000.0 * BYTES_PER_CORE_SECOND * CPU_FRACTION;
+        Self { budget: link_budget.min(cpu_budget), mean_bytes: 0.0 }
     }
 
-    /// Notes the bytes of a digest to a member.
+    /// Records the size of a digest sent to a member.
     pub fn sent(&mut self, bytes: usize) {
-        self.bytes += NEW * (bytes as f64 - self.bytes);
+        self.mean_bytes += NEWEST_SIZE_WEIGHT * (bytes as f64 - self.mean_bytes);
     }
 
-    /// Periods between two digests of one of `members`, with so many periods a second.
+    /// Returns the number of periods from one digest to a member to its next, for a collector with `members` members.
     pub fn periods(&self, members: usize, periods_per_second: f64) -> u32 {
-        let all = members as f64 * self.bytes * periods_per_second;
-        ((all / self.budget.max(1.0)).ceil() as u32).clamp(1, MOST_PERIODS)
+        let bytes_per_second = members as f64 * self.mean_bytes * periods_per_second;
+        ((bytes_per_second / self.budget.max(1.0)).ceil() as u32).clamp(1, MAX_PERIODS)
     }
 
-    /// Whether the member at that place is told in this period, the number `turn`.
-    pub fn is_due(&self, at: usize, turn: u32, members: usize, periods_per_second: f64) -> bool {
-        (at as u32).wrapping_add(turn).is_multiple_of(self.periods(members, periods_per_second))
+    /// Returns whether the member with the index `member` gets a digest in period `period`.
+    pub fn is_due(
+        &self,
+        member: usize,
+        period: u32,
+        members: usize,
+        periods_per_second: f64,
+    ) -> bool {
+        (member as u32)
+            .wrapping_add(period)
+            .is_multiple_of(self.periods(members, periods_per_second))
     }
 }
--- a/crates/quincevalve_forwarding/src/sums.rs
+++ b/crates/quincevalve_forwarding/src/sums.rs
@@ -1,4 +1,5 @@
-//! What VMs tell each other of their work and of quotas, summed up without counting anything twice.
+//! Partial sums of work, quota usage and demand that VMs report to each other, added up without counting anything
+//! twice.
 
 use std::{cmp::Reverse, collections::HashMap, hash::Hash, time::Duration};
 
@@ -12,49 +13,51 @@
     rollout::share::{RolloutShares, add_shares, shares_without},
 };
 
-/// What was told counts for this long: several periods, so that a lost datagram or two change nothing.
-const FRESH: Duration = Duration::from_millis(800);
+/// Lifetime of a received partial sum: several digest periods, so that one or two lost datagrams change nothing.
+const PARTIAL_SUM_TTL: Duration = Duration::from_millis(800);
 
-/// Work at servers, by a hash of their names.
+/// Work at servers, by a hash of the server's name.
 pub type Works = IndexMap<u64, WorkSum>;
 
-/// Units of quota that are let in a second, by account.
+/// Quota units admitted per second, by account.
 pub type Spending = IndexMap<ClientAccountName, f64>;
 
-/// Work that is taken on, in servers that it would keep busy, by service.
+/// Admitted work by service, as the number of servers that it keeps busy.
 pub type Demand = IndexMap<ServiceName, f64>;
 
-/// What one VM, or a collector for its members, tells.
+/// The load sums that one VM, or a collector on behalf of its members, reports.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Share {
-    /// VMs that it stands for.
+    /// Number of VMs that this sum covers.
     pub vms: u32,
-    /// Their work at servers.
+    /// Their work at each server.
     pub works: Works,
-    /// What they let in.
+    /// Quota units that they admit per second, by account.
     pub spending: Spending,
-    /// The work that they take on, in busy servers, by service.
+    /// Their admitted work in busy servers, by service.
     pub demand: Demand,
-    /// What they saw of roll-outs, by service.
+    /// Their observations of roll-outs, by service.
     pub rollouts: RolloutShares,
 }
 
-/// Servers that a collector names to each of its members, and to each other collector.
+/// Maximum number of servers in a digest from a collector to one of its members.
 ///
-/// Load: a digest goes to each VM of a data centre several times a second, so what it holds must not grow with the servers.
-/// The busiest are named; a server that isn't is taken for one that has only the receiver's own work, and every VM looks at
-/// several servers for each request.
+/// A digest is sent to each VM of a data centre several times a second, so its size must not grow with the number of
+/// servers. It lists the busiest servers. The receiver assumes that an unlisted server has only the receiver's own
+/// work; this is tolerable because every VM compares several servers for each request.
 pub const NAMED_TO_MEMBER: usize = 300;
-/// The same for a collector, which adds such digests up: the busiest of all are among the busiest of a data centre.
+/// Maximum number of servers in a digest from a collector to another collector, which adds up such digests: the overall
+/// busiest servers are among the busiest of a data centre.
 pub const NAMED_TO_COLLECTOR: usize = 900;
-/// Part of its quota below which what an account spends isn't told to members: it can't be refused anything for it.
-const LEAST_SPENT_PART: f64 = 0.25;
+/// Fraction of its quota below which an account's spending isn't reported to members: at such a rate, no request is
+/// rejected for exceeding the quota.
+const MIN_REPORTED_QUOTA_FRACTION: f64 = 0.25;
 
-/// What is left of a rate after a subtraction and is below this, in units or busy servers a second, is a rounding error.
-const ROUNDING: f64 = 1e-6;
+/// Remainders of a subtraction below this value, in quota units per second or in busy servers, are rounding errors.
+const ROUNDING_TOLERANCE: f64 = 1e-6;
 
 impl Share {
-    /// Adds another share.
+    /// Adds another partial sum to this one.
     pub fn add(&mut self, other: &Self) {
         self.vms += other.vms;
         for (server, work) in &other.works {
@@ -70,107 +73,113 @@
         add_shares(&mut self.rollouts, &other.rollouts);
     }
 
-    /// Names no more than so many servers, the busiest.
+    /// Keeps the `servers` busiest servers and drops all others.
     pub fn name_busiest(&mut self, servers: usize) {
         if self.works.len() <= servers {
             return;
         }
-        let place = |server: &u64, work: &WorkSum| (Reverse(work.weight()), *server);
-        let mut places: Vec<_> = self.works.iter().map(|(server, it)| place(server, it)).collect();
-        let first_left_out = *places.select_nth_unstable(servers).1;
-        self.works.retain(|server, it| place(server, it) < first_left_out);
+        let sort_key = |server: &u64, work: &WorkSum| (Reverse(work.weight()), *server);
+        let mut sort_keys: Vec<_> =
+            self.works.iter().map(|(server, it)| sort_key(server, it)).collect();
+        let first_dropped = *sort_keys.select_nth_unstable(servers).1;
+        self.works.retain(|server, it| sort_key(server, it) < first_dropped);
     }
 
-    /// Leaves out the accounts that are far below their quotas.
+    /// Drops the accounts that are far below their quotas.
     pub fn drop_light_spending(&mut self, config: &ForwardingConfig) {
         self.spending.retain(|account, spent| {
             let quota = config.accounts.get(account).and_then(|it| it.quota);
-            quota.is_none_or(|it| *spent >= it.per_second * LEAST_SPENT_PART)
+            quota.is_none_or(|it| *spent >= it.per_second * MIN_REPORTED_QUOTA_FRACTION)
         });
     }
 
-    /// Whether a VM has taken on or ended anything since it told `before`. That what was sent lately fades is no news.
+    /// Returns whether requests began or ended, or roll-out observations changed, since the VM reported `before`. The
+    /// decay of recently sent work over time doesn't count as a change.
     pub fn has_news_since(&self, before: &Self) -> bool {
-        let is_same = |(server, work): (&u64, &WorkSum)| {
+        let is_unchanged = |(server, work): (&u64, &WorkSum)| {
             before.works.get(server).is_some_and(|it| it.is_same_but_faded(*work))
         };
         let has_ended = |(server, work): (&u64, &WorkSum)| {
             work.requests > 0 && !self.works.contains_key(server)
         };
-        !self.works.iter().all(is_same)
+        !self.works.iter().all(is_unchanged)
             || before.works.iter().any(has_ended)
             || self.rollouts != before.rollouts
     }
 
-    /// What is left of this sum without one share that was added to it.
+    /// Returns this sum without `subtrahend`, a partial sum that was added to it.
     ///
-    /// Load: a collector tells each of its members the sum of all others. Adding that up for each anew costs the square
-    /// of the members; taking one share off the sum of all costs each member once.
-    pub fn without(&self, part: &Self) -> Self {
+    /// A collector sends each of its members the sum of all others. Adding those up for each member takes time
+    /// quadratic in the number of members; subtracting each member's partial sum from the total takes linear time.
+    pub fn without(&self, subtrahend: &Self) -> Self {
         let work = |(server, sum): (&u64, &WorkSum)| {
-            let rest = part.works.get(server).map_or(*sum, |it| sum.minus(*it));
+            let rest = subtrahend.works.get(server).map_or(*sum, |it| sum.minus(*it));
             (rest != WorkSum::default()).then_some((*server, rest))
         };
         Self {
-            vms: self.vms.saturating_sub(part.vms),
+            vms: self.vms.saturating_sub(subtrahend.vms),
             works: self.works.iter().filter_map(work).collect(),
-            spending: rates_without(&self.spending, &part.spending),
-            demand: rates_without(&self.demand, &part.demand),
-            rollouts: shares_without(&self.rollouts, &part.rollouts),
+            spending: subtract_rates(&self.spending, &subtrahend.spending),
+            demand: subtract_rates(&self.demand, &subtrahend.demand),
+            rollouts: shares_without(&self.rollouts, &subtrahend.rollouts),
         }
     }
 }
 
-fn rates_without<K>(sum: &IndexMap<K, f64>, part: &IndexMap<K, f64>) -> IndexMap<K, f64>
+fn subtract_rates<K>(sum: &IndexMap<K, f64>, subtrahend: &IndexMap<K, f64>) -> IndexMap<K, f64>
 where
     K: Clone + Eq + Hash,
 {
-    let rest = sum.iter().map(|(key, rate)| (key, rate - part.get(key).copied().unwrap_or(0.0)));
-    rest.filter(|(_, rate)| rate.abs() >= ROUNDING).map(|(key, rate)| (key.clone(), rate)).collect()
+    let rest =
+        sum.iter().map(|(key, rate)| (key, rate - subtrahend.get(key).copied().unwrap_or(0.0)));
+    rest.filter(|(_, rate)| rate.abs() >= ROUNDING_TOLERANCE)
+        .map(|(key, rate)| (key.clone(), rate))
+        .collect()
 }
 
 #[derive(Clone, Debug)]
-struct Told {
+struct Received {
     at: TimePoint,
-    share: Share,
+    partial_sum: Share,
 }
 
-/// What was told by each sender, and the sums of it.
+/// The newest partial sum of each sender.
 #[derive(Clone, Debug, Default)]
 pub struct Sums {
-    told: HashMap<String, Told>,
+    received: HashMap<String, Received>,
 }
 
 impl Sums {
-    /// Takes a sender's newest share; shares that are long past are forgotten.
-    pub fn take(&mut self, sender: &str, share: Share, now: TimePoint) {
-        self.told.retain(|_, it| now.since(it.at) <= FRESH);
-        self.told.insert(sender.to_owned(), Told { at: now, share });
+    /// Stores a sender's newest partial sum and drops expired ones.
+    pub fn take(&mut self, sender: &str, partial_sum: Share, now: TimePoint) {
+        self.received.retain(|_, it| now.since(it.at) <= PARTIAL_SUM_TTL);
+        self.received.insert(sender.to_owned(), Received { at: now, partial_sum });
     }
 
-    /// Whether anyone told something lately.
+    /// Returns whether any sender's partial sum is fresh.
     pub fn is_fresh(&self, now: TimePoint) -> bool {
         self.fresh(now).next().is_some()
     }
 
-    /// The senders that told something lately.
+    /// Returns the senders whose partial sums are fresh.
     pub fn fresh_senders(&self, now: TimePoint) -> impl Iterator<Item = &String> {
         self.fresh(now).map(|(sender, _)| sender)
     }
 
-    /// Adds all fresh shares but that of `except` to `sum`.
+    /// Adds all fresh partial sums except that of `except` to `sum`.
     pub fn add_to(&self, sum: &mut Share, except: Option<&str>, now: TimePoint) {
         let others = self.fresh(now).filter(|(sender, _)| Some(sender.as_str()) != except);
-        others.for_each(|(_, it)| sum.add(&it.share));
+        others.for_each(|(_, it)| sum.add(&it.partial_sum));
     }
 
-    /// What a sender told, if it is fresh.
+    /// Returns a sender's partial sum if it is fresh.
     pub fn told(&self, sender: &str, now: TimePoint) -> Option<&Share> {
-        let told = self.told.get(sender).filter(|it| now.since(it.at) <= FRESH)?;
-        Some(&told.share)
+        let received =
+            self.received.get(sender).filter(|it| now.since(it.at) <= PARTIAL_SUM_TTL)?;
+        Some(&received.partial_sum)
     }
 
-    fn fresh(&self, now: TimePoint) -> impl Iterator<Item = (&String, &Told)> {
-        self.told.iter().filter(move |(_, it)| now.since(it.at) <= FRESH)
+    fn fresh(&self, now: TimePoint) -> impl Iterator<Item = (&String, &Received)> {
+        self.received.iter().filter(move |(_, it)| now.since(it.at) <= PARTIAL_SUM_TTL)
     }
 }
