--- a/crates/quincevalve_forwarding/src/digest_pace.rs
+++ b/crates/quincevalve_forwarding/src/digest_pace.rs
@@ -31,7 +31,7 @@
 /// // An eighth of a core and 20 Mbit/s; digests of 5 KB sixteen times a second to 48 members.
 /// let mut pace = DigestPace::new(2_500_000, 120);
 /// for _ in 0..100 {
-///     pace.sent(5_000);
+///     pace.record_sent_bytes(5_000);
 /// }
 /// let sent = (0..48).filter(|member| pace.is_due(*member, 0, 48, 16.7)).count();
 /// assert!(sent <= 10);
@@ -54,12 +54,12 @@
     }
 
     /// Records the size of a digest sent to a member.
-    pub fn sent(&mut self, bytes: usize) {
+    pub fn record_sent_bytes(&mut self, bytes: usize) {
         self.mean_bytes += NEWEST_SIZE_WEIGHT * (bytes as f64 - self.mean_bytes);
     }
 
     /// Returns the number of periods from one digest to a member to its next, for a collector with `members` members.
-    pub fn periods(&self, members: usize, periods_per_second: f64) -> u32 {
+    pub fn periods_between_digests(&self, members: usize, periods_per_second: f64) -> u32 {
         let bytes_per_second = members as f64 * self.mean_bytes * periods_per_second;
         ((bytes_per_second / self.budget.max(1.0)).ceil() as u32).clamp(1, MAX_PERIODS)
     }
@@ -74,6 +74,6 @@
     ) -> bool {
         (member as u32)
             .wrapping_add(period)
-            .is_multiple_of(self.periods(members, periods_per_second))
+            .is_multiple_of(self.periods_between_digests(members, periods_per_second))
     }
 }
--- a/crates/quincevalve_forwarding/src/freshness.rs
+++ b/crates/quincevalve_forwarding/src/freshness.rs
@@ -1,36 +1,37 @@
-//! How old the newest proof is that nothing has changed unseen.
+//! Age of the newest freshness confirmation: the proof that nothing newer than the known configuration exists.
 
 use std::time::Duration;
 
 use quincevalve_names::TimePoint;
 
-/// Part of a limit within which a proof is used: the rest is for the way of the request from its caller to here.
-const USED_PART: f64 = 0.85;
-/// Part of a limit within which there is a new proof as long as all is well: proofs are renewed twice a second, and a VM
-/// that is told nothing reads the store at two fifths of it. From here to the end of their use the platform has
-/// two seconds to send callers elsewhere.
-const LOSING_PART: f64 = 0.45;
+/// Fraction of a limit for which a confirmation is used; the rest covers the time that a request takes from its caller
+/// to this VM.
+const USABLE_FRACTION: f64 = 0.85;
+/// Fraction of a limit within which a new confirmation arrives in normal operation: confirmations are renewed twice a
+/// second, and a VM that receives no reports reads the store at two fifths of the limit. Between this age and the end
+/// of their use, the platform has two seconds to route callers to other VMs.
+const FRESH_FRACTION: f64 = 0.45;
 
-/// How far a VM is in touch with what changes.
+/// What the age of the newest freshness confirmation allows a VM to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Touch {
-    /// It has a new proof.
-    Kept,
-    /// It can still serve, and will have to refuse soon.
+pub enum FreshnessState {
+    /// The confirmation is recent.
+    Fresh,
+    /// The VM still serves requests, but will soon have to reject them.
     ///
-    /// Failure: a VM loses touch with the store and its peers. Symptom: callers go on being sent to it until it must
-    /// refuse them, and for the two seconds that the platform takes to notice. It says that it isn't ready
-    /// while it can still serve.
-    Losing,
-    /// What it knows may have changed too long ago.
-    Lost,
+    /// The platform takes two seconds to notice that a VM isn't ready. A VM that loses contact with the store and its
+    /// peers would get requests until it must reject them and for two seconds more. It therefore reports that it isn't
+    /// ready while it can still serve.
+    Expiring,
+    /// The known configuration may have been replaced too long ago.
+    Expired,
 }
 
-/// Knows when the configuration was last proved to be the newest.
+/// Tracks when the configuration was last confirmed to be the newest.
 ///
-/// Failure: an entry VM is cut off from the store while an operator takes a key away. Symptom: the key
-/// goes on working there. A proof counts from when its question was *sent*, on a clock that counts
-/// suspension, so its age is never understated; past the limit requests with keys are refused.
+/// An entry VM that is cut off from the store while an operator revokes an API key would continue to accept that key. A
+/// confirmation's age counts from when its request was *sent*, on a clock that also advances while the machine is
+/// suspended, so the age is never underestimated; past the limit, requests with API keys are rejected.
 ///
 /// # Examples
 ///
@@ -40,7 +41,7 @@
 /// use quincevalve_names::TimePoint;
 /// let mut freshness = Freshness::default();
 /// assert!(!freshness.is_within(Duration::from_secs(4), TimePoint::ZERO));
-/// freshness.proved(TimePoint::from_millis(100), TimePoint::from_millis(104));
+/// freshness.record_confirmation(TimePoint::from_millis(100), TimePoint::from_millis(104));
 /// assert!(freshness.is_within(Duration::from_secs(4), TimePoint::from_millis(4_100)));
 /// assert!(!freshness.is_within(Duration::from_secs(4), TimePoint::from_millis(4_101)));
 /// ```
@@ -50,34 +51,33 @@
 }
 
 impl Freshness {
-    /// Takes the answer to a question that was sent at `asked`.
+    /// Records the answer to a request that was sent at `sent_at`. Ignores it if `sent_at` is in the future.
     ///
-    /// Failure: a VM starts again, its clock begins anew, and a peer echoes what its last start had sent.
-    /// Symptom: the proof lies in the future and stays fresh for minutes, while the VM serves what has long
-    /// changed. A question that was not sent yet proves nothing.
-    pub fn proved(&mut self, asked: TimePoint, now: TimePoint) {
-        if asked <= now {
-            self.newest = self.newest.max(Some(asked));
+    /// After a restart, a VM's clock starts anew, and a peer may echo a time that the previous incarnation sent. Such a
+    /// confirmation would lie in the future and stay fresh for minutes, while the VM serves an outdated configuration.
+    pub fn record_confirmation(&mut self, sent_at: TimePoint, now: TimePoint) {
+        if sent_at <= now {
+            self.newest = self.newest.max(Some(sent_at));
         }
     }
 
-    /// The age of the newest proof; `None` if there never was one.
+    /// Returns the age of the newest confirmation, or `None` if there never was one.
     pub fn age(&self, now: TimePoint) -> Option<Duration> {
         self.newest.map(|it| now.since(it))
     }
 
-    /// What a proof of that age lets a VM do, where nothing may be served `limit` after it has changed.
-    pub fn touch(&self, limit: Duration, now: TimePoint) -> Touch {
-        if self.is_within(limit.mul_f64(LOSING_PART), now) {
-            Touch::Kept
-        } else if self.is_within(limit.mul_f64(USED_PART), now) {
-            Touch::Losing
+    /// Returns the state for a limit: nothing may be served later than `limit` after it was replaced.
+    pub fn state(&self, limit: Duration, now: TimePoint) -> FreshnessState {
+        if self.is_within(limit.mul_f64(FRESH_FRACTION), now) {
+            FreshnessState::Fresh
+        } else if self.is_within(limit.mul_f64(USABLE_FRACTION), now) {
+            FreshnessState::Expiring
         } else {
-            Touch::Lost
+            FreshnessState::Expired
         }
     }
 
-    /// Whether the newest proof is at most `limit` old.
+    /// Returns whether the newest confirmation is at most `limit` old.
     pub fn is_within(&self, limit: Duration, now: TimePoint) -> bool {
         self.age(now).is_some_and(|age| age <= limit)
     }
--- a/crates/quincevalve_forwarding/src/line_budget.rs
+++ b/crates/quincevalve_forwarding/src/line_budget.rs
@@ -1,16 +1,17 @@
-//! How many log lines of requests are written under load.
+//! Rate limit for the log lines of requests.
 
 use quincevalve_names::TimePoint;
 
-/// Lines a second that are written whatever they tell: several times what a calm VM writes.
+/// Maximum number of request log lines per second: several times what a VM writes under low load.
 const LINES_PER_SECOND: f64 = 200.0;
-/// Lines of refusals a second. A storm of them tells the same thousands of times; the counters have them all.
+/// Maximum number of log lines per second for rejected requests. A burst of rejections repeats the same line thousands
+/// of times; the metrics count all of them.
 const REFUSALS_PER_SECOND: f64 = 300.0;
-/// Seconds of lines that may be written at once after a calm time.
+/// Burst size of the token bucket, in seconds of its rate.
 const BURST_SECONDS: f64 = 2.0;
 
-/// A token bucket for log lines. Lines that it refuses wait with their request, and are written after all if
-/// the request fails or is late; the others are counted.
+/// A token bucket for log lines. Lines that it rejects are held with their request and written if the request fails or
+/// is late; otherwise they are suppressed and counted.
 ///
 /// # Examples
 ///
@@ -23,10 +24,10 @@
 /// ```
 #[derive(Clone, Copy, Debug)]
 pub struct LineBudget {
-    per_second: f64,
-    level: f64,
-    at: TimePoint,
-    left_out: u64,
+    lines_per_second: f64,
+    tokens: f64,
+    refilled_at: TimePoint,
+    suppressed: u64,
 }
 
 impl Default for LineBudget {
@@ -36,38 +37,38 @@
 }
 
 impl LineBudget {
-    fn new(per_second: f64) -> Self {
-        let level = per_second * BURST_SECONDS;
-        Self { per_second, level, at: TimePoint::ZERO, left_out: 0 }
+    fn new(lines_per_second: f64) -> Self {
+        let tokens = lines_per_second * BURST_SECONDS;
+        Self { lines_per_second, tokens, refilled_at: TimePoint::ZERO, suppressed: 0 }
     }
 
-    /// A budget for the lines of refusals.
+    /// Creates the budget for the lines of rejected requests.
     ///
-    /// Failure: callers come back at once and often, and each refusal is a line. Symptom: a VM writes more than it
-    /// serves, and its reader loses lines of other requests. What is left out is counted.
+    /// Callers that retry at once and often would make a VM spend more on log lines than on requests, and the log's
+    /// reader would lose lines of other requests. Suppressed lines are counted.
     pub fn for_refusals() -> Self {
         Self::new(REFUSALS_PER_SECOND)
     }
 
-    /// Whether a line may be written now.
+    /// Takes a token for one line, and returns whether there was one: the line may be written now.
     pub fn take(&mut self, now: TimePoint) -> bool {
-        let grown = self.per_second * now.since(self.at).as_secs_f64();
-        self.level = (self.level + grown).min(self.per_second * BURST_SECONDS);
-        self.at = self.at.max(now);
-        let may = self.level >= 1.0;
-        if may {
-            self.level -= 1.0;
+        let refill = self.lines_per_second * now.since(self.refilled_at).as_secs_f64();
+        self.tokens = (self.tokens + refill).min(self.lines_per_second * BURST_SECONDS);
+        self.refilled_at = self.refilled_at.max(now);
+        let is_allowed = self.tokens >= 1.0;
+        if is_allowed {
+            self.tokens -= 1.0;
         }
-        may
+        is_allowed
     }
 
-    /// Notes lines that are not written.
-    pub fn leave_out(&mut self, lines: u64) {
-        self.left_out += lines;
+    /// Counts suppressed lines.
+    pub fn record_suppressed(&mut self, lines: u64) {
+        self.suppressed += lines;
     }
 
-    /// The lines that were left out since the last call.
-    pub fn take_left_out(&mut self) -> u64 {
-        std::mem::take(&mut self.left_out)
+    /// Returns the number of lines suppressed since the last call.
+    pub fn take_suppressed(&mut self) -> u64 {
+        std::mem::take(&mut self.suppressed)
     }
 }
--- a/crates/quincevalve_forwarding/src/peer_book.rs
+++ b/crates/quincevalve_forwarding/src/peer_book.rs
@@ -14,7 +14,7 @@
 use serde::{Deserialize, Serialize};
 
 use self::ranking::{Rank, Ranking};
-use crate::{shared_limit::Seat, store_pacing::ReadingPart};
+use crate::{shared_limit::Seat, store_pacing::StoreReadRole};
 
 /// Up to this many VMs everyone tells everyone: a dozen datagrams a period are cheap, and there is no
 /// collector to lose.
@@ -273,27 +273,27 @@
     /// Whether this VM passes on what it knows of the store: collectors do, and in a small system those that read it.
     pub fn relays_store(&self, has_members: bool, now: TimePoint) -> bool {
         if self.is_small() {
-            return self.reading_part(has_members, now) == ReadingPart::Reader;
+            return self.reading_part(has_members, now) == StoreReadRole::Reader;
         }
         matches!(self.role(has_members, now), Role::Collector { .. })
     }
 
     /// How this VM takes part in reading the store. In a small system the first two read for all; in a large one the first
     /// two collectors do, and the others stand by.
-    pub fn reading_part(&self, has_members: bool, now: TimePoint) -> ReadingPart {
+    pub fn reading_part(&self, has_members: bool, now: TimePoint) -> StoreReadRole {
         let candidates: Vec<&VmCard> = if self.is_small() {
             self.peers.values().map(|it| &it.card).chain([&self.me]).collect()
         } else if matches!(self.role(has_members, now), Role::Collector { .. }) {
             self.ranking.centres().filter_map(|it| self.collector_of(it, now)).collect()
         } else {
-            return ReadingPart::Told;
+            return StoreReadRole::Follower;
         };
         if self.first_readers(candidates, now).any(|it| it.name == self.me.name) {
-            ReadingPart::Reader
+            StoreReadRole::Reader
         } else if self.is_small() {
-            ReadingPart::Told
+            StoreReadRole::Follower
         } else {
-            ReadingPart::StandBy
+            StoreReadRole::Standby
         }
     }
 
--- a/crates/quincevalve_forwarding/src/servers.rs
+++ b/crates/quincevalve_forwarding/src/servers.rs
@@ -13,8 +13,8 @@
     load::ServerLoad,
     server_signals::{RequestRate, ServerSignals, SignalNews, ToldSignals},
     shared_limit::Seat,
-    store_contact::LAPSE_AFTER,
-    sums::Works,
+    store_contact::MIN_OUTAGE_FOR_EXPIRY,
+    sums::ServerWork,
 };
 
 /// When a server's process started, in Unix milliseconds by its own clock: tells starts under one name apart.
@@ -218,7 +218,7 @@
 impl Outage {
     /// Whether entries that lapsed in it may still be missing.
     fn is_recent(&self, now: TimePoint) -> bool {
-        self.to.since(self.from) >= LAPSE_AFTER && now.since(self.to) < RETURN_TIME
+        self.to.since(self.from) >= MIN_OUTAGE_FOR_EXPIRY && now.since(self.to) < RETURN_TIME
     }
 
     /// Whether it was long enough ago that others would have denied it.
@@ -356,7 +356,7 @@
     /// store answered last, and until living servers had time to return, may have lapsed.
     fn may_lapse(&self, removed: TimePoint, now: TimePoint) -> bool {
         if let Some(from) = self.store_away {
-            return removed >= from && now.since(from) >= LAPSE_AFTER;
+            return removed >= from && now.since(from) >= MIN_OUTAGE_FOR_EXPIRY;
         }
         let outage = self.outage.filter(|it| it.is_recent(now));
         outage.is_some_and(|it| removed >= it.from)
@@ -527,7 +527,7 @@
     /// time after it.
     pub fn may_lack_entries(&self, now: TimePoint) -> bool {
         match self.store_away {
-            Some(since) => now.since(since) >= LAPSE_AFTER,
+            Some(since) => now.since(since) >= MIN_OUTAGE_FOR_EXPIRY,
             None => self.outage.is_some_and(|it| it.is_recent(now)),
         }
     }
@@ -594,14 +594,14 @@
     }
 
     /// This VM's own work at servers, for its peers.
-    pub fn own_work(&self, now: TimePoint) -> Works {
+    pub fn own_work(&self, now: TimePoint) -> ServerWork {
         let busy = self.servers.values().filter(|it| it.load.has_work());
         let work = busy.map(|it| (it.hash, it.load.own(now)));
         work.filter(|(_, it)| it.matters()).collect()
     }
 
     /// Takes the work of all other VMs; servers that aren't named have none that matters.
-    pub fn set_others(&mut self, works: &Works, now: TimePoint) {
+    pub fn set_others(&mut self, works: &ServerWork, now: TimePoint) {
         for server in self.servers.values_mut() {
             let work = works.get(&server.hash).copied().unwrap_or_default();
             server.load.set_others(work, now);
--- a/crates/quincevalve_forwarding/src/store_contact.rs
+++ b/crates/quincevalve_forwarding/src/store_contact.rs
@@ -1,113 +1,115 @@
-//! Whether the store answers anybody, as far as this VM and those that it hears know.
+//! Whether the store is reachable, as far as this VM observes it and other VMs report it.
 
 use std::time::Duration;
 
 use quincevalve_names::TimePoint;
 
-/// The shortest outage in which entries of the store lapse. They live for three heartbeats of a second or more, and
-/// the last one may be a heartbeat old when the outage begins.
-pub const LAPSE_AFTER: Duration = Duration::from_secs(2);
+/// Shortest outage of the store in which entries can expire. Their leases last three heartbeats of at least one second,
+/// and the last heartbeat may be one interval old when the outage begins.
+pub const MIN_OUTAGE_FOR_EXPIRY: Duration = Duration::from_secs(2);
 
-/// A span in which the store is known to have answered somebody, without a gap in which entries could have lapsed.
+/// A time span in which the store is known to have answered some VM, without a gap long enough for entries to expire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Contact {
-    /// The first moment of it that is known.
+pub struct ContactSpan {
+    /// The earliest known point of the span.
     pub since: TimePoint,
-    /// The newest moment of it that is known.
+    /// The latest known point of the span.
     pub newest: TimePoint,
 }
 
-impl Contact {
-    /// The store answered a question that was sent at that moment.
-    pub fn at(asked: TimePoint) -> Self {
-        Self { since: asked, newest: asked }
+impl ContactSpan {
+    /// Creates the span of one answered request, which was sent at `sent_at`.
+    pub fn at(sent_at: TimePoint) -> Self {
+        Self { since: sent_at, newest: sent_at }
     }
 
-    /// Whether no entry can have lapsed between this span and a later one.
-    fn reaches(&self, later: &Self) -> bool {
-        later.since.since(self.newest) < LAPSE_AFTER
+    /// Returns whether the gap between this span and `later` is too short for entries to expire.
+    fn is_contiguous_with(&self, later: &Self) -> bool {
+        later.since.since(self.newest) < MIN_OUTAGE_FOR_EXPIRY
     }
 }
 
-/// What news of the store changes.
+/// What a recorded contact span changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum StoreNews {
-    /// Nothing.
+pub enum StoreUpdate {
+    /// The store's state is unchanged.
     Unchanged,
-    /// The store answers again. Nobody who is heard had an answer since that moment: entries may have lapsed.
+    /// The store answers again after an outage. No known VM had an answer since `since`: entries may have expired.
     Returned {
-        /// The newest moment before, at which it had answered.
+        /// The last known answer before the outage.
         since: TimePoint,
     },
-    /// It had answered others all the while: only this VM was cut off, and nothing has lapsed.
-    NeverAway,
+    /// The store answered other VMs throughout: only this VM was cut off, and no entries have expired.
+    NoOutage,
 }
 
-/// When the store answered anybody.
+/// Tracks when the store answered any VM.
 ///
-/// Failure: the store turns one VM away, or a cut hides it, and serves all others. Symptom: the VM takes that for an
-/// outage of the store, and servers that left meanwhile for servers whose entries lapsed; requests reach them until they
-/// end. A VM alone can't tell the two apart. Each VM therefore tells the span in which the store is known to have
-/// answered, and spans that overlap are joined: one VM that reads the store proves to all that it stands.
+/// If the store rejects one VM, or a network partition separates them, that VM alone can't distinguish this from an
+/// outage of the store. It would assume that the entries of servers that left meanwhile have merely expired, and send
+/// these servers requests until they stop. Each VM therefore reports the span in which the store is known to have
+/// answered, and overlapping spans are merged: one VM that can read the store proves to all that there is no outage.
 ///
 /// # Examples
 ///
 /// ```
-/// use quincevalve_forwarding::store_contact::{Contact, StoreContact, StoreNews};
+/// use quincevalve_forwarding::store_contact::{ContactSpan, StoreContact, StoreUpdate};
 /// use quincevalve_names::TimePoint;
 /// let ms = TimePoint::from_millis;
 /// let mut contact = StoreContact::default();
-/// contact.heard(Contact::at(ms(1_000)));
-/// assert_eq!(contact.heard(Contact::at(ms(9_000))), StoreNews::Returned { since: ms(1_000) });
-/// let told = Contact { since: ms(500), newest: ms(8_900) };
-/// assert_eq!(contact.heard(told), StoreNews::NeverAway);
+/// contact.record(ContactSpan::at(ms(1_000)));
+/// assert_eq!(contact.record(ContactSpan::at(ms(9_000))), StoreUpdate::Returned { since: ms(1_000) });
+/// let reported = ContactSpan { since: ms(500), newest: ms(8_900) };
+/// assert_eq!(contact.record(reported), StoreUpdate::NoOutage);
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StoreContact {
-    contact: Option<Contact>,
+    newest: Option<ContactSpan>,
     /// The span before the newest gap.
-    before_gap: Option<Contact>,
+    before_gap: Option<ContactSpan>,
 }
 
 impl StoreContact {
-    /// Takes a span in which the store answered this VM or one that it hears.
-    pub fn heard(&mut self, heard: Contact) -> StoreNews {
-        let Some(known) = self.contact else {
-            self.contact = Some(heard);
-            return StoreNews::Unchanged;
+    /// Records a span in which the store answered this VM or a VM that reported it.
+    pub fn record(&mut self, span: ContactSpan) -> StoreUpdate {
+        let Some(known) = self.newest else {
+            self.newest = Some(span);
+            return StoreUpdate::Unchanged;
         };
-        if !known.reaches(&heard) {
+        if !known.is_contiguous_with(&span) {
             self.before_gap = Some(known);
-            self.contact = Some(heard);
-            return StoreNews::Returned { since: known.newest };
+            self.newest = Some(span);
+            return StoreUpdate::Returned { since: known.newest };
         }
-        if !heard.reaches(&known) {
-            // It ended long before what is known began.
-            return StoreNews::Unchanged;
+        if !span.is_contiguous_with(&known) {
+            // `span` ended long before the known span began.
+            return StoreUpdate::Unchanged;
         }
-        let joined =
-            Contact { since: known.since.min(heard.since), newest: known.newest.max(heard.newest) };
+        let joined = ContactSpan {
+            since: known.since.min(span.since),
+            newest: known.newest.max(span.newest),
+        };
         match self.before_gap {
-            Some(before) if before.reaches(&joined) => {
+            Some(before) if before.is_contiguous_with(&joined) => {
                 self.before_gap = None;
-                self.contact = Some(Contact { since: before.since.min(joined.since), ..joined });
-                StoreNews::NeverAway
+                self.newest = Some(ContactSpan { since: before.since.min(joined.since), ..joined });
+                StoreUpdate::NoOutage
             }
             _ => {
-                self.contact = Some(joined);
-                StoreNews::Unchanged
+                self.newest = Some(joined);
+                StoreUpdate::Unchanged
             }
         }
     }
 
-    /// The newest moment at which the store answered, if that is so long ago that entries may lapse.
-    pub fn away_since(&self, now: TimePoint) -> Option<TimePoint> {
-        let newest = self.contact?.newest;
-        (now.since(newest) >= LAPSE_AFTER).then_some(newest)
+    /// Returns the time of the newest known answer of the store if entries may have expired since.
+    pub fn unreachable_since(&self, now: TimePoint) -> Option<TimePoint> {
+        let newest = self.newest?.newest;
+        (now.since(newest) >= MIN_OUTAGE_FOR_EXPIRY).then_some(newest)
     }
 
-    /// The newest span in which it answered, to tell others.
-    pub fn contact(&self) -> Option<Contact> {
-        self.contact
+    /// Returns the newest contact span, for reports to other VMs.
+    pub fn newest_span(&self) -> Option<ContactSpan> {
+        self.newest
     }
 }
--- a/crates/quincevalve_forwarding/src/store_pacing.rs
+++ b/crates/quincevalve_forwarding/src/store_pacing.rs
@@ -1,182 +1,198 @@
-//! Which entry VMs ask the platform's store, and how soon again.
+//! Which entry VMs call the platform's store, and the pauses between their calls.
 //!
-//! Load: hundreds of entry VMs, and a store that counts every call, a refused one too. What one VM reads, all others are
-//! told within a few tenths of a second, so calls need not grow with the number of VMs. Two VMs read for all; one in each
-//! data centre stands by, and everyone else asks only where it is told nothing any more.
+//! There are hundreds of entry VMs, and the store counts every call, including rejected ones. What one VM reads is
+//! reported to all others within a few tenths of a second, so the number of calls need not grow with the number of VMs.
+//! Two VMs read for all; one VM in each data centre is a standby, and all others call the store only when reports stop
+//! arriving.
 
 use std::time::Duration;
 
 use quincevalve_names::TimePoint;
 
-/// A VM that stands by reads the store itself once what it is told is older than this part of the time in which a change
-/// must be in force: about a second, twice the longest time between two proofs of a reader that answers.
-const STAND_BY_PART: f64 = 0.3;
-/// The same for all others. Reading the store takes its part of the rest.
-const TOLD_PART: f64 = 0.6;
-/// Pause of a reader after an answer. Servers renew their entries many times a second, so a waiting question
-/// is answered at once; few VMs read for all others, so the pause is short.
+/// A standby reads the store itself once its newest freshness confirmation is older than this fraction of the time in
+/// which a change must be in force: about a second, twice the longest time between two confirmations of a reachable
+/// reader.
+const STANDBY_MAX_AGE_FRACTION: f64 = 0.3;
+/// Same as [`STANDBY_MAX_AGE_FRACTION`], for followers. Reading the store takes a share of the remaining time.
+const FOLLOWER_MAX_AGE_FRACTION: f64 = 0.6;
+/// Pause of a reader or standby after an answer. Servers renew their entries many times a second, so a long poll is
+/// answered at once; the pause is short because few VMs read for all others.
 const READER_PAUSE: Duration = Duration::from_millis(300);
-/// Pause of a VM that reads for itself alone, since what it is told is too old.
-const LONE_PAUSE: Duration = Duration::from_millis(900);
-/// Pause after a failure: short, for a VM without a new proof refuses keys soon.
-const FAILED_PAUSE: Duration = Duration::from_millis(250);
-/// The longest pause after several failures in a row. Refused calls cost as much as others.
-const LONGEST_FAILED_PAUSE: Duration = Duration::from_millis(700);
-/// Pause after each failure of a VM of a large system that reads for itself alone.
+/// Pause of a follower that reads for itself because its reports are too old.
+const FOLLOWER_PAUSE: Duration = Duration::from_millis(900);
+/// Pause after the first failure: short, because a VM without a new freshness confirmation soon rejects API keys.
+const INITIAL_FAILURE_PAUSE: Duration = Duration::from_millis(250);
+/// Maximum pause after several consecutive failures. Rejected calls cost as much as others.
+const MAX_FAILURE_PAUSE: Duration = Duration::from_millis(700);
+/// Pause of a follower in a large system after each failure.
 ///
-/// Load: the store is down, or a data centre is cut off from it, and all its VMs are told nothing. Fifty of them would ask
-/// a store that answers nobody seventy times a second. The one that collects for them asks as often as a reader, and
-/// they hear of its first answer at once; they ask themselves only for the case that the store turns just that one away.
-const LONE_FAILED_PAUSE: Duration = Duration::from_millis(1_500);
-/// A VM that others tell the newest configuration within this part of the time in which it must be in force needn't
-/// read it from the store: others pass it on after a few tenths of a second.
-const PASSED_ON_PART: f64 = 0.3;
-/// For so long a VM that only is told of the store leaves the duties to those that read it: three tries of theirs.
-const DUTY_PATIENCE: Duration = Duration::from_millis(1_500);
-/// Time over which the other VMs spread their tries after that, for each of them. A new holder is known everywhere within
-/// half a second, so that some twenty try, however many there are.
-const DUTY_SPREAD_EACH: Duration = Duration::from_millis(25);
+/// When the store is down, or a data centre is cut off from it, no VM there receives reports. Fifty followers would
+/// send seventy requests a second to an unreachable store. Their collector calls it as often as a reader does and
+/// reports its first answer at once; followers call the store only in case it rejects just that collector.
+const FOLLOWER_FAILURE_PAUSE: Duration = Duration::from_millis(1_500);
+/// A VM waits for this fraction of the time in which a configuration must be in force before it reads the configuration
+/// from the store: peers relay it within a few tenths of a second.
+const PEER_RELAY_FRACTION: f64 = 0.3;
+/// Time that a follower leaves the takeover of duties to the VMs that read the store: three attempts of theirs.
+const FOLLOWER_TAKEOVER_DELAY: Duration = Duration::from_millis(1_500);
+/// Time per VM over which followers spread their takeover attempts after that delay. A new holder is known everywhere
+/// within half a second, so that about twenty VMs attempt it, regardless of how many there are.
+const TAKEOVER_SPREAD_PER_VM: Duration = Duration::from_millis(25);
 
 /// How a VM takes part in reading the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReadingPart {
-    /// It reads the store for all.
+pub enum StoreReadRole {
+    /// Reads the store for all VMs.
     Reader,
-    /// It passes on what readers tell, and reads once that grows old.
-    StandBy,
-    /// It is told, and reads for itself where it is told nothing.
-    Told,
+    /// Relays the reports of readers, and reads the store once these are too old.
+    Standby,
+    /// Relies on reports, and reads the store for itself alone when none arrive.
+    Follower,
 }
 
-impl ReadingPart {
-    /// The age of the newest proof beyond which a VM reads the store itself; `change_in_force` is the time in which a
-    /// change must be in force everywhere.
+impl StoreReadRole {
+    /// Returns the maximum age of the newest freshness confirmation: if it is older, the VM reads the store itself.
+    /// `change_in_force` is the time in which a change must be in force everywhere.
     ///
     /// # Examples
     ///
     /// ```
     /// use std::time::Duration;
-    /// use quincevalve_forwarding::store_pacing::ReadingPart;
+    /// use quincevalve_forwarding::store_pacing::StoreReadRole;
     /// let in_force = Duration::from_secs(4);
-    /// assert!(ReadingPart::Reader.longest_told_age(in_force).is_zero());
-    /// assert!(ReadingPart::StandBy.longest_told_age(in_force) < ReadingPart::Told.longest_told_age(in_force));
-    /// assert!(ReadingPart::Told.longest_told_age(in_force) < in_force);
+    /// assert!(StoreReadRole::Reader.max_confirmation_age(in_force).is_zero());
+    /// assert!(
+    ///     StoreReadRole::Standby.max_confirmation_age(in_force)
+    ///         < StoreReadRole::Follower.max_confirmation_age(in_force)
+    /// );
+    /// assert!(StoreReadRole::Follower.max_confirmation_age(in_force) < in_force);
     /// ```
-    pub fn longest_told_age(self, change_in_force: Duration) -> Duration {
+    pub fn max_confirmation_age(self, change_in_force: Duration) -> Duration {
         match self {
             Self::Reader => Duration::ZERO,
-            Self::StandBy => change_in_force.mul_f64(STAND_BY_PART),
-            Self::Told => change_in_force.mul_f64(TOLD_PART),
+            Self::Standby => change_in_force.mul_f64(STANDBY_MAX_AGE_FRACTION),
+            Self::Follower => change_in_force.mul_f64(FOLLOWER_MAX_AGE_FRACTION),
         }
     }
 
-    /// The pause after an answer of the store.
-    pub fn pause(self) -> Duration {
+    /// Returns the pause after an answer of the store.
+    pub fn pause_after_answer(self) -> Duration {
         match self {
-            Self::Reader | Self::StandBy => READER_PAUSE,
-            Self::Told => LONE_PAUSE,
+            Self::Reader | Self::Standby => READER_PAUSE,
+            Self::Follower => FOLLOWER_PAUSE,
         }
     }
 
-    /// The pause after `failures` failed calls in a row, one at least. `is_small` says whether few VMs ask.
+    /// Returns the pause after `failures` consecutive failed calls, at least one. `is_small` states whether the system
+    /// has few VMs.
     ///
     /// # Examples
     ///
     /// ```
-    /// use quincevalve_forwarding::store_pacing::ReadingPart;
-    /// let (reader, told) = (ReadingPart::Reader, ReadingPart::Told);
+    /// use quincevalve_forwarding::store_pacing::StoreReadRole;
+    /// let (reader, follower) = (StoreReadRole::Reader, StoreReadRole::Follower);
     /// assert!(reader.pause_after_failures(1, false) < reader.pause_after_failures(9, false));
-    /// assert!(reader.pause_after_failures(9, false) < told.pause_after_failures(9, false));
-    /// assert_eq!(reader.pause_after_failures(9, true), told.pause_after_failures(9, true));
+    /// assert!(reader.pause_after_failures(9, false) < follower.pause_after_failures(9, false));
+    /// assert_eq!(reader.pause_after_failures(9, true), follower.pause_after_failures(9, true));
     /// ```
     pub fn pause_after_failures(self, failures: u32, is_small: bool) -> Duration {
-        if self == Self::Told && !is_small {
-            return LONE_FAILED_PAUSE;
+        if self == Self::Follower && !is_small {
+            return FOLLOWER_FAILURE_PAUSE;
         }
-        (FAILED_PAUSE * (1 << failures.saturating_sub(1).min(2))).min(LONGEST_FAILED_PAUSE)
+        (INITIAL_FAILURE_PAUSE * (1 << failures.saturating_sub(1).min(2))).min(MAX_FAILURE_PAUSE)
     }
 
-    /// For how long a VM leaves the duties without a holder before it tries to take them over; `draw` is a random number
-    /// from 0 to 1 that the VM keeps until there is a holder.
+    /// Returns how long a VM waits before it attempts to take over duties that have no holder. `draw` is a random
+    /// number from 0 to 1 that the VM keeps until there is a holder.
     ///
-    /// Load: the holder is gone, and hundreds of VMs see it at the same moment. If all try, each makes three calls, and all
-    /// but one VM's are in vain. Those that read the store try at once; where none of them can, the others follow one after
-    /// the other.
+    /// When the holder fails, hundreds of VMs observe it at the same time. If all of them attempted a takeover, each
+    /// would make three calls, and those of all but one VM would fail. VMs that read the store attempt it at once; if
+    /// none of them succeeds, the others follow one after the other.
     ///
     /// # Examples
     ///
     /// ```
     /// use std::time::Duration;
-    /// use quincevalve_forwarding::store_pacing::ReadingPart;
-    /// assert!(ReadingPart::StandBy.duty_patience(300, 0.9).is_zero());
-    /// assert!(ReadingPart::Told.duty_patience(300, 0.1) < ReadingPart::Told.duty_patience(300, 0.9));
+    /// use quincevalve_forwarding::store_pacing::StoreReadRole;
+    /// assert!(StoreReadRole::Standby.duty_takeover_delay(300, 0.9).is_zero());
+    /// assert!(
+    ///     StoreReadRole::Follower.duty_takeover_delay(300, 0.1)
+    ///         < StoreReadRole::Follower.duty_takeover_delay(300, 0.9)
+    /// );
     /// ```
-    pub fn duty_patience(self, vms: usize, draw: f64) -> Duration {
+    pub fn duty_takeover_delay(self, vms: usize, draw: f64) -> Duration {
         match self {
-            Self::Reader | Self::StandBy => Duration::ZERO,
-            Self::Told => DUTY_PATIENCE + DUTY_SPREAD_EACH.mul_f64(vms as f64 * draw),
+            Self::Reader | Self::Standby => Duration::ZERO,
+            Self::Follower => {
+                FOLLOWER_TAKEOVER_DELAY + TAKEOVER_SPREAD_PER_VM.mul_f64(vms as f64 * draw)
+            }
         }
     }
 }
 
-/// A way to get a configuration that others have.
+/// Where a VM gets a configuration that its peers already have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConfigSource {
-    /// A copy of the store that may be old, for a tenth of the price.
-    OldCopy,
-    /// Other VMs pass it on; the store isn't asked.
+    /// A replica of the store that may be stale, at a tenth of the price of a consistent read.
+    StaleRead,
+    /// Other VMs, which relay it; the store isn't called.
     Peers,
-    /// The store itself.
-    Newest,
+    /// A consistent read of the store.
+    ConsistentRead,
 }
 
-/// The configuration that a VM lacks, and how it gets it.
+/// A configuration that a VM doesn't have yet, and the next source to get it from.
 ///
-/// Load: the operators change the configuration, and all VMs lack it at the same moment. Half of the copies of the store
-/// don't have it yet, and a read of the newest by each VM costs as many calls. Other VMs have it, and pass it on well before it
-/// must be in force.
+/// When operators change the configuration, all VMs lack it at the same time. Half of the replicas of the store don't
+/// have it yet, and a consistent read by each VM costs one call per VM. VMs that have it relay it well before it must
+/// be in force.
 ///
 /// # Examples
 ///
 /// ```
 /// use std::time::Duration;
-/// use quincevalve_forwarding::store_pacing::{ConfigSource, LackedConfig};
+/// use quincevalve_forwarding::store_pacing::{ConfigSource, MissingConfig};
 /// use quincevalve_names::TimePoint;
 /// let (ms, in_force) = (TimePoint::from_millis, Duration::from_secs(4));
-/// let mut lacked = LackedConfig::new(7, ms(0));
-/// assert_eq!(lacked.next(7, in_force, ms(0)), ConfigSource::OldCopy);
-/// assert_eq!(lacked.next(7, in_force, ms(100)), ConfigSource::Peers);
-/// assert_eq!(lacked.next(7, in_force, ms(1_200)), ConfigSource::Newest);
+/// let mut missing = MissingConfig::new(7, ms(0));
+/// assert_eq!(missing.next_source(7, in_force, ms(0)), ConfigSource::StaleRead);
+/// assert_eq!(missing.next_source(7, in_force, ms(100)), ConfigSource::Peers);
+/// assert_eq!(missing.next_source(7, in_force, ms(1_200)), ConfigSource::ConsistentRead);
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LackedConfig {
+pub struct MissingConfig {
     version: u64,
     since: TimePoint,
-    old_copy_read: bool,
+    stale_read_done: bool,
 }
 
-impl LackedConfig {
-    /// A VM lacks `version` from `now` on.
+impl MissingConfig {
+    /// Creates the state of a VM that lacks `version` from `now` on.
     pub fn new(version: u64, now: TimePoint) -> Self {
-        Self { version, since: now, old_copy_read: false }
+        Self { version, since: now, stale_read_done: false }
     }
 
-    /// Where to get it from at this moment, when `newest` is the newest version that others have.
-    pub fn next(&mut self, newest: u64, change_in_force: Duration, now: TimePoint) -> ConfigSource {
-        // The time runs from the first version that is lacking: versions that follow each other faster must not put it
-        // off for ever.
+    /// Returns the source to use now, where `newest` is the newest version that peers have.
+    pub fn next_source(
+        &mut self,
+        newest: u64,
+        change_in_force: Duration,
+        now: TimePoint,
+    ) -> ConfigSource {
+        // The time counts from the first missing version: versions in quick succession must not postpone a consistent
+        // read indefinitely.
         if newest > self.version {
             self.version = newest;
-            self.old_copy_read = false;
+            self.stale_read_done = false;
         }
-        if now.since(self.since) >= change_in_force.mul_f64(PASSED_ON_PART) {
+        if now.since(self.since) >= change_in_force.mul_f64(PEER_RELAY_FRACTION) {
             self.since = now;
-            return ConfigSource::Newest;
+            return ConfigSource::ConsistentRead;
         }
-        if std::mem::replace(&mut self.old_copy_read, true) {
+        if std::mem::replace(&mut self.stale_read_done, true) {
             ConfigSource::Peers
         } else {
-            ConfigSource::OldCopy
+            ConfigSource::StaleRead
         }
     }
 }
--- a/crates/quincevalve_forwarding/src/sums.rs
+++ b/crates/quincevalve_forwarding/src/sums.rs
@@ -17,7 +17,7 @@
 const PARTIAL_SUM_TTL: Duration = Duration::from_millis(800);
 
 /// Work at servers, by a hash of the server's name.
-pub type Works = IndexMap<u64, WorkSum>;
+pub type ServerWork = IndexMap<u64, WorkSum>;
 
 /// Quota units admitted per second, by account.
 pub type Spending = IndexMap<ClientAccountName, f64>;
@@ -27,11 +27,11 @@
 
 /// The load sums that one VM, or a collector on behalf of its members, reports.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Share {
+pub struct PartialSum {
     /// Number of VMs that this sum covers.
     pub vms: u32,
     /// Their work at each server.
-    pub works: Works,
+    pub server_work: ServerWork,
     /// Quota units that they admit per second, by account.
     pub spending: Spending,
     /// Their admitted work in busy servers, by service.
@@ -45,10 +45,10 @@
 /// A digest is sent to each VM of a data centre several times a second, so its size must not grow with the number of
 /// servers. It lists the busiest servers. The receiver assumes that an unlisted server has only the receiver's own
 /// work; this is tolerable because every VM compares several servers for each request.
-pub const NAMED_TO_MEMBER: usize = 300;
+pub const MAX_SERVERS_TO_MEMBER: usize = 300;
 /// Maximum number of servers in a digest from a collector to another collector, which adds up such digests: the overall
 /// busiest servers are among the busiest of a data centre.
-pub const NAMED_TO_COLLECTOR: usize = 900;
+pub const MAX_SERVERS_TO_COLLECTOR: usize = 900;
 /// Fraction of its quota below which an account's spending isn't reported to members: at such a rate, no request is
 /// rejected for exceeding the quota.
 const MIN_REPORTED_QUOTA_FRACTION: f64 = 0.25;
@@ -56,12 +56,12 @@
 /// Remainders of a subtraction below this value, in quota units per second or in busy servers, are rounding errors.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
 
-impl Share {
+impl PartialSum {
     /// Adds another partial sum to this one.
     pub fn add(&mut self, other: &Self) {
         self.vms += other.vms;
-        for (server, work) in &other.works {
-            let known = self.works.entry(*server).or_default();
+        for (server, work) in &other.server_work {
+            let known = self.server_work.entry(*server).or_default();
             *known = known.plus(*work);
         }
         for (account, spending) in &other.spending {
@@ -74,19 +74,19 @@
     }
 
     /// Keeps the `servers` busiest servers and drops all others.
-    pub fn name_busiest(&mut self, servers: usize) {
-        if self.works.len() <= servers {
+    pub fn keep_busiest_servers(&mut self, servers: usize) {
+        if self.server_work.len() <= servers {
             return;
         }
         let sort_key = |server: &u64, work: &WorkSum| (Reverse(work.weight()), *server);
         let mut sort_keys: Vec<_> =
-            self.works.iter().map(|(server, it)| sort_key(server, it)).collect();
+            self.server_work.iter().map(|(server, it)| sort_key(server, it)).collect();
         let first_dropped = *sort_keys.select_nth_unstable(servers).1;
-        self.works.retain(|server, it| sort_key(server, it) < first_dropped);
+        self.server_work.retain(|server, it| sort_key(server, it) < first_dropped);
     }
 
     /// Drops the accounts that are far below their quotas.
-    pub fn drop_light_spending(&mut self, config: &ForwardingConfig) {
+    pub fn drop_low_spending(&mut self, config: &ForwardingConfig) {
         self.spending.retain(|account, spent| {
             let quota = config.accounts.get(account).and_then(|it| it.quota);
             quota.is_none_or(|it| *spent >= it.per_second * MIN_REPORTED_QUOTA_FRACTION)
@@ -95,15 +95,15 @@
 
     /// Returns whether requests began or ended, or roll-out observations changed, since the VM reported `before`. The
     /// decay of recently sent work over time doesn't count as a change.
-    pub fn has_news_since(&self, before: &Self) -> bool {
+    pub fn has_changed_since(&self, before: &Self) -> bool {
         let is_unchanged = |(server, work): (&u64, &WorkSum)| {
-            before.works.get(server).is_some_and(|it| it.is_same_but_faded(*work))
+            before.server_work.get(server).is_some_and(|it| it.is_same_but_faded(*work))
         };
         let has_ended = |(server, work): (&u64, &WorkSum)| {
-            work.requests > 0 && !self.works.contains_key(server)
+            work.requests > 0 && !self.server_work.contains_key(server)
         };
-        !self.works.iter().all(is_unchanged)
-            || before.works.iter().any(has_ended)
+        !self.server_work.iter().all(is_unchanged)
+            || before.server_work.iter().any(has_ended)
             || self.rollouts != before.rollouts
     }
 
@@ -113,12 +113,12 @@
     /// quadratic in the number of members; subtracting each member's partial sum from the total takes linear time.
     pub fn without(&self, subtrahend: &Self) -> Self {
         let work = |(server, sum): (&u64, &WorkSum)| {
-            let rest = subtrahend.works.get(server).map_or(*sum, |it| sum.minus(*it));
+            let rest = subtrahend.server_work.get(server).map_or(*sum, |it| sum.minus(*it));
             (rest != WorkSum::default()).then_some((*server, rest))
         };
         Self {
             vms: self.vms.saturating_sub(subtrahend.vms),
-            works: self.works.iter().filter_map(work).collect(),
+            server_work: self.server_work.iter().filter_map(work).collect(),
             spending: subtract_rates(&self.spending, &subtrahend.spending),
             demand: subtract_rates(&self.demand, &subtrahend.demand),
             rollouts: shares_without(&self.rollouts, &subtrahend.rollouts),
@@ -140,24 +140,24 @@
 #[derive(Clone, Debug)]
 struct Received {
     at: TimePoint,
-    partial_sum: Share,
+    partial_sum: PartialSum,
 }
 
 /// The newest partial sum of each sender.
 #[derive(Clone, Debug, Default)]
-pub struct Sums {
+pub struct PartialSums {
     received: HashMap<String, Received>,
 }
 
-impl Sums {
+impl PartialSums {
     /// Stores a sender's newest partial sum and drops expired ones.
-    pub fn take(&mut self, sender: &str, partial_sum: Share, now: TimePoint) {
+    pub fn insert(&mut self, sender: &str, partial_sum: PartialSum, now: TimePoint) {
         self.received.retain(|_, it| now.since(it.at) <= PARTIAL_SUM_TTL);
         self.received.insert(sender.to_owned(), Received { at: now, partial_sum });
     }
 
     /// Returns whether any sender's partial sum is fresh.
-    pub fn is_fresh(&self, now: TimePoint) -> bool {
+    pub fn has_fresh(&self, now: TimePoint) -> bool {
         self.fresh(now).next().is_some()
     }
 
@@ -167,13 +167,13 @@
     }
 
     /// Adds all fresh partial sums except that of `except` to `sum`.
-    pub fn add_to(&self, sum: &mut Share, except: Option<&str>, now: TimePoint) {
+    pub fn add_to(&self, sum: &mut PartialSum, except: Option<&str>, now: TimePoint) {
         let others = self.fresh(now).filter(|(sender, _)| Some(sender.as_str()) != except);
         others.for_each(|(_, it)| sum.add(&it.partial_sum));
     }
 
     /// Returns a sender's partial sum if it is fresh.
-    pub fn told(&self, sender: &str, now: TimePoint) -> Option<&Share> {
+    pub fn get(&self, sender: &str, now: TimePoint) -> Option<&PartialSum> {
         let received =
             self.received.get(sender).filter(|it| now.since(it.at) <= PARTIAL_SUM_TTL)?;
         Some(&received.partial_sum)
--- a/crates/quincevalve_forwarding/src/usage.rs
+++ b/crates/quincevalve_forwarding/src/usage.rs
@@ -1,4 +1,4 @@
-//! How many requests of each account began to run, by window of true time.
+//! Counts of the requests of each account that began to run, by window of wall-clock time.
 
 use std::collections::BTreeMap;
 
@@ -6,64 +6,70 @@
 use quincevalve_names::ClientAccountName;
 use serde::{Deserialize, Serialize};
 
-/// The number of a window: windows of one length follow each other since 1970.
+/// Number of a window: windows have the same length and are numbered from 1970.
 pub type Window = u64;
 
 /// Counts of one source, by window and account.
 pub type Counts = BTreeMap<Window, IndexMap<ClientAccountName, u64>>;
 
-/// Windows kept after they have ended: enough to report late and to survive a change of holder.
-const KEPT: u64 = 4;
+/// Number of windows retained after their end: enough for late reports and for a change of the duty holder.
+const RETAINED_WINDOWS: u64 = 4;
 
-/// The counts of all sources, as one holder of the duties keeps them for the next.
+/// The counts of all sources, as one holder of the duties stores them for the next.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Kept {
-    /// The VM and its start that counted, and what it counted.
+pub struct UsageSnapshot {
+    /// Name and incarnation of each VM, with its counts.
     sources: Vec<(String, u64, Counts)>,
 }
 
-/// This entry VM's own counts and, by incarnation, those that its peers told last.
+/// This entry VM's own counts and the newest counts that its peers reported, by incarnation.
 ///
-/// Failure: an entry VM is killed with counts that it has not reported. Symptom: the window's report is
-/// short. Counts are told to peers as running totals several times a second, and a peer's last totals are
-/// kept after it has gone.
+/// If an entry VM is killed, counts that only it knows would be missing from the window's report. Each VM therefore
+/// sends its running totals to its peers several times a second, and these retain a peer's last totals after it is
+/// gone.
 #[derive(Clone, Debug, Default)]
 pub struct Usage {
     own: Counts,
     peers: IndexMap<(String, u64), Counts>,
-    /// True time at each peer when it sent its newest digest, in milliseconds.
-    told: IndexMap<String, i64>,
+    /// Wall-clock time in milliseconds at which each peer sent its newest digest.
+    newest_sent_ms: IndexMap<String, i64>,
 }
 
 impl Usage {
-    /// Notes a request that began to run.
-    pub fn began(&mut self, window: Window, account: &ClientAccountName) {
+    /// Counts a request that began to run.
+    pub fn record_start(&mut self, window: Window, account: &ClientAccountName) {
         *self.own.entry(window).or_default().entry(account.clone()).or_default() += 1;
-        self.forget_before(window.saturating_sub(KEPT));
+        self.drop_windows_before(window.saturating_sub(RETAINED_WINDOWS));
     }
 
-    /// This VM's own counts, for its peers.
+    /// Returns this VM's own counts, for its peers.
     pub fn own(&self) -> &Counts {
         &self.own
     }
 
-    /// Takes a peer's running totals; lower ones come from reordered messages and change nothing.
-    pub fn heard(&mut self, peer: &str, incarnation: u64, counts: &Counts, sent_ms: i64) {
-        let told = self.told.entry(peer.to_owned()).or_insert(sent_ms);
-        *told = sent_ms.max(*told);
+    /// Merges a peer's running totals. Lower totals come from reordered messages and change nothing.
+    pub fn merge_peer_totals(
+        &mut self,
+        peer: &str,
+        incarnation: u64,
+        counts: &Counts,
+        sent_ms: i64,
+    ) {
+        let newest_sent_ms = self.newest_sent_ms.entry(peer.to_owned()).or_insert(sent_ms);
+        *newest_sent_ms = sent_ms.max(*newest_sent_ms);
         merge(self.peers.entry((peer.to_owned(), incarnation)).or_default(), counts);
     }
 
-    /// The part of a window's counts that may still be told, where each of these peers and this VM has an equal
-    /// share. The window began at `begin_ms` of true time; a peer has told all of it that sent a digest at
-    /// `since_ms` or later.
+    /// Returns the fraction of a window's counts that may not have been reported yet, assuming that this VM and each of
+    /// `peers` have an equal share of them. The window began at wall-clock time `begin_ms`; a peer that sent a digest
+    /// at `since_ms` or later has reported all of its counts.
     ///
-    /// Failure: a digest waits at a busy VM. Symptom: it is heard after a window's end and taken for whole,
-    /// though it was sent before. The time of sending counts.
+    /// The time of sending counts, not the time of receipt: a digest that waits at a busy VM may be received after the
+    /// window's end although it was sent before, and is incomplete.
     ///
-    /// Failure: one of many VMs is gone for good, and its entry still stands. Symptom: reports wait for it, and are
-    /// lost when the holder goes too. Who waits knows how little is lacking.
-    pub fn missing_part<'a>(
+    /// When one of many VMs fails for good while its entry still exists, reports that wait for it would be lost if the
+    /// holder fails too. The returned fraction lets the holder decide that too little is missing to wait for.
+    pub fn missing_fraction<'a>(
         &self,
         peers: impl Iterator<Item = &'a str>,
         begin_ms: i64,
@@ -73,37 +79,42 @@
         let mut sources = 1.0;
         let mut missing = 0.0;
         for peer in peers {
-            let told = self.told.get(peer).copied().unwrap_or(begin_ms);
+            let sent_ms = self.newest_sent_ms.get(peer).copied().unwrap_or(begin_ms);
             sources += 1.0;
-            missing += (since_ms - told.max(begin_ms)).max(0) as f64 / length;
+            missing += (since_ms - sent_ms.max(begin_ms)).max(0) as f64 / length;
         }
         missing / sources
     }
 
-    /// What is known of windows from `since` on, for a successor. `me` is this VM and its start.
+    /// Returns all known counts of windows from `since` on, to be stored for a successor. `me` is the name and
+    /// incarnation of this VM.
     ///
-    /// Failure: all VMs are killed at the same moment, with windows that have ended and are not reported. Symptom:
-    /// their reports say that nothing began. What one holder knew outlives all VMs in the store.
-    pub fn keep(&self, me: (&str, u64), since: Window) -> Kept {
-        let newer = |counts: &Counts| -> Counts {
+    /// If all VMs are killed at the same time after windows have ended but before they are reported, the reports would
+    /// state that no request began. The snapshot in the store survives the loss of all VMs.
+    pub fn snapshot(&self, me: (&str, u64), since: Window) -> UsageSnapshot {
+        let from_since = |counts: &Counts| -> Counts {
             counts.range(since..).map(|(window, it)| (*window, it.clone())).collect()
         };
-        let own = std::iter::once((me.0.to_owned(), me.1, newer(&self.own)));
+        let own = std::iter::once((me.0.to_owned(), me.1, from_since(&self.own)));
         let peers = self.peers.iter();
-        let peers = peers.map(|((name, start), it)| (name.clone(), *start, newer(it)));
-        Kept { sources: own.chain(peers).filter(|(.., counts)| !counts.is_empty()).collect() }
+        let peers =
+            peers.map(|((name, incarnation), it)| (name.clone(), *incarnation, from_since(it)));
+        UsageSnapshot {
+            sources: own.chain(peers).filter(|(.., counts)| !counts.is_empty()).collect(),
+        }
     }
 
-    /// Takes what a holder before kept. Each source's totals only grow, so what is known of it already stays.
-    pub fn recall(&mut self, kept: Kept, me: (&str, u64)) {
-        for (name, start, counts) in kept.sources {
-            if (name.as_str(), start) != me {
-                merge(self.peers.entry((name, start)).or_default(), &counts);
+    /// Merges the snapshot of a previous holder. Each source's totals only grow, so higher totals that are already
+    /// known remain.
+    pub fn restore(&mut self, snapshot: UsageSnapshot, me: (&str, u64)) {
+        for (name, incarnation, counts) in snapshot.sources {
+            if (name.as_str(), incarnation) != me {
+                merge(self.peers.entry((name, incarnation)).or_default(), &counts);
             }
         }
     }
 
-    /// The sum of a window over all sources.
+    /// Returns the counts of a window, summed over all sources.
     pub fn total(&self, window: Window) -> IndexMap<ClientAccountName, u64> {
         let mut sum = IndexMap::new();
         let sources = std::iter::once(&self.own).chain(self.peers.values());
@@ -113,7 +124,7 @@
         sum
     }
 
-    fn forget_before(&mut self, window: Window) {
+    fn drop_windows_before(&mut self, window: Window) {
         for counts in std::iter::once(&mut self.own).chain(self.peers.values_mut()) {
             *counts = counts.split_off(&window);
         }
@@ -121,7 +132,7 @@
     }
 }
 
-/// Takes running totals of a source; lower ones than known change nothing.
+/// Merges the running totals of a source. Totals lower than the known ones change nothing.
 fn merge(known: &mut Counts, counts: &Counts) {
     for (window, accounts) in counts {
         let known = known.entry(*window).or_default();
--- a/crates/quincevalve_forwarding/src/wall_clock.rs
+++ b/crates/quincevalve_forwarding/src/wall_clock.rs
@@ -1,35 +1,38 @@
-//! True time from clocks that may jump.
+//! Estimate of wall-clock time from clocks that may jump.
 
 use std::{collections::HashMap, hash::Hash, time::Duration};
 
 use quincevalve_names::TimePoint;
 
-/// Estimates true time as the median of what this VM's and its peers' time of day say.
+/// Estimates wall-clock time as the median of the system clocks of this VM and its peers.
 ///
-/// Failure: the time of day of some VMs jumps by seconds. Symptom: usage is booked in a window that has
-/// passed or not begun. A minority of wrong clocks doesn't move the median.
+/// If the system clock of some VMs jumps by seconds, their usage would be counted in a window that has passed or not
+/// begun. A minority of wrong clocks doesn't move the median.
 #[derive(Clone, Debug)]
 pub struct WallClock<P> {
-    /// Milliseconds of true time at the origin of this VM's steady clock, as each source says.
+    /// Wall-clock time in milliseconds at the origin of this VM's monotonic clock, by source, with the time of the
+    /// reading.
     offsets: HashMap<P, (TimePoint, i64)>,
-    /// The offset that a VM with more sources reckoned, and when.
-    trusted: Option<(TimePoint, i64)>,
+    /// The offset that a VM with more sources estimated, with the time at which it was received.
+    estimated: Option<(TimePoint, i64)>,
 }
 
-/// What a VM with more sources reckoned counts for this long.
-const TRUSTED_FOR: Duration = Duration::from_secs(3);
-/// A digest that was on its way for long reads like a clock that is slow. The fastest of so long counts.
-const FASTEST_OF: Duration = Duration::from_secs(3);
+/// Lifetime of an estimate from a VM with more sources.
+const ESTIMATE_TTL: Duration = Duration::from_secs(3);
+/// A digest that was delayed looks like one from a slow clock. The fastest reading within this window counts.
+const FASTEST_READING_WINDOW: Duration = Duration::from_secs(3);
 
-/// Takes a new offset unless it only looks slow: the time on the way is always lost.
+/// Returns `known` if its offset is greater and its reading still within the window, otherwise `new`: transmission
+/// delay only ever makes an offset smaller.
 fn fastest(known: Option<(TimePoint, i64)>, new: (TimePoint, i64)) -> (TimePoint, i64) {
-    let is_better = |(at, offset): (TimePoint, i64)| offset > new.1 && new.0.since(at) < FASTEST_OF;
+    let is_better =
+        |(at, offset): (TimePoint, i64)| offset > new.1 && new.0.since(at) < FASTEST_READING_WINDOW;
     known.filter(|it| is_better(*it)).unwrap_or(new)
 }
 
 impl<P> Default for WallClock<P> {
     fn default() -> Self {
-        Self { offsets: HashMap::new(), trusted: None }
+        Self { offsets: HashMap::new(), estimated: None }
     }
 }
 
@@ -37,29 +40,29 @@
 where
     P: Hash + Eq,
 {
-    /// Takes one source's time of day, in milliseconds since 1970, read at `at` on this VM's clock.
-    pub fn heard(&mut self, source: P, wall_ms: i64, at: TimePoint) {
+    /// Records a source's system clock, in milliseconds since 1970, as read at `at` on this VM's monotonic clock.
+    pub fn record(&mut self, source: P, wall_ms: i64, at: TimePoint) {
         let new = (at, wall_ms - (at.as_micros() / 1_000).cast_signed());
         let known = self.offsets.get(&source).copied();
         self.offsets.insert(source, fastest(known, new));
     }
 
-    /// Takes true time as a VM with more sources reckoned it.
-    pub fn trust(&mut self, true_ms: i64, at: TimePoint) {
-        let new = (at, true_ms - (at.as_micros() / 1_000).cast_signed());
-        self.trusted = Some(fastest(self.trusted, new));
+    /// Records the wall-clock time, in milliseconds since 1970, that a VM with more sources estimated.
+    pub fn record_estimate(&mut self, wall_ms: i64, at: TimePoint) {
+        let new = (at, wall_ms - (at.as_micros() / 1_000).cast_signed());
+        self.estimated = Some(fastest(self.estimated, new));
     }
 
-    /// Forgets a source that has gone.
+    /// Removes a source that no longer exists.
     pub fn forget(&mut self, source: &P) {
         self.offsets.remove(source);
     }
 
-    /// True time in milliseconds since 1970; `None` before anything was heard.
-    pub fn true_ms(&self, now: TimePoint) -> Option<i64> {
+    /// Returns the estimated wall-clock time in milliseconds since 1970, or `None` if nothing was recorded yet.
+    pub fn estimate_ms(&self, now: TimePoint) -> Option<i64> {
         let now_ms = (now.as_micros() / 1_000).cast_signed();
-        if let Some((at, offset)) = self.trusted
-            && now.since(at) <= TRUSTED_FOR
+        if let Some((at, offset)) = self.estimated
+            && now.since(at) <= ESTIMATE_TTL
         {
             return Some(offset + now_ms);
         }
--- a/crates/quincevalve_forwarding/tests/digests.rs
+++ b/crates/quincevalve_forwarding/tests/digests.rs
@@ -1,4 +1,4 @@
-//! Who collects what entry VMs tell, and what the sums are.
+//! Choice of collectors, sums of what VMs report, change logs, usage totals, and clocks.
 
 mod support;
 
@@ -7,12 +7,12 @@
 use indexmap::IndexMap;
 use quincevalve_forwarding::{
     change_log::ChangeLog,
-    freshness::{Freshness, Touch},
+    freshness::{Freshness, FreshnessState},
     load::WorkSum,
     peer_book::{PeerBook, Role, VmCard},
-    store_pacing::ReadingPart,
-    sums::{Share, Sums},
-    usage::{Counts, Kept, Usage},
+    store_pacing::StoreReadRole,
+    sums::{PartialSum, PartialSums},
+    usage::{Counts, Usage, UsageSnapshot},
     wall_clock::WallClock,
 };
 use quincevalve_names::{ClientAccountName, TimePoint};
@@ -45,13 +45,13 @@
 }
 
 #[test]
-fn in_a_small_system_everyone_tells_everyone() {
+fn all_vms_of_a_small_system_send_digests_to_each_other() {
     let Role::Collector { others } = book(0, 8).role(false, ms(0)) else { panic!("a member") };
     assert_eq!(others.len(), 7);
 }
 
 #[test]
-fn in_a_large_system_the_strongest_of_a_data_centre_collects() {
+fn the_strongest_vm_of_a_data_centre_is_its_collector_in_a_large_system() {
     let chosen: HashSet<_> =
         (0..360).filter_map(|me| collector_of(&book(me, 360), ms(0))).collect();
     assert_eq!(chosen.len(), 4, "{chosen:?}");
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_collector_tells_one_vm_of_each_other_data_centre() {
+fn a_collector_sends_to_few_vms_of_other_data_centres() {
     let collectors = (0..360).filter(|me| collector_of(&book(*me, 360), ms(0)).is_none());
     for me in collectors {
         let Role::Collector { others } = book(me, 360).role(false, ms(0)) else { panic!("member") };
@@ -70,10 +70,10 @@
     }
 }
 
-// A VM's placements get worse by the second: the VM that collects for its data centre is gone, and nobody
-// answers. After less than a second the next one is chosen.
+// If a data centre's collector fails, its members place requests by increasingly outdated load sums. They choose the
+// next collector after less than a second.
 #[test]
-fn a_silent_collector_is_replaced() {
+fn replaces_a_silent_collector() {
     let mut book = book(100, 360);
     let first = collector_of(&book, ms(0)).unwrap();
     let address = book.card(&first).unwrap().address;
@@ -86,10 +86,10 @@
     assert_eq!(collector_of(&book, ms(1_000)), Some(first));
 }
 
-// Engines are overrun though most idle: all VMs started together, the strongest of a data centre answered too
-// late once, and weak VMs collected for good, unknown to other data centres. It is asked again, and used.
+// When all VMs start together, the strongest of a data centre may answer too late once. If weak VMs stayed collectors,
+// unknown to other data centres, some engines would be overloaded while most are idle. The strongest VM is tried again.
 #[test]
-fn a_collector_that_was_silent_once_is_asked_again() {
+fn tries_a_collector_again_that_was_silent_once() {
     let mut book = book(100, 360);
     let first = collector_of(&book, ms(0)).unwrap();
     let card = book.card(&first).unwrap().clone();
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn collectors_are_among_those_that_others_tell() {
+fn other_data_centres_send_to_a_replacement_collector() {
     let mut book = book(100, 360);
     for _ in 0..10 {
         if let Some(name) = collector_of(&book, ms(5_000)) {
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn a_vm_that_is_neither_listed_nor_heard_is_forgotten() {
+fn drops_a_silent_vm_that_is_no_longer_listed() {
     let mut book = book(0, 3);
     book.heard(&card(1), ms(0));
     book.unlisted("vm-1");
@@ -136,10 +136,10 @@
     assert_eq!(book.vms(), 2);
 }
 
-// Usage reports come too late: the VM that held the duties was taken away, and its successor waited for what it
-// would tell. A VM whose entry is gone is awaited only while it is heard.
+// When the duty holder's VM is reclaimed, its successor must not wait for that VM's counts; otherwise usage reports are
+// late. A VM without an entry is awaited only while its digests arrive.
 #[test]
-fn a_vm_that_is_gone_is_not_awaited() {
+fn does_not_await_a_silent_vm_that_is_no_longer_listed() {
     let mut book = book(0, 3);
     book.heard(&card(1), ms(0));
     book.unlisted("vm-1");
@@ -148,9 +148,9 @@
 }
 
 #[test]
-fn two_of_a_small_system_read_the_store() {
-    let part = |me| book(me, 8).reading_part(false, ms(0));
-    assert_eq!((0..8).filter(|me| part(*me) == ReadingPart::Reader).count(), 2);
+fn two_vms_of_a_small_system_read_the_store() {
+    let role = |me| book(me, 8).reading_part(false, ms(0));
+    assert_eq!((0..8).filter(|me| role(*me) == StoreReadRole::Reader).count(), 2);
     assert_eq!((0..8).filter(|me| book(*me, 8).relays_store(false, ms(0))).count(), 2);
 }
 
@@ -158,45 +158,45 @@
     IndexMap::from([(1, WorkSum { requests, ..WorkSum::default() })])
 }
 
-fn share(requests: u32, spending: f64) -> Share {
+fn partial_sum(requests: u32, spending: f64) -> PartialSum {
     let spending = IndexMap::from([("desk".into(), spending)]);
-    Share { vms: 1, works: work(requests), spending, ..Share::default() }
+    PartialSum { vms: 1, server_work: work(requests), spending, ..PartialSum::default() }
 }
 
-fn sum(sums: &Sums, except: Option<&str>, now: TimePoint) -> Share {
-    let mut sum = Share::default();
+fn sum(sums: &PartialSums, except: Option<&str>, now: TimePoint) -> PartialSum {
+    let mut sum = PartialSum::default();
     sums.add_to(&mut sum, except, now);
     sum
 }
 
 #[test]
-fn a_member_is_told_the_rest_without_itself() {
-    let mut sums = Sums::default();
-    sums.take("vm-1", share(3, 0.0), ms(0));
-    sums.take("vm-2", share(4, 0.0), ms(0));
-    assert_eq!(sum(&sums, None, ms(0)).works, work(7));
-    assert_eq!(sum(&sums, Some("vm-1"), ms(0)).works, work(4));
+fn the_sum_for_a_member_excludes_its_own_work() {
+    let mut sums = PartialSums::default();
+    sums.insert("vm-1", partial_sum(3, 0.0), ms(0));
+    sums.insert("vm-2", partial_sum(4, 0.0), ms(0));
+    assert_eq!(sum(&sums, None, ms(0)).server_work, work(7));
+    assert_eq!(sum(&sums, Some("vm-1"), ms(0)).server_work, work(4));
 }
 
 #[test]
-fn what_was_told_long_ago_does_not_count() {
-    let mut sums = Sums::default();
-    sums.take("vm-1", share(3, 0.0), ms(0));
-    assert!(sum(&sums, None, ms(1_500)).works.is_empty());
-    assert!(!sums.is_fresh(ms(1_500)));
+fn excludes_expired_partial_sums() {
+    let mut sums = PartialSums::default();
+    sums.insert("vm-1", partial_sum(3, 0.0), ms(0));
+    assert!(sum(&sums, None, ms(1_500)).server_work.is_empty());
+    assert!(!sums.has_fresh(ms(1_500)));
 }
 
-// An account is refused though it spends little: a VM chose another collector, or started again, and what it had
-// told before was counted once more. Only what each sender said last counts, and only while it is new.
+// If earlier reports were counted again after a VM restarts or changes its collector, accounts would be rejected
+// although they spend little. Only the newest partial sum of each sender counts, and only while it is fresh.
 #[test]
-fn a_teller_counts_by_what_it_said_last() {
-    let mut sums = Sums::default();
-    sums.take("vm-1", share(0, 500.0), ms(0));
-    sums.take("vm-1", share(0, 20.0), ms(100));
-    sums.take("vm-2", share(0, 7.0), ms(100));
+fn counts_only_the_newest_partial_sum_of_each_sender() {
+    let mut sums = PartialSums::default();
+    sums.insert("vm-1", partial_sum(0, 500.0), ms(0));
+    sums.insert("vm-1", partial_sum(0, 20.0), ms(100));
+    sums.insert("vm-2", partial_sum(0, 7.0), ms(100));
     assert!((sum(&sums, None, ms(100)).spending[&desk()] - 27.0).abs() < 1e-9);
     assert!((sum(&sums, Some("vm-1"), ms(100)).spending[&desk()] - 7.0).abs() < 1e-9);
-    sums.take("vm-2", share(0, 9.0), ms(950));
+    sums.insert("vm-2", partial_sum(0, 9.0), ms(950));
     assert!((sum(&sums, None, ms(950)).spending[&desk()] - 9.0).abs() < 1e-9);
 }
 
@@ -208,46 +208,46 @@
 }
 
 #[test]
-fn an_excerpt_holds_what_is_lacking() {
+fn an_excerpt_contains_the_changes_after_a_revision() {
     let excerpt = log().since(11, 100, |_| 1).unwrap();
     assert_eq!(excerpt.changes, [(13, "b"), (13, "c"), (17, "d")]);
     assert_eq!((excerpt.after, excerpt.upto), (11, 20));
 }
 
-// A VM believes that it knows a revision of which it got only half: a datagram had no room for the rest.
-// An excerpt ends before the revision that doesn't fit.
+// If an excerpt ended inside a revision because the datagram is full, the receiver would consider the revision
+// complete. An excerpt ends before the first revision that doesn't fit.
 #[test]
-fn an_excerpt_never_ends_inside_a_revision() {
+fn an_excerpt_does_not_end_inside_a_revision() {
     let excerpt = log().since(10, 2, |_| 1).unwrap();
     assert_eq!(excerpt.changes, [(11, "a")]);
     assert_eq!(excerpt.upto, 12);
 }
 
-// After a reclaim wave, all VMs of a large system read the store by themselves: each digest carried so many
-// large changes that it was cut on its way, nobody could read it, and the next one carried the same ones and
-// more. What goes into one datagram is bounded by its bytes, and the reader gets on with each of them.
+// After a reclaim wave, a digest with many large changes could exceed a datagram and be truncated; the next one would
+// repeat them and be larger, until all VMs of a large system read the store themselves. An excerpt is therefore bounded
+// in bytes, and each one advances the receiver.
 #[test]
-fn an_excerpt_fits_and_the_next_one_goes_on() {
+fn an_excerpt_is_bounded_in_bytes_and_the_next_one_continues() {
     let weigh = |it: &&str| if *it == "a" { 700 } else { 300 };
-    let mut seen = 10;
-    let mut taken = Vec::new();
-    while seen < 20 {
-        let excerpt = log().since(seen, 600, weigh).unwrap();
+    let mut revision = 10;
+    let mut received = Vec::new();
+    while revision < 20 {
+        let excerpt = log().since(revision, 600, weigh).unwrap();
         assert!(excerpt.changes.len() <= 2, "{excerpt:?}");
-        assert!(excerpt.upto > seen, "the reader gets on even if a single change is too large");
-        seen = excerpt.upto;
-        taken.extend(excerpt.changes.into_iter().map(|(_, it)| it));
+        assert!(excerpt.upto > revision, "advances even if a single change is too large");
+        revision = excerpt.upto;
+        received.extend(excerpt.changes.into_iter().map(|(_, it)| it));
     }
-    assert_eq!(taken, ["a", "b", "c", "d"]);
+    assert_eq!(received, ["a", "b", "c", "d"]);
 }
 
 #[test]
-fn a_log_does_not_reach_back_before_its_start() {
+fn returns_no_excerpt_for_a_revision_before_the_start_of_the_log() {
     assert_eq!(log().since(9, 100, |_| 1), None);
 }
 
 #[test]
-fn old_answers_add_nothing() {
+fn ignores_answers_with_old_revisions() {
     let mut log = log();
     log.extend([(12, "old")], 15);
     assert_eq!(log.upto(), 20);
@@ -255,135 +255,137 @@
 }
 
 #[test]
-fn totals_of_a_vm_that_is_gone_still_count() {
+fn counts_the_totals_of_a_previous_incarnation() {
     let mut usage = Usage::default();
-    usage.began(7, &"desk".into());
-    let told = IndexMap::from([("desk".into(), 5)]);
-    usage.heard("vm-1", 1, &[(7, told.clone())].into(), 0);
-    usage.heard("vm-1", 1, &[(7, IndexMap::from([("desk".into(), 3)]))].into(), 1);
-    usage.heard("vm-1", 2, &[(7, told)].into(), 2);
+    usage.record_start(7, &"desk".into());
+    let totals = IndexMap::from([("desk".into(), 5)]);
+    usage.merge_peer_totals("vm-1", 1, &[(7, totals.clone())].into(), 0);
+    usage.merge_peer_totals("vm-1", 1, &[(7, IndexMap::from([("desk".into(), 3)]))].into(), 1);
+    usage.merge_peer_totals("vm-1", 2, &[(7, totals)].into(), 2);
     assert_eq!(usage.total(7)[&desk()], 11);
     assert!(usage.total(8).is_empty());
 }
 
-// Reports say that nothing began: all VMs were killed at the same moment, with windows that had ended. The next holder
-// has what the last one kept; nothing counts twice, also where a VM lived through it.
+// If all VMs are killed at the same time after a window has ended, its report would state that no request began. The
+// next holder restores the snapshot of the last one; no count is added twice, even if a VM survived.
 #[test]
-fn what_a_holder_kept_outlives_all_vms() {
-    let told = |count| IndexMap::from([("desk".into(), count)]);
+fn a_usage_snapshot_survives_the_loss_of_all_vms() {
+    let totals = |count| IndexMap::from([("desk".into(), count)]);
     let mut holder = Usage::default();
-    holder.began(7, &desk());
-    holder.began(8, &desk());
-    holder.heard("vm-1", 1, &[(7, told(5)), (8, told(2))].into(), 0);
-    let kept = holder.keep(("vm-0", 1), 7);
+    holder.record_start(7, &desk());
+    holder.record_start(8, &desk());
+    holder.merge_peer_totals("vm-1", 1, &[(7, totals(5)), (8, totals(2))].into(), 0);
+    let snapshot = holder.snapshot(("vm-0", 1), 7);
     let mut next = Usage::default();
-    next.recall(kept.clone(), ("vm-2", 1));
+    next.restore(snapshot.clone(), ("vm-2", 1));
     assert_eq!((next.total(7)[&desk()], next.total(8)[&desk()]), (6, 3));
-    next.heard("vm-1", 1, &[(8, told(4))].into(), 1);
-    next.heard("vm-1", 2, &[(8, told(1))].into(), 2);
-    next.recall(kept, ("vm-2", 1));
+    next.merge_peer_totals("vm-1", 1, &[(8, totals(4))].into(), 1);
+    next.merge_peer_totals("vm-1", 2, &[(8, totals(1))].into(), 2);
+    next.restore(snapshot, ("vm-2", 1));
     assert_eq!(next.total(8)[&desk()], 6);
     let mut same = holder.clone();
-    same.recall(holder.keep(("vm-0", 1), 7), ("vm-0", 1));
+    same.restore(holder.snapshot(("vm-0", 1), 7), ("vm-0", 1));
     assert_eq!(same.total(7)[&desk()], 6);
-    assert_eq!(holder.keep(("vm-0", 1), 9), Kept::default());
+    assert_eq!(holder.snapshot(("vm-0", 1), 9), UsageSnapshot::default());
 }
 
-// A report lacks a tenth of what began: a digest that was sent before the window's end waited at a busy VM
-// and was heard after it. The time at which it was sent counts.
+// A digest sent before a window's end may wait at a busy VM and be received after it. If it counted as complete, the
+// report would lack a tenth of the requests. The time of sending counts.
 #[test]
-fn a_report_waits_for_tellings_sent_after_the_end() {
+fn counts_are_missing_until_a_digest_is_sent_after_the_window_ends() {
     let mut usage = Usage::default();
-    usage.heard("vm-1", 1, &Counts::new(), 1_000);
-    usage.heard("vm-1", 1, &Counts::new(), 900);
-    let missing = |peers: &[&str], since| usage.missing_part(peers.iter().copied(), 0, since);
+    usage.merge_peer_totals("vm-1", 1, &Counts::new(), 1_000);
+    usage.merge_peer_totals("vm-1", 1, &Counts::new(), 900);
+    let missing = |peers: &[&str], since| usage.missing_fraction(peers.iter().copied(), 0, since);
     assert!(missing(&["vm-1"], 1_000).abs() < 1e-9);
     assert!((missing(&["vm-1"], 2_000) - 0.25).abs() < 1e-9);
     assert!((missing(&["vm-1", "vm-2"], 1_000) - 1.0 / 3.0).abs() < 1e-9);
 }
 
-// Reports are lost: one of eighty VMs was gone for good, its entry still stood, and each window waited for it until
-// the holder went, too. So little is not waited for; a quarter of the VMs behind a cut is.
+// If one of eighty VMs fails for good while its entry still exists, and each window's report waits for it, reports are
+// lost once the holder fails too. Such a small fraction is not awaited; the counts of VMs behind a network partition
+// are.
 #[test]
-fn little_is_missing_where_one_of_many_is_gone() {
+fn the_missing_fraction_is_small_when_one_of_many_vms_is_gone() {
     let mut usage = Usage::default();
     let names: Vec<String> = (0..80).map(|it| format!("vm-{it}")).collect();
     for (at, name) in names.iter().enumerate() {
-        usage.heard(name, 1, &Counts::new(), if at == 0 { 3_000 } else { 6_400 });
+        usage.merge_peer_totals(name, 1, &Counts::new(), if at == 0 { 3_000 } else { 6_400 });
     }
     let peers = || names.iter().map(String::as_str);
-    assert!(usage.missing_part(peers(), 1_000, 6_300) < 0.01);
-    assert!(usage.missing_part(peers(), 6_000, 11_300) > 0.5);
+    assert!(usage.missing_fraction(peers(), 1_000, 6_300) < 0.01);
+    assert!(usage.missing_fraction(peers(), 6_000, 11_300) > 0.5);
     for name in &names[20..] {
-        usage.heard(name, 1, &Counts::new(), 11_400);
+        usage.merge_peer_totals(name, 1, &Counts::new(), 11_400);
     }
-    assert!(usage.missing_part(peers(), 6_000, 11_300) > 0.2);
+    assert!(usage.missing_fraction(peers(), 6_000, 11_300) > 0.2);
 }
 
-// Requests are booked a second late: the other clock's time waited for a second before it was read. The
-// fastest reading of the last seconds counts; a clock that stays slow is believed after that.
+// If a delayed clock reading were used, requests would be counted a second late. The fastest reading of the last
+// seconds counts; a clock that stays slow is accepted after that.
 #[test]
-fn a_reading_that_was_long_on_its_way_changes_nothing() {
+fn ignores_a_delayed_clock_reading() {
     let mut clock = WallClock::default();
-    clock.heard(0, 10_000, ms(0));
-    clock.heard(0, 10_100, ms(1_100));
-    assert_eq!(clock.true_ms(ms(1_100)), Some(11_100));
-    clock.heard(0, 13_100, ms(4_100));
-    assert_eq!(clock.true_ms(ms(4_100)), Some(13_100));
+    clock.record(0, 10_000, ms(0));
+    clock.record(0, 10_100, ms(1_100));
+    assert_eq!(clock.estimate_ms(ms(1_100)), Some(11_100));
+    clock.record(0, 13_100, ms(4_100));
+    assert_eq!(clock.estimate_ms(ms(4_100)), Some(13_100));
 }
 
-// A VM serves an old configuration for half a minute and answers 404 for routes that exist: it had lost power,
-// its clock began anew, and a peer echoed the last start's time, which lay far in the future.
+// After a power loss, a VM's clock starts anew, and a peer may echo a time of the previous incarnation, far in the
+// future. If that counted as a confirmation, the VM would serve an old configuration for half a minute and answer 404
+// for routes that exist.
 #[test]
-fn a_proof_from_the_future_is_none() {
+fn ignores_a_freshness_confirmation_from_the_future() {
     let mut freshness = Freshness::default();
-    freshness.proved(ms(60_000), ms(100));
+    freshness.record_confirmation(ms(60_000), ms(100));
     assert_eq!(freshness.age(ms(100)), None);
-    freshness.proved(ms(50), ms(100));
+    freshness.record_confirmation(ms(50), ms(100));
     assert_eq!(freshness.age(ms(2_050)), Some(support::millis(2_000)));
-    freshness.proved(ms(40), ms(2_050));
+    freshness.record_confirmation(ms(40), ms(2_050));
     assert!(!freshness.is_within(support::millis(1_999), ms(2_050)));
 }
 
-// Usage is booked in windows that have long passed: the time of day of one VM jumped. The median of what
-// all clocks say doesn't move with one of them.
+// If the system clock of one VM jumps, usage must not be counted in windows that have long passed. A single clock
+// doesn't move the median of all clocks.
 #[test]
-fn one_clock_that_jumps_does_not_move_true_time() {
+fn one_clock_that_jumps_does_not_move_the_estimate() {
     let mut clock = WallClock::default();
     for source in 0..5 {
-        clock.heard(source, 1_000_000 + source, ms(0));
+        clock.record(source, 1_000_000 + source, ms(0));
     }
-    let before = clock.true_ms(ms(500)).unwrap();
-    clock.heard(0, 9_000_000, ms(0));
-    let after = clock.true_ms(ms(500)).unwrap();
+    let before = clock.estimate_ms(ms(500)).unwrap();
+    clock.record(0, 9_000_000, ms(0));
+    let after = clock.estimate_ms(ms(500)).unwrap();
     assert!((after - before).abs() <= 2, "{before} {after}");
     assert_eq!(before, 1_000_502);
 }
 
 #[test]
-fn without_any_clock_there_is_no_true_time() {
-    assert_eq!(WallClock::<u8>::default().true_ms(ms(0)), None);
+fn returns_no_estimate_without_any_clock_reading() {
+    assert_eq!(WallClock::<u8>::default().estimate_ms(ms(0)), None);
 }
 
 #[test]
-fn what_a_better_informed_vm_reckons_goes_first_while_it_is_fresh() {
+fn prefers_a_fresh_estimate_of_a_vm_with_more_sources() {
     let mut clock = WallClock::default();
-    clock.heard(0, 1_000, ms(0));
-    clock.trust(5_000, ms(0));
-    assert_eq!(clock.true_ms(ms(100)), Some(5_100));
-    assert_eq!(clock.true_ms(ms(4_000)), Some(5_000));
+    clock.record(0, 1_000, ms(0));
+    clock.record_estimate(5_000, ms(0));
+    assert_eq!(clock.estimate_ms(ms(100)), Some(5_100));
+    assert_eq!(clock.estimate_ms(ms(4_000)), Some(5_000));
 }
 
-// Callers are refused for two seconds by a VM that has lost touch: the platform noticed only when it did. The VM says so
-// two seconds before it must refuse.
+// The platform takes two seconds to notice that a VM isn't ready. A VM that loses contact with the store and its peers
+// must therefore report it two seconds before it rejects requests.
 #[test]
-fn a_vm_that_loses_touch_says_so_before_it_must_refuse() {
+fn the_freshness_state_is_expiring_for_two_seconds_before_it_is_expired() {
     let limit = Duration::from_secs(5);
     let mut freshness = Freshness::default();
-    assert_eq!(freshness.touch(limit, ms(0)), Touch::Lost);
-    freshness.proved(ms(1_000), ms(1_010));
-    assert_eq!(freshness.touch(limit, ms(3_200)), Touch::Kept);
-    assert_eq!(freshness.touch(limit, ms(3_300)), Touch::Losing);
-    assert_eq!(freshness.touch(limit, ms(5_200)), Touch::Losing);
-    assert_eq!(freshness.touch(limit, ms(5_300)), Touch::Lost);
+    assert_eq!(freshness.state(limit, ms(0)), FreshnessState::Expired);
+    freshness.record_confirmation(ms(1_000), ms(1_010));
+    assert_eq!(freshness.state(limit, ms(3_200)), FreshnessState::Fresh);
+    assert_eq!(freshness.state(limit, ms(3_300)), FreshnessState::Expiring);
+    assert_eq!(freshness.state(limit, ms(5_200)), FreshnessState::Expiring);
+    assert_eq!(freshness.state(limit, ms(5_300)), FreshnessState::Expired);
 }
--- a/crates/quincevalve_forwarding/tests/fleet_size.rs
+++ b/crates/quincevalve_forwarding/tests/fleet_size.rs
@@ -9,7 +9,7 @@
     fleet_size::{FleetPlanner, Order, OrderOutcome, Present, ServerKind},
     load::demand,
     rate::Rate,
-    sums::{Share, Sums},
+    sums::{PartialSum, PartialSums},
 };
 use quincevalve_names::{DataCentreName, ServiceName, TimePoint};
 use support::{ms, scaling};
@@ -225,13 +225,17 @@
     let mut planner = FleetPlanner::new(ms(0));
     planner.go_on_from(MeasuredDemand::told(6.0));
     for second in 0..20_u64 {
-        let mut sums = Sums::default();
+        let mut sums = PartialSums::default();
         let heard = (second + 1).min(10);
         for vm in 0..heard {
             let demand = IndexMap::from([("engines".into(), 0.6)]);
-            sums.take(&vm.to_string(), Share { vms: 1, demand, ..Share::default() }, ms(0));
+            sums.insert(
+                &vm.to_string(),
+                PartialSum { vms: 1, demand, ..PartialSum::default() },
+                ms(0),
+            );
         }
-        let mut sum = Share::default();
+        let mut sum = PartialSum::default();
         sums.add_to(&mut sum, None, ms(0));
         let rate = sum.demand[&ServiceName::from("engines")];
         let part = heard as f64 / 10.0;
--- a/crates/quincevalve_forwarding/tests/limits.rs
+++ b/crates/quincevalve_forwarding/tests/limits.rs
@@ -9,7 +9,7 @@
     line_budget::LineBudget,
     quota::{QuotaAsk, QuotaBook, QuotaLimits, cost},
     retry_window::{RetryLimits, RetryWindow},
-    sums::{Share, Spending, Sums},
+    sums::{PartialSum, PartialSums, Spending},
 };
 use quincevalve_names::ClientAccountName;
 use rand::{RngExt, SeedableRng};
@@ -348,7 +348,7 @@
     let config = config(1, Vec::new());
     let mut rng = rand_pcg::Pcg64Mcg::seed_from_u64(3);
     let mut books = [QuotaBook::new(PLAIN, ms(0)), QuotaBook::new(PLAIN, ms(0))];
-    let mut sums = [Sums::default(), Sums::default()];
+    let mut sums = [PartialSums::default(), PartialSums::default()];
     let mut total = 0.0;
     if !hear_each_other {
         for book in &mut books {
@@ -365,8 +365,12 @@
         if hear_each_other && step % 15 == 0 {
             for at in 0..2 {
                 let spending = books[1 - at].spending(now).collect();
-                sums[at].take("other", Share { vms: 1, spending, ..Share::default() }, now);
-                let mut others = Share::default();
+                sums[at].insert(
+                    "other",
+                    PartialSum { vms: 1, spending, ..PartialSum::default() },
+                    now,
+                );
+                let mut others = PartialSum::default();
                 sums[at].add_to(&mut others, None, now);
                 books[at].set_others(&others.spending, 1.0, &config, now);
             }
@@ -427,9 +431,9 @@
     let mut budget = LineBudget::for_refusals();
     let written = (0..50_000_u64).filter(|step| budget.take(ms(step / 10))).count();
     assert!((1_900..=2_200).contains(&written), "{written} lines in five seconds");
-    budget.leave_out(50_000 - written as u64);
-    assert_eq!(budget.take_left_out(), 50_000 - written as u64);
-    assert_eq!(budget.take_left_out(), 0);
+    budget.record_suppressed(50_000 - written as u64);
+    assert_eq!(budget.take_suppressed(), 50_000 - written as u64);
+    assert_eq!(budget.take_suppressed(), 0);
 }
 
 proptest! {
--- a/crates/quincevalve_forwarding/tests/quota_restarts.rs
+++ b/crates/quincevalve_forwarding/tests/quota_restarts.rs
@@ -8,7 +8,7 @@
 use quincevalve_forwarding::{
     config::{Account, ForwardingConfig, Quota},
     quota::{QuotaAsk, QuotaBook, QuotaLimits},
-    sums::{Share, Sums},
+    sums::{PartialSum, PartialSums},
 };
 use quincevalve_names::{ClientAccountName, TimePoint};
 use rand::{RngExt, SeedableRng};
@@ -60,9 +60,9 @@
 
 struct Vm {
     book: QuotaBook,
-    members: Sums,
-    collectors: Sums,
-    rest: Sums,
+    members: PartialSums,
+    collectors: PartialSums,
+    rest: PartialSums,
     starts: u64,
     away_since: Option<u64>,
 }
@@ -71,17 +71,17 @@
     fn new(starts: u64, limits: QuotaLimits, now: TimePoint) -> Self {
         Self {
             book: QuotaBook::new(limits, now),
-            members: Sums::default(),
-            collectors: Sums::default(),
-            rest: Sums::default(),
+            members: PartialSums::default(),
+            collectors: PartialSums::default(),
+            rest: PartialSums::default(),
             starts,
             away_since: None,
         }
     }
 
-    fn own(&self, now: TimePoint) -> Share {
+    fn own(&self, now: TimePoint) -> PartialSum {
         let spending = self.book.spending(now).collect();
-        Share { vms: 1, spending, ..Share::default() }
+        PartialSum { vms: 1, spending, ..PartialSum::default() }
     }
 }
 
@@ -115,7 +115,7 @@
         let name = format!("{at}#{}", self.vms[at].starts);
         if collector != at {
             if self.is_up(collector) {
-                self.vms[collector].members.take(&name, own, now);
+                self.vms[collector].members.insert(&name, own, now);
             }
             return;
         }
@@ -127,7 +127,7 @@
             self.vms[at].members.add_to(&mut rest, Some(&sender), now);
             self.vms[at].collectors.add_to(&mut rest, None, now);
             if self.is_up(member) && self.collector(centre, step) == at {
-                self.vms[member].rest.take(&name, rest, now);
+                self.vms[member].rest.insert(&name, rest, now);
             }
         }
         let mut share = own;
@@ -135,7 +135,7 @@
         for other in 0..CENTRES {
             let other = self.collector(other, step);
             if other != at && self.is_up(other) {
-                self.vms[other].collectors.take(&name, share.clone(), now);
+                self.vms[other].collectors.insert(&name, share.clone(), now);
             }
         }
     }
@@ -144,7 +144,7 @@
     fn take_over(&mut self, at: usize, step: u64, now: TimePoint) {
         let collects = self.collector(at % CENTRES, step) == at;
         let vm = &mut self.vms[at];
-        let mut others = Share::default();
+        let mut others = PartialSum::default();
         if collects {
             vm.members.add_to(&mut others, None, now);
             vm.collectors.add_to(&mut others, None, now);
--- a/crates/quincevalve_forwarding/tests/store_contact.rs
+++ b/crates/quincevalve_forwarding/tests/store_contact.rs
@@ -1,22 +1,22 @@
-//! Whether the store is away for all, or only this VM is cut off from it.
+//! Distinguishing an outage of the store from a VM that is cut off from it, and the effect of both on the server table.
 
 mod support;
 
 use proptest::prelude::*;
 use quincevalve_forwarding::{
     servers::{Removal, ServerTable},
-    store_contact::{Contact, LAPSE_AFTER, StoreContact, StoreNews},
+    store_contact::{ContactSpan, MIN_OUTAGE_FOR_EXPIRY, StoreContact, StoreUpdate},
 };
 use quincevalve_names::TimePoint;
 use support::{START, entry, millis, ms, server, table};
 
-fn span(since: u64, newest: u64) -> Contact {
-    Contact { since: ms(since), newest: ms(newest) }
+fn span(since: u64, newest: u64) -> ContactSpan {
+    ContactSpan { since: ms(since), newest: ms(newest) }
 }
 
 fn contact(since: u64, newest: u64) -> StoreContact {
     let mut contact = StoreContact::default();
-    contact.heard(span(since, newest));
+    contact.record(span(since, newest));
     contact
 }
 
@@ -25,74 +25,77 @@
 }
 
 #[test]
-fn answers_that_follow_each_other_are_one_span() {
+fn merges_consecutive_answers_into_one_span() {
     let mut contact = contact(0, 0);
     for at in [600, 1_200, 3_199] {
-        assert_eq!(contact.heard(Contact::at(ms(at))), StoreNews::Unchanged);
+        assert_eq!(contact.record(ContactSpan::at(ms(at))), StoreUpdate::Unchanged);
     }
-    assert_eq!(contact.contact(), Some(span(0, 3_199)));
-    assert_eq!(contact.away_since(ms(5_198)), None);
-    assert_eq!(contact.away_since(ms(5_199)), Some(ms(3_199)));
+    assert_eq!(contact.newest_span(), Some(span(0, 3_199)));
+    assert_eq!(contact.unreachable_since(ms(5_198)), None);
+    assert_eq!(contact.unreachable_since(ms(5_199)), Some(ms(3_199)));
 }
 
-// Callers are refused for two seconds after an outage in which all entries lapsed. The store answers again after it
-// answered nobody; that is told, with the moment since when entries may have lapsed.
+// If all entries expired in an outage, and the return of the store weren't detected, requests would be rejected for two
+// seconds. The update carries the time since when entries may have expired.
 #[test]
-fn an_answer_after_a_gap_is_a_return() {
+fn reports_a_return_when_an_answer_follows_a_gap() {
     let mut contact = contact(0, 1_000);
-    assert_eq!(contact.heard(Contact::at(ms(3_000))), StoreNews::Returned { since: ms(1_000) });
-    assert_eq!(contact.contact(), Some(span(3_000, 3_000)));
+    assert_eq!(
+        contact.record(ContactSpan::at(ms(3_000))),
+        StoreUpdate::Returned { since: ms(1_000) }
+    );
+    assert_eq!(contact.newest_span(), Some(span(3_000, 3_000)));
 }
 
-// A request reaches a server that had left: this VM alone was cut off and took what went missing for lapsed. Another VM
-// says that the store answered it all the while.
+// A VM that alone was cut off assumes that missing entries have expired, and would send requests to servers that left.
+// Another VM reports that the store answered it throughout.
 #[test]
-fn a_vm_that_had_answers_all_the_while_denies_the_outage() {
+fn reports_no_outage_when_another_vm_had_answers_throughout() {
     let mut contact = contact(0, 1_000);
-    contact.heard(Contact::at(ms(9_000)));
-    assert_eq!(contact.heard(span(500, 8_950)), StoreNews::NeverAway);
-    assert_eq!(contact.contact(), Some(span(0, 9_000)));
-    assert_eq!(contact.heard(span(400, 9_010)), StoreNews::Unchanged, "it is denied once");
+    contact.record(ContactSpan::at(ms(9_000)));
+    assert_eq!(contact.record(span(500, 8_950)), StoreUpdate::NoOutage);
+    assert_eq!(contact.newest_span(), Some(span(0, 9_000)));
+    assert_eq!(contact.record(span(400, 9_010)), StoreUpdate::Unchanged, "reported only once");
 }
 
 #[test]
-fn what_others_tell_first_leaves_no_gap() {
+fn does_not_detect_a_gap_when_the_report_of_another_vm_comes_first() {
     let mut contact = contact(0, 1_000);
-    assert_eq!(contact.heard(span(200, 8_950)), StoreNews::Unchanged);
-    assert_eq!(contact.heard(Contact::at(ms(9_000))), StoreNews::Unchanged);
-    assert_eq!(contact.contact(), Some(span(0, 9_000)));
+    assert_eq!(contact.record(span(200, 8_950)), StoreUpdate::Unchanged);
+    assert_eq!(contact.record(ContactSpan::at(ms(9_000))), StoreUpdate::Unchanged);
+    assert_eq!(contact.newest_span(), Some(span(0, 9_000)));
 }
 
-// All callers are refused after an outage: a VM that was cut off with this one, or has just started, says that the store
-// answers it now, and that is taken for proof that nothing lapsed.
+// A VM that was cut off too, or has just started, reports only that the store answers now. If that counted as proof
+// that no entries expired, all requests would be rejected after an outage.
 #[test]
-fn a_vm_that_knows_only_the_end_denies_nothing() {
+fn does_not_deny_an_outage_when_the_reported_span_covers_only_its_end() {
     let mut contact = contact(0, 1_000);
-    contact.heard(Contact::at(ms(9_000)));
-    assert_eq!(contact.heard(span(3_000, 9_050)), StoreNews::Unchanged);
-    assert_eq!(contact.heard(span(2_999, 9_050)), StoreNews::NeverAway);
+    contact.record(ContactSpan::at(ms(9_000)));
+    assert_eq!(contact.record(span(3_000, 9_050)), StoreUpdate::Unchanged);
+    assert_eq!(contact.record(span(2_999, 9_050)), StoreUpdate::NoOutage);
 }
 
 #[test]
-fn old_news_changes_nothing() {
+fn ignores_a_span_that_ended_long_before_the_known_one() {
     let mut contact = contact(10_000, 12_000);
-    assert_eq!(contact.heard(span(1_000, 8_000)), StoreNews::Unchanged);
-    assert_eq!(contact.contact(), Some(span(10_000, 12_000)));
-    assert_eq!(contact.heard(span(1_000, 8_001)), StoreNews::Unchanged);
-    assert_eq!(contact.contact(), Some(span(1_000, 12_000)));
+    assert_eq!(contact.record(span(1_000, 8_000)), StoreUpdate::Unchanged);
+    assert_eq!(contact.newest_span(), Some(span(10_000, 12_000)));
+    assert_eq!(contact.record(span(1_000, 8_001)), StoreUpdate::Unchanged);
+    assert_eq!(contact.newest_span(), Some(span(1_000, 12_000)));
 }
 
 #[test]
-fn nothing_is_known_before_the_first_answer() {
+fn has_no_contact_span_before_the_first_answer() {
     let mut contact = StoreContact::default();
-    assert_eq!(contact.away_since(ms(60_000)), None);
-    assert_eq!(contact.contact(), None);
-    assert_eq!(contact.heard(Contact::at(ms(70_000))), StoreNews::Unchanged);
+    assert_eq!(contact.unreachable_since(ms(60_000)), None);
+    assert_eq!(contact.newest_span(), None);
+    assert_eq!(contact.record(ContactSpan::at(ms(70_000))), StoreUpdate::Unchanged);
 }
 
-// Nothing lapses in an outage shorter than the life of an entry; what went missing in it is gone.
+// No entry expires in an outage shorter than an entry's lifetime; servers whose entries went missing in it have left.
 #[test]
-fn only_a_long_outage_makes_entries_lapse() {
+fn keeps_removed_servers_usable_only_after_a_long_outage() {
     let after = |outage: u64| {
         let mut table = table(4);
         table.store_lost(ms(1_000));
@@ -100,15 +103,15 @@
         table.removed(&server(0), ms(1_050 + outage));
         usable(&table, ms(1_600 + outage))
     };
-    let lapse_after = LAPSE_AFTER.as_millis() as u64;
-    assert!(after(lapse_after));
-    assert!(!after(lapse_after - 1));
+    let min_outage = MIN_OUTAGE_FOR_EXPIRY.as_millis() as u64;
+    assert!(after(min_outage));
+    assert!(!after(min_outage - 1));
 }
 
-// Streams of a server are cut though there was time to move them: its entry was removed while this VM was cut off, and
-// taken for lapsed. Once another VM denies the outage, the server is one that goes.
+// If an entry that was removed while this VM was cut off is considered expired, the server's streams are cut although
+// there was time to migrate them. Once another VM denies the outage, the server counts as leaving.
 #[test]
-fn a_removal_is_a_leave_once_the_outage_is_denied() {
+fn treats_a_removed_server_as_leaving_once_the_outage_is_denied() {
     let mut table = table(4);
     table.store_lost(ms(1_000));
     table.store_found(ms(9_000));
@@ -123,11 +126,11 @@
     assert_eq!(table.removed(&server(1), ms(9_800)), Some(Removal::Leaving));
 }
 
-// A request reaches a server that left while this VM got no processor time for three seconds: its first answer of the
-// store looks like the end of an outage, and the others' word that there was none comes a moment later. Until it had
-// time to come, what is missing is used only where nothing else is listed.
+// After a VM got no processor time for three seconds, its first answer of the store looks like the end of an outage,
+// and reports of other VMs that there was none arrive a moment later. Until these had time to arrive, servers with
+// missing entries are used only if no other server is listed; otherwise requests would reach servers that left.
 #[test]
-fn an_outage_is_not_believed_before_others_could_deny_it() {
+fn does_not_use_removed_servers_before_other_vms_could_deny_the_outage() {
     let mut table = table(4);
     table.store_lost(ms(1_000));
     table.store_found(ms(4_000));
@@ -137,11 +140,11 @@
     for at in 1..4 {
         table.removed(&server(at), ms(4_000));
     }
-    assert_eq!(table.usable(&"engines".into(), ms(4_100)).count(), 4, "nothing else is listed");
+    assert_eq!(table.usable(&"engines".into(), ms(4_100)).count(), 4, "no other server is listed");
 }
 
 #[test]
-fn a_store_that_answered_others_is_not_away() {
+fn does_not_consider_the_store_unreachable_when_it_answered_other_vms() {
     let mut table = table(4);
     assert!(!table.is_store_away());
     table.store_lost(ms(1_000));
@@ -152,32 +155,31 @@
     assert!(!usable(&table, ms(4_800)));
 }
 
-// While the store is away, a removal from before is none of its making, and one in its first moments neither: nothing has
-// lapsed yet.
+// An entry removed before an outage, or in its first moments, can't have expired because of the outage.
 #[test]
-fn a_removal_before_entries_lapse_is_a_leave() {
+fn treats_a_server_as_leaving_when_removed_before_entries_can_expire() {
     let mut table = table(1);
     table.removed(&server(0), ms(900));
     table.store_lost(ms(1_000));
-    assert!(!usable(&table, ms(3_100)), "it was removed before");
+    assert!(!usable(&table, ms(3_100)), "it was removed before the outage");
     let mut table = self::table(1);
     table.store_lost(ms(1_000));
     assert_eq!(table.removed(&server(0), ms(1_500)), Some(Removal::Leaving));
-    assert!(!usable(&table, ms(1_500)), "nothing lapses that soon");
+    assert!(!usable(&table, ms(1_500)), "no entry expires that soon");
 }
 
 #[test]
-fn a_placement_tells_for_how_long_an_entry_is_missing() {
+fn a_server_reports_how_long_its_entry_is_missing() {
     let mut table = table(1);
     assert_eq!(table.get(&server(0)).unwrap().unlisted_for(ms(100)), None);
     table.removed(&server(0), ms(100));
     assert_eq!(table.get(&server(0)).unwrap().unlisted_for(ms(350)), Some(millis(250)));
 }
 
-// All callers are refused: the store falls silent again before the entries that lapsed are back, and what had gone
-// missing in the first outage is taken for gone.
+// If a second outage begins before the expired entries are back, servers that went missing in the first one must not
+// count as having left; otherwise all requests would be rejected.
 #[test]
-fn outages_that_follow_each_other_are_one() {
+fn merges_outages_in_quick_succession() {
     let mut table = table(1);
     table.store_lost(ms(1_000));
     table.store_found(ms(5_000));
@@ -189,20 +191,20 @@
 }
 
 #[test]
-fn an_outage_long_after_another_stands_alone() {
+fn does_not_merge_an_outage_long_after_another() {
     let mut table = table(1);
     table.store_lost(ms(1_000));
     table.store_found(ms(5_000));
     table.removed(&server(0), ms(5_000));
     table.store_lost(ms(7_300));
     table.store_found(ms(10_000));
-    assert!(!usable(&table, ms(10_000)), "it had its time to return");
+    assert!(!usable(&table, ms(10_000)), "its time to return has passed");
 }
 
-// A VM's memory grows for as long as it runs, by each server that ever was: those that leave one by one were only
-// forgotten when the whole store was read.
+// Servers that leave one by one must be dropped even if the whole store is never read again; otherwise a VM's memory
+// grows with each server that ever existed.
 #[test]
-fn servers_that_left_are_forgotten() {
+fn drops_servers_a_minute_after_they_left() {
     let mut table = table(3);
     table.removed(&server(0), ms(0));
     table.removed(&server(1), ms(59_999));
@@ -213,25 +215,25 @@
     assert!(table.listed(&server(0), entry("a"), ms(70_000)), "it is new again");
 }
 
-/// VMs of the model.
+/// Number of VMs in the model.
 const VMS: usize = 3;
 
-/// What happens next in the model, 200 ms later.
+/// A step of the model, 200 ms after the previous one.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// A VM asks the store.
-    Asks(usize),
-    /// A VM hears another.
-    Hears(usize, usize),
-    /// The store falls silent or speaks again.
-    Turns,
+    /// A VM calls the store.
+    CallStore(usize),
+    /// A VM receives the report of another.
+    ReceiveReport(usize, usize),
+    /// An outage of the store begins or ends.
+    ToggleOutage,
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        4 => (0..VMS).prop_map(Step::Asks),
-        4 => (0..VMS, 0..VMS).prop_map(|(vm, other)| Step::Hears(vm, other)),
-        1 => Just(Step::Turns),
+        4 => (0..VMS).prop_map(Step::CallStore),
+        4 => (0..VMS, 0..VMS).prop_map(|(vm, other)| Step::ReceiveReport(vm, other)),
+        1 => Just(Step::ToggleOutage),
     ]
 }
 
@@ -242,36 +244,36 @@
         ..ProptestConfig::default()
     })]
 
-    // Whatever VMs hear of each other in whatever order, none believes that the store answered throughout an outage in
-    // which entries lapse, and none takes the store for away that has just answered it.
+    // Regardless of which reports VMs receive and in which order, no VM concludes that the store answered throughout an
+    // outage in which entries expire, and no VM considers the store unreachable when it has just answered that VM.
     #[test]
-    fn an_outage_in_which_entries_lapse_is_never_denied(
+    fn never_denies_an_outage_in_which_entries_expire(
         steps in prop::collection::vec(step(), 1..250),
     ) {
         let mut contacts = [StoreContact::default(); VMS];
-        let mut silent_since = None;
+        let mut outage_since = None;
         let mut outages = Vec::new();
         for (at, step) in steps.into_iter().enumerate() {
             let now = ms(at as u64 * 200);
             match step {
-                Step::Asks(vm) if silent_since.is_none() => {
-                    contacts[vm].heard(Contact::at(now));
-                    prop_assert_eq!(contacts[vm].away_since(now + millis(1_999)), None);
+                Step::CallStore(vm) if outage_since.is_none() => {
+                    contacts[vm].record(ContactSpan::at(now));
+                    prop_assert_eq!(contacts[vm].unreachable_since(now + millis(1_999)), None);
                 }
-                Step::Asks(_) => {}
-                Step::Hears(vm, other) => {
-                    if let Some(span) = contacts[other].contact() {
-                        contacts[vm].heard(span);
+                Step::CallStore(_) => {}
+                Step::ReceiveReport(vm, other) => {
+                    if let Some(span) = contacts[other].newest_span() {
+                        contacts[vm].record(span);
                     }
                 }
-                Step::Turns => match silent_since.take() {
-                    None => silent_since = Some(now),
+                Step::ToggleOutage => match outage_since.take() {
+                    None => outage_since = Some(now),
                     Some(since) => outages.push((since, now)),
                 },
             }
-            let long = outages.iter().filter(|(from, to)| to.since(*from) >= LAPSE_AFTER);
+            let long = outages.iter().filter(|(from, to)| to.since(*from) >= MIN_OUTAGE_FOR_EXPIRY);
             for (from, to) in long {
-                let spans = contacts.iter().filter_map(StoreContact::contact);
+                let spans = contacts.iter().filter_map(StoreContact::newest_span);
                 let mut covered = spans.filter(|it| it.since < *from && it.newest > *to);
                 prop_assert!(covered.next().is_none(), "{from:?} to {to:?}: {contacts:?}");
             }
--- a/crates/quincevalve_forwarding/tests/store_pacing.rs
+++ b/crates/quincevalve_forwarding/tests/store_pacing.rs
@@ -1,4 +1,4 @@
-//! How many calls the platform's store gets from a system of hundreds of entry VMs.
+//! Number of calls to the platform's store from a system of hundreds of entry VMs.
 
 mod support;
 
@@ -6,7 +6,7 @@
 
 use quincevalve_forwarding::{
     peer_book::{PeerBook, VmCard},
-    store_pacing::{ConfigSource, LackedConfig, ReadingPart},
+    store_pacing::{ConfigSource, MissingConfig, StoreReadRole},
 };
 use quincevalve_names::TimePoint;
 use rand::{RngExt, SeedableRng};
@@ -32,18 +32,18 @@
     book
 }
 
-fn with_part(part: ReadingPart) -> Vec<usize> {
-    (0..VMS).filter(|me| book(*me).reading_part(false, ms(0)) == part).collect()
+fn vms_with_role(role: StoreReadRole) -> Vec<usize> {
+    (0..VMS).filter(|me| book(*me).reading_part(false, ms(0)) == role).collect()
 }
 
-/// The calls of VMs in an outage that begins at 0, when all have just had a proof.
-fn calls_in_outage(part: ReadingPart, vms: usize, length: Duration) -> usize {
+/// Returns the number of calls in an outage that begins at 0, when all VMs have just had a freshness confirmation.
+fn calls_in_outage(role: StoreReadRole, vms: usize, length: Duration) -> usize {
     let calls = |_| {
-        let mut at = ms(0) + part.longest_told_age(IN_FORCE);
+        let mut at = ms(0) + role.max_confirmation_age(IN_FORCE);
         let mut failures = 0;
         while at < ms(0) + length {
             failures += 1;
-            at = at + part.pause_after_failures(failures, false);
+            at = at + role.pause_after_failures(failures, false);
         }
         failures as usize
     };
@@ -51,96 +51,102 @@
 }
 
 #[test]
-fn two_collectors_of_a_large_system_read_the_store_and_the_others_stand_by() {
-    let readers = with_part(ReadingPart::Reader);
+fn two_collectors_of_a_large_system_read_the_store_and_the_others_are_standbys() {
+    let readers = vms_with_role(StoreReadRole::Reader);
     assert_eq!(readers.len(), 2);
     let centres: HashSet<_> = readers.iter().map(|it| it % CENTRES).collect();
-    assert_eq!(centres.len(), 2, "a data centre that is cut off takes one of them");
-    assert_eq!(with_part(ReadingPart::StandBy).len(), CENTRES - 2);
-    let passes_on = (0..VMS).filter(|me| book(*me).relays_store(false, ms(0))).count();
-    assert_eq!(passes_on, CENTRES);
+    assert_eq!(centres.len(), 2, "a data centre that is cut off contains only one reader");
+    assert_eq!(vms_with_role(StoreReadRole::Standby).len(), CENTRES - 2);
+    let relays = (0..VMS).filter(|me| book(*me).relays_store(false, ms(0))).count();
+    assert_eq!(relays, CENTRES);
 }
 
-// Callers are refused for lack of a proof: both readers are gone. The collectors that stood by see that they are silent,
-// and two of them read.
+// When both readers fail, requests are rejected once the freshness confirmations expire. The standby collectors observe
+// that the readers are silent, and become readers in time.
 #[test]
-fn silent_readers_are_replaced() {
-    let readers = with_part(ReadingPart::Reader);
-    let next = with_part(ReadingPart::StandBy).into_iter().filter(|me| {
+fn standbys_replace_silent_readers() {
+    let readers = vms_with_role(StoreReadRole::Reader);
+    let next = vms_with_role(StoreReadRole::Standby).into_iter().filter(|me| {
         let mut book = book(*me);
         for reader in &readers {
             book.asked(card(*reader).address, ms(0));
         }
-        book.reading_part(false, ms(500)) == ReadingPart::StandBy
-            && book.reading_part(false, ms(900)) == ReadingPart::Reader
+        book.reading_part(false, ms(500)) == StoreReadRole::Standby
+            && book.reading_part(false, ms(900)) == StoreReadRole::Reader
     });
     assert!((1..=2).contains(&next.count()));
 }
 
-// The store is overrun: the holder of the duties is gone, and all VMs see it at the same moment. Each try costs three
-// calls. Before, all 300 had tried within half a second, before they heard of the new holder.
+// When the duty holder fails, all VMs observe it at the same time. A takeover attempt costs three calls; the store
+// would be overloaded if all 300 VMs attempted it within the half second before they learn of the new holder.
 #[test]
-fn few_try_to_take_the_duties_over() {
+fn only_collectors_attempt_a_duty_takeover_at_once() {
     let collectors = CENTRES;
     let at_once = (0..VMS)
-        .filter(|me| book(*me).reading_part(false, ms(0)).duty_patience(VMS, 0.0).is_zero())
+        .filter(|me| book(*me).reading_part(false, ms(0)).duty_takeover_delay(VMS, 0.0).is_zero())
         .count();
     assert_eq!(at_once, collectors);
 }
 
-// The same where no collector reaches the store: one of the others takes the duties over, within seconds, and of
-// hundreds some twenty try before they hear of it.
+// If no collector reaches the store, one of the followers takes the duties over within seconds, and only about twenty
+// of hundreds attempt it before they learn of the new holder.
 #[test]
-fn where_no_reader_can_the_others_try_one_after_the_other() {
+fn followers_attempt_a_duty_takeover_one_after_the_other() {
     let known_after = millis(500);
     for seed in 0..20 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let mut draw = || ReadingPart::Told.duty_patience(VMS, rng.random());
-        let mut tries: Vec<_> = (0..VMS).map(|_| draw()).collect();
-        tries.sort();
-        assert!(tries[0] >= millis(1_500) && tries[0] <= millis(2_500), "{:?}", tries[0]);
-        let in_vain = tries.iter().filter(|it| **it < tries[0] + known_after).count();
-        assert!(in_vain <= 40, "{in_vain}");
+        let mut draw = || StoreReadRole::Follower.duty_takeover_delay(VMS, rng.random());
+        let mut attempts: Vec<_> = (0..VMS).map(|_| draw()).collect();
+        attempts.sort();
+        assert!(attempts[0] >= millis(1_500) && attempts[0] <= millis(2_500), "{:?}", attempts[0]);
+        let started = attempts.iter().filter(|it| **it < attempts[0] + known_after).count();
+        assert!(started <= 40, "{started}");
     }
 }
 
-// An outage of the store of 4.5 seconds: its collectors ask on, and the 49 other VMs of a data centre less often.
+// In an outage of the store of 4.5 seconds, collectors continue to call it, and the 49 followers of a data centre call
+// it less often.
 #[test]
-fn a_store_that_answers_nobody_is_asked_by_few() {
+fn followers_call_an_unreachable_store_less_often_than_collectors() {
     let length = millis(4_500);
-    let lone = calls_in_outage(ReadingPart::Told, VMS - CENTRES, length);
-    assert!(lone <= 2 * VMS, "{lone}");
-    let collector = calls_in_outage(ReadingPart::StandBy, 1, length);
-    assert!(collector >= 4, "they notice that it is back: {collector}");
+    let followers = calls_in_outage(StoreReadRole::Follower, VMS - CENTRES, length);
+    assert!(followers <= 2 * VMS, "{followers}");
+    let collector = calls_in_outage(StoreReadRole::Standby, 1, length);
+    assert!(collector >= 4, "collectors detect the end of the outage: {collector}");
 }
 
-// A key is taken away, and all VMs lack the new configuration. Old copies have it for half of them; the others are told
-// before they ask the store for the newest, and none of them waits for long if they aren't.
+// When an API key is revoked, all VMs lack the new configuration. A stale read returns it to half of them; the others
+// get it from peers before they need a consistent read, and none of them waits for long if peers don't send it.
 #[test]
-fn a_lacking_configuration_is_asked_for_in_time() {
-    let mut lacked = LackedConfig::new(7, ms(0));
-    let mut newest_at = None;
-    let mut old_copies = 0;
+fn reads_a_missing_configuration_consistently_after_one_second() {
+    let mut missing = MissingConfig::new(7, ms(0));
+    let mut consistent_read_at = None;
+    let mut stale_reads = 0;
     for at in (0..4_000).step_by(100) {
-        match lacked.next(7, IN_FORCE, ms(at)) {
-            ConfigSource::OldCopy => old_copies += 1,
+        match missing.next_source(7, IN_FORCE, ms(at)) {
+            ConfigSource::StaleRead => stale_reads += 1,
             ConfigSource::Peers => {}
-            ConfigSource::Newest => newest_at = newest_at.or(Some(ms(at))),
+            ConfigSource::ConsistentRead => {
+                consistent_read_at = consistent_read_at.or(Some(ms(at)))
+            }
         }
     }
-    assert_eq!(old_copies, 1);
-    let newest_at: TimePoint = newest_at.expect("it is asked for");
-    assert!(newest_at >= ms(1_000) && newest_at <= ms(2_000), "{newest_at:?}");
+    assert_eq!(stale_reads, 1);
+    let consistent_read_at: TimePoint = consistent_read_at.expect("a consistent read is requested");
+    assert!(
+        consistent_read_at >= ms(1_000) && consistent_read_at <= ms(2_000),
+        "{consistent_read_at:?}",
+    );
 }
 
-// Configurations follow each other three times a second, and none of the old copies has the newest. A VM that put the
-// question for the newest off with each of them would serve by the first one for as long as that goes on.
+// New configurations arrive three times a second, and no stale read returns the newest. A VM that postponed the
+// consistent read with each of them would serve the first configuration for as long as that continues.
 #[test]
-fn configurations_in_quick_succession_do_not_put_it_off() {
-    let mut lacked = LackedConfig::new(1, ms(0));
-    let newest = (0..40).filter(|at| {
+fn configurations_in_quick_succession_do_not_postpone_a_consistent_read() {
+    let mut missing = MissingConfig::new(1, ms(0));
+    let consistent_reads = (0..40).filter(|at| {
         let version = 1 + at / 3;
-        lacked.next(version, IN_FORCE, ms(at * 100)) == ConfigSource::Newest
+        missing.next_source(version, IN_FORCE, ms(at * 100)) == ConfigSource::ConsistentRead
     });
-    assert!((2..=4).contains(&newest.count()));
+    assert!((2..=4).contains(&consistent_reads.count()));
 }
--- a/crates/quincevalve_forwarding/tests/sums.rs
+++ b/crates/quincevalve_forwarding/tests/sums.rs
@@ -1,4 +1,4 @@
-//! Sums of what VMs tell, against adding up from the start.
+//! Partial sums: subtraction, expiry, and the bounded size of digests.
 
 mod support;
 
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 use quincevalve_forwarding::{
     load::WorkSum,
-    sums::{NAMED_TO_COLLECTOR, NAMED_TO_MEMBER, Share, Sums},
+    sums::{MAX_SERVERS_TO_COLLECTOR, MAX_SERVERS_TO_MEMBER, PartialSum, PartialSums},
 };
 use quincevalve_names::{ClientAccountName, ServiceName, hash_text};
 use support::{config, ms};
@@ -24,12 +24,12 @@
     )
 }
 
-fn share() -> impl Strategy<Value = Share> {
+fn any_partial_sum() -> impl Strategy<Value = PartialSum> {
     let works = prop::collection::vec((0_u64..6, work()), 0..6);
     let rates = || prop::collection::vec((0_usize..4, 0.1_f64..100_000.0), 0..4);
-    (works, rates(), rates()).prop_map(|(works, spending, demand)| Share {
+    (works, rates(), rates()).prop_map(|(works, spending, demand)| PartialSum {
         vms: 1,
-        works: works.into_iter().collect(),
+        server_work: works.into_iter().collect(),
         spending: spending
             .into_iter()
             .map(|(at, rate)| (ClientAccountName::from(format!("desk-{at}").as_str()), rate))
@@ -38,12 +38,12 @@
             .into_iter()
             .map(|(at, rate)| (ServiceName::from(format!("engines-{at}").as_str()), rate))
             .collect(),
-        ..Share::default()
+        ..PartialSum::default()
     })
 }
 
-/// Rates are equal but for what adding them in another order makes of them.
-fn is_same(one: &Share, other: &Share) -> bool {
+/// Compares two partial sums; rates may differ by the rounding errors of another order of addition.
+fn is_approximately_equal(one: &PartialSum, other: &PartialSum) -> bool {
     let spending = one.spending.iter().all(|(key, rate)| {
         (rate - other.spending.get(key).copied().unwrap_or_default()).abs() < 1e-3
     });
@@ -52,7 +52,7 @@
     });
     let sizes = (one.spending.len(), one.demand.len());
     one.vms == other.vms
-        && one.works == other.works
+        && one.server_work == other.server_work
         && spending
         && demand
         && sizes == (other.spending.len(), other.demand.len())
@@ -65,34 +65,34 @@
         ..ProptestConfig::default()
     })]
 
-    // What a member hears of all others is the same whether its share is left out or taken off.
+    // The sum of all other members is the same whether a member's partial sum is skipped or subtracted from the total.
     #[test]
-    fn a_share_taken_off_is_as_if_it_was_left_out(shares in prop::collection::vec(share(), 1..8)) {
-        let mut sums = Sums::default();
-        for (at, share) in shares.iter().enumerate() {
-            sums.take(&at.to_string(), share.clone(), ms(0));
+    fn subtracting_a_partial_sum_equals_adding_up_all_others(partial_sums in prop::collection::vec(any_partial_sum(), 1..8)) {
+        let mut sums = PartialSums::default();
+        for (at, partial_sum) in partial_sums.iter().enumerate() {
+            sums.insert(&at.to_string(), partial_sum.clone(), ms(0));
         }
-        let mut all = Share::default();
+        let mut all = PartialSum::default();
         sums.add_to(&mut all, None, ms(0));
-        for at in 0..shares.len() {
-            let mut left_out = Share::default();
-            sums.add_to(&mut left_out, Some(&at.to_string()), ms(0));
-            let told = sums.told(&at.to_string(), ms(0)).expect("it was just told");
-            let taken_off = all.without(told);
-            prop_assert!(is_same(&taken_off, &left_out), "{taken_off:?} {left_out:?}");
+        for at in 0..partial_sums.len() {
+            let mut others = PartialSum::default();
+            sums.add_to(&mut others, Some(&at.to_string()), ms(0));
+            let own = sums.get(&at.to_string(), ms(0)).expect("was just inserted");
+            let difference = all.without(own);
+            prop_assert!(is_approximately_equal(&difference, &others), "{difference:?} {others:?}");
         }
     }
 }
 
 #[test]
-fn what_was_told_long_ago_is_no_part() {
-    let mut sums = Sums::default();
-    sums.take("vm-1", Share { vms: 1, ..Share::default() }, ms(0));
-    assert!(sums.told("vm-1", ms(800)).is_some());
-    assert!(sums.told("vm-1", ms(801)).is_none());
+fn expires_a_partial_sum_after_800_ms() {
+    let mut sums = PartialSums::default();
+    sums.insert("vm-1", PartialSum { vms: 1, ..PartialSum::default() }, ms(0));
+    assert!(sums.get("vm-1", ms(800)).is_some());
+    assert!(sums.get("vm-1", ms(801)).is_none());
 }
 
-fn busy_servers(servers: u64) -> Share {
+fn busy_servers(servers: u64) -> PartialSum {
     let work = |it: u64| WorkSum {
         requests: 1 + (it % 7) as u32,
         prefill: it * 37 % 9_000,
@@ -101,81 +101,98 @@
         recent: it * 131 % 20_000,
     };
     let works = (0..servers).map(|it| (hash_text(&it.to_string()), work(it))).collect();
-    Share { works, ..Share::default() }
+    PartialSum { server_work: works, ..PartialSum::default() }
 }
 
-/// Bytes of a digest, as datagrams are encoded.
-fn bytes_of(share: &Share) -> u64 {
-    bincode::DefaultOptions::new().serialized_size(share).expect("a share")
+/// Returns the size of a digest in bytes, in the encoding of datagrams.
+fn encoded_bytes(partial_sum: &PartialSum) -> u64 {
+    bincode::DefaultOptions::new().serialized_size(partial_sum).expect("a partial sum is encodable")
 }
 
-// Digests grow with the servers until no datagram holds them: nobody hears of any load.
+// If digests grew with the number of servers, they would no longer fit into a datagram, and no VM would receive load
+// sums.
 #[test]
-fn a_digest_is_as_long_with_ten_thousand_servers() {
-    for (named, most) in [(NAMED_TO_MEMBER, 10_000), (NAMED_TO_COLLECTOR, 30_000)] {
-        let lengths = [3_000, 10_000].map(|servers| {
-            let mut share = busy_servers(servers);
-            share.name_busiest(named);
-            assert_eq!(share.works.len(), named);
-            bytes_of(&share)
+fn digest_size_is_bounded_with_ten_thousand_servers() {
+    for (max_servers, max_bytes) in
+        [(MAX_SERVERS_TO_MEMBER, 10_000), (MAX_SERVERS_TO_COLLECTOR, 30_000)]
+    {
+        let sizes = [3_000, 10_000].map(|servers| {
+            let mut partial_sum = busy_servers(servers);
+            partial_sum.keep_busiest_servers(max_servers);
+            assert_eq!(partial_sum.server_work.len(), max_servers);
+            encoded_bytes(&partial_sum)
         });
-        assert!(lengths.iter().all(|it| *it <= most), "{lengths:?} bytes");
+        assert!(sizes.iter().all(|it| *it <= max_bytes), "{sizes:?} bytes");
     }
 }
 
-// A server that is nearly full isn't named among thousands, and all VMs send it more.
+// If a nearly full server were missing from a digest of thousands, all VMs would send it more requests.
 #[test]
-fn the_busiest_servers_are_named() {
+fn keeps_the_busiest_servers() {
     let all = busy_servers(3_000);
-    let mut named = all.clone();
-    named.name_busiest(NAMED_TO_MEMBER);
-    let least = named.works.values().map(WorkSum::weight).min().expect("some are named");
-    let left_out = all.works.iter().filter(|(it, _)| !named.works.contains_key(*it));
-    assert!(left_out.map(|(_, it)| it.weight()).all(|it| it <= least));
-    assert!(named.works.iter().all(|(server, it)| all.works[server] == *it));
+    let mut kept = all.clone();
+    kept.keep_busiest_servers(MAX_SERVERS_TO_MEMBER);
+    let min_kept_weight =
+        kept.server_work.values().map(WorkSum::weight).min().expect("some servers are kept");
+    let dropped = all.server_work.iter().filter(|(it, _)| !kept.server_work.contains_key(*it));
+    assert!(dropped.map(|(_, it)| it.weight()).all(|it| it <= min_kept_weight));
+    assert!(kept.server_work.iter().all(|(server, it)| all.server_work[server] == *it));
 }
 
-// Servers with the same work stand at the edge of what is named: none of them are.
+// Servers with equal work at the cutoff must not all be dropped.
 #[test]
-fn servers_with_equal_work_are_named_up_to_the_most() {
+fn keeps_the_maximum_number_of_servers_when_their_work_is_equal() {
     let work = WorkSum { requests: 1, ..WorkSum::default() };
-    let mut share = Share { works: (0..1_000).map(|it| (it, work)).collect(), ..Share::default() };
-    share.name_busiest(NAMED_TO_MEMBER);
-    assert_eq!(share.works.len(), NAMED_TO_MEMBER);
-    let few = Share { works: (0..20).map(|it| (it, work)).collect(), ..Share::default() };
+    let mut partial_sum = PartialSum {
+        server_work: (0..1_000).map(|it| (it, work)).collect(),
+        ..PartialSum::default()
+    };
+    partial_sum.keep_busiest_servers(MAX_SERVERS_TO_MEMBER);
+    assert_eq!(partial_sum.server_work.len(), MAX_SERVERS_TO_MEMBER);
+    let few =
+        PartialSum { server_work: (0..20).map(|it| (it, work)).collect(), ..PartialSum::default() };
     let mut same = few.clone();
-    same.name_busiest(NAMED_TO_MEMBER);
+    same.keep_busiest_servers(MAX_SERVERS_TO_MEMBER);
     assert_eq!(few, same);
 }
 
-// A request begins or ends, and the others hear of it a second late.
+// If the begin or end of a request isn't detected as a change, the other VMs learn of it a second late.
 #[test]
-fn what_begins_and_ends_is_news() {
+fn detects_begin_and_end_of_requests_as_changes() {
     let work = |requests, recent| WorkSum { requests, recent, ..WorkSum::default() };
-    let share = |works: &[(u64, WorkSum)]| Share {
-        works: works.iter().copied().collect(),
-        ..Share::default()
+    let partial_sum = |works: &[(u64, WorkSum)]| PartialSum {
+        server_work: works.iter().copied().collect(),
+        ..PartialSum::default()
     };
-    let before = share(&[(1, work(1, 900)), (2, work(2, 0))]);
-    assert!(!before.has_news_since(&before));
-    assert!(!share(&[(1, work(1, 600)), (2, work(2, 0))]).has_news_since(&before), "faded");
-    assert!(share(&[(1, work(2, 900)), (2, work(2, 0))]).has_news_since(&before), "one began");
-    assert!(share(&[(1, work(0, 900)), (2, work(2, 0))]).has_news_since(&before), "one ended");
-    assert!(share(&[(1, work(1, 900))]).has_news_since(&before), "the last one ended");
-    assert!(share(&[(1, work(1, 900)), (3, work(2, 0))]).has_news_since(&before));
+    let before = partial_sum(&[(1, work(1, 900)), (2, work(2, 0))]);
+    assert!(!before.has_changed_since(&before));
+    assert!(
+        !partial_sum(&[(1, work(1, 600)), (2, work(2, 0))]).has_changed_since(&before),
+        "faded"
+    );
+    assert!(
+        partial_sum(&[(1, work(2, 900)), (2, work(2, 0))]).has_changed_since(&before),
+        "one began"
+    );
+    assert!(
+        partial_sum(&[(1, work(0, 900)), (2, work(2, 0))]).has_changed_since(&before),
+        "one ended"
+    );
+    assert!(partial_sum(&[(1, work(1, 900))]).has_changed_since(&before), "the last one ended");
+    assert!(partial_sum(&[(1, work(1, 900)), (3, work(2, 0))]).has_changed_since(&before));
 }
 
-// An account's spending is left out of digests though it is near its quota, and it gets more.
+// If the spending of an account near its quota were dropped from digests, the account could exceed the quota.
 #[test]
-fn only_light_spending_is_left_out() {
+fn drops_only_spending_below_a_quarter_of_the_quota() {
     let config = config(1, Vec::new());
-    let left = |name: &str, rate: f64| {
+    let kept_accounts = |name: &str, rate: f64| {
         let spending = [(ClientAccountName::from(name), rate)].into_iter().collect();
-        let mut share = Share { spending, ..Share::default() };
-        share.drop_light_spending(&config);
+        let mut share = PartialSum { spending, ..PartialSum::default() };
+        share.drop_low_spending(&config);
         share.spending.len()
     };
-    assert_eq!(left("desk", 250.0), 1);
-    assert_eq!(left("desk", 249.0), 0);
-    assert_eq!(left("without-quota", 1.0), 1);
+    assert_eq!(kept_accounts("desk", 250.0), 1);
+    assert_eq!(kept_accounts("desk", 249.0), 0);
+    assert_eq!(kept_accounts("without-quota", 1.0), 1);
 }
--- a/crates/quincevalve_measure/src/experiments/digests.rs
+++ b/crates/quincevalve_measure/src/experiments/digests.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use bincode::{DefaultOptions, Options};
-use quincevalve_forwarding::{load::WorkSum, sums::Share};
+use quincevalve_forwarding::{load::WorkSum, sums::PartialSum};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -38,7 +38,7 @@
     vec![table]
 }
 
-fn share(servers: usize, requests: u32, seed: u64) -> Share {
+fn share(servers: usize, requests: u32, seed: u64) -> PartialSum {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let work = |rng: &mut Pcg64Mcg| WorkSum {
         requests,
@@ -50,5 +50,5 @@
     let works = (0..servers).map(|_| (rng.random(), work(&mut rng))).collect();
     let account = |at: usize| format!("account-{at}").as_str().into();
     let spending = (0..ACCOUNTS).map(|at| (account(at), 1_000.5)).collect();
-    Share { vms: MEMBERS as u32, works, spending, ..Share::default() }
+    PartialSum { vms: MEMBERS as u32, server_work: works, spending, ..PartialSum::default() }
 }
--- a/crates/quincevalve_node/src/duties.rs
+++ b/crates/quincevalve_node/src/duties.rs
@@ -85,7 +85,7 @@
     let draw = node.rng.borrow_mut().random();
     let Vacancy { since, draw } = *vacancy.get_or_insert(Vacancy { since: now, draw });
     let is_small = node.peers.borrow().book.is_small();
-    is_small || now.since(since) >= node.reading_part().duty_patience(node.vms(), draw)
+    is_small || now.since(since) >= node.reading_part().duty_takeover_delay(node.vms(), draw)
 }
 
 async fn take_over<S>(node: &Node, store: &S) -> Result<LeaseId, StoreError>
--- a/crates/quincevalve_node/src/duties/reports.rs
+++ b/crates/quincevalve_node/src/duties/reports.rs
@@ -3,7 +3,7 @@
 use std::{cell::Cell, time::Duration};
 
 use indexmap::IndexMap;
-use quincevalve_forwarding::{demand::MeasuredDemand, usage::Kept};
+use quincevalve_forwarding::{demand::MeasuredDemand, usage::UsageSnapshot};
 use quincevalve_names::{ClientAccountName, ServiceName, TimePoint};
 use serde::{Deserialize, Serialize};
 use tokio::time::sleep;
@@ -137,8 +137,8 @@
         };
         self.revision = Some(item.as_ref().map_or(StoreRevision::ABSENT, |it| it.revision));
         let Some(item) = item else { return true };
-        match bincode::deserialize::<Kept>(&item.value) {
-            Ok(kept) => node.usage.borrow_mut().recall(kept, me(node)),
+        match bincode::deserialize::<UsageSnapshot>(&item.value) {
+            Ok(kept) => node.usage.borrow_mut().restore(kept, me(node)),
             // The next writing replaces it.
             Err(error) => log::warn!(error:% = error; "counts-unreadable"),
         }
@@ -155,7 +155,7 @@
         if acting(node).is_none() {
             return;
         }
-        let kept = node.usage.borrow().keep(me(node), since);
+        let kept = node.usage.borrow().snapshot(me(node), since);
         let value = match bincode::serialize(&kept) {
             Ok(value) => value,
             Err(error) => return log::error!(error:% = error; "counts-not-encoded"),
@@ -228,7 +228,7 @@
 /// lacks all that began there. The report waits for what every known peer has to tell, as long as it can.
 fn due_window(node: &Node, last: Option<&Report>) -> Option<u64> {
     let now = clock::now();
-    let now_ms = node.wall.borrow().true_ms(now)?;
+    let now_ms = node.wall.borrow().estimate_ms(now)?;
     let length = node.settings.duties.usage_window.as_millis().max(1) as i64;
     let newest = ((now_ms - REPORT_AFTER_MS) / length - 1) as u64;
     // Without a report so far the newest window that has ended is the first.
@@ -240,7 +240,7 @@
     let begin = next.cast_signed() * length;
     let told_since = begin + length + TOLD_AFTER_MS;
     let peers = node.peers.borrow();
-    let missing = node.usage.borrow().missing_part(peers.book.awaited(now), begin, told_since);
+    let missing = node.usage.borrow().missing_fraction(peers.book.awaited(now), begin, told_since);
     let complete = missing <= MAY_BE_MISSING;
     (complete || since_end_ms >= REPORT_ANYWAY_MS).then_some(next)
 }
--- a/crates/quincevalve_node/src/duties/rollouts.rs
+++ b/crates/quincevalve_node/src/duties/rollouts.rs
@@ -127,7 +127,7 @@
     fn next(&self, service: &ServiceName, known: Option<&RolloutRecord>) -> Option<RolloutRecord> {
         let node = self.node;
         let now = clock::now();
-        let now_ms = node.wall.borrow().true_ms(now)?;
+        let now_ms = node.wall.borrow().estimate_ms(now)?;
         let config = node.config()?;
         let book = node.rollouts.borrow();
         let order = book.orders().find(|(it, _)| *it == service).map(|(_, it)| it);
@@ -189,7 +189,7 @@
     }
 
     fn left_ms(&self, record: &RolloutRecord) -> i64 {
-        let now_ms = self.node.wall.borrow().true_ms(clock::now());
+        let now_ms = self.node.wall.borrow().estimate_ms(clock::now());
         record.deadline_ms() - now_ms.unwrap_or(record.ordered_ms)
     }
 
--- a/crates/quincevalve_node/src/node.rs
+++ b/crates/quincevalve_node/src/node.rs
@@ -13,7 +13,7 @@
     config::{ForwardingConfig, Route},
     demand::{MeasuredDemand, WorkRate},
     duty::Duty,
-    freshness::{Freshness, Touch},
+    freshness::{Freshness, FreshnessState},
     line_budget::LineBudget,
     load::{self, Work},
     peer_book::VmCard,
@@ -25,7 +25,7 @@
     servers::ServerTable,
     signal_outbox::SignalOutbox,
     store_contact::StoreContact,
-    store_pacing::ReadingPart,
+    store_pacing::StoreReadRole,
     usage::Usage,
     wall_clock::WallClock,
 };
@@ -181,20 +181,20 @@
     }
 
     /// How far this VM is in touch with removals of keys.
-    fn touch(&self) -> Touch {
+    fn touch(&self) -> FreshnessState {
         let bounds = self.settings.bounds;
         if !self.was_proved() {
-            return Touch::Lost;
+            return FreshnessState::Expired;
         }
         if !bounds.keys_fail_closed {
-            return Touch::Kept;
+            return FreshnessState::Fresh;
         }
-        self.freshness.get().touch(bounds.key_removed, clock::now())
+        self.freshness.get().state(bounds.key_removed, clock::now())
     }
 
     /// Whether what is known here can't have been taken away too long ago.
     pub(crate) fn keys_are_proved(&self) -> bool {
-        self.touch() != Touch::Lost
+        self.touch() != FreshnessState::Expired
     }
 
     /// Whether what is unknown here can't have been added too long ago.
@@ -205,7 +205,7 @@
 
     /// Whether callers should go to other VMs, since keys are refused here or will be soon.
     pub(crate) fn is_losing_touch(&self) -> bool {
-        self.touch() != Touch::Kept
+        self.touch() != FreshnessState::Fresh
     }
 
     /// Whether callers should be sent here.
@@ -227,7 +227,7 @@
     }
 
     /// How this VM takes part in reading the store.
-    pub(crate) fn reading_part(&self) -> ReadingPart {
+    pub(crate) fn reading_part(&self) -> StoreReadRole {
         let now = clock::now();
         let peers = self.peers.borrow();
         peers.book.reading_part(peers.has_members(now), now)
@@ -244,7 +244,7 @@
     pub(crate) fn may_tell_refusal(&self) -> bool {
         let may = self.refusal_lines.borrow_mut().take(clock::now());
         if !may {
-            self.lines.borrow_mut().leave_out(1);
+            self.lines.borrow_mut().record_suppressed(1);
         }
         may
     }
@@ -254,7 +254,7 @@
         let mut lines = self.lines.borrow_mut();
         let may = lines.take(clock::now());
         if !may {
-            lines.leave_out(1);
+            lines.record_suppressed(1);
         }
         may
     }
@@ -284,9 +284,9 @@
     /// Notes a request that began to run, in the window of true time.
     pub(crate) fn note_began(&self, account: Option<&ClientAccountName>) {
         let Some(account) = account else { return };
-        let Some(now_ms) = self.wall.borrow().true_ms(clock::now()) else { return };
+        let Some(now_ms) = self.wall.borrow().estimate_ms(clock::now()) else { return };
         let length = self.settings.duties.usage_window.as_millis().max(1) as i64;
-        self.usage.borrow_mut().began((now_ms / length) as u64, account);
+        self.usage.borrow_mut().record_start((now_ms / length) as u64, account);
     }
 
     /// Notes work that was asked of `service`, and whether a server had room for it.
--- a/crates/quincevalve_node/src/peers.rs
+++ b/crates/quincevalve_node/src/peers.rs
@@ -12,7 +12,7 @@
 use quincevalve_forwarding::{
     digest_pace::DigestPace,
     peer_book::{PeerBook, Role, VmCard},
-    sums::{Demand, Share, Sums},
+    sums::{Demand, PartialSum, PartialSums},
 };
 use quincevalve_names::{ServiceName, TimePoint};
 
@@ -40,9 +40,9 @@
     pub(crate) book: PeerBook,
     /// The VM that holds the duties, as the store has it.
     holder: Option<String>,
-    members: Sums,
-    collectors: Sums,
-    rest: Sums,
+    members: PartialSums,
+    collectors: PartialSums,
+    rest: PartialSums,
     /// Members' addresses, by sender.
     member_addresses: HashMap<String, SocketAddr>,
     /// The work that all other VMs take on, as told last.
@@ -56,7 +56,7 @@
     /// Whether a share was heard that wasn't taken over yet.
     has_news: bool,
     /// What this VM told its collector last.
-    own_told: Option<Share>,
+    own_told: Option<PartialSum>,
     /// Units a second that accounts spent here when there was news last.
     spent_at_news: f64,
 }
@@ -67,9 +67,9 @@
             pace: DigestPace::new(link, me.cpu),
             book: PeerBook::new(me),
             holder: None,
-            members: Sums::default(),
-            collectors: Sums::default(),
-            rest: Sums::default(),
+            members: PartialSums::default(),
+            collectors: PartialSums::default(),
+            rest: PartialSums::default(),
             member_addresses: HashMap::new(),
             others_demand: Demand::new(),
             reachable_part: 1.0,
@@ -86,8 +86,8 @@
     }
 
     /// Whether `own`, what this VM does, differs from what its collector was told.
-    fn has_own_news(&self, own: &Share) -> bool {
-        self.own_told.as_ref().is_none_or(|it| own.has_news_since(it))
+    fn has_own_news(&self, own: &PartialSum) -> bool {
+        self.own_told.as_ref().is_none_or(|it| own.has_changed_since(it))
     }
 
     /// Notes which VM holds the duties.
@@ -105,7 +105,7 @@
 
     /// Whether other VMs have chosen this one as their collector.
     pub(crate) fn has_members(&self, now: TimePoint) -> bool {
-        self.members.is_fresh(now)
+        self.members.has_fresh(now)
     }
 
     /// The work that other VMs take on for a service, in busy servers.
@@ -120,8 +120,8 @@
 
     /// What all other VMs do, as far as told. A member hears all of it from its collector; a collector adds
     /// up its members and the other collectors.
-    fn others(&self, now: TimePoint) -> Share {
-        let mut sum = Share::default();
+    fn others(&self, now: TimePoint) -> PartialSum {
+        let mut sum = PartialSum::default();
         match self.book.role(self.has_members(now), now) {
             Role::Member { .. } => self.rest.add_to(&mut sum, None, now),
             Role::Collector { .. } => {
--- a/crates/quincevalve_node/src/peers/datagram.rs
+++ b/crates/quincevalve_node/src/peers/datagram.rs
@@ -4,8 +4,8 @@
 
 use bincode::{DefaultOptions, Options};
 use quincevalve_forwarding::{
-    part_fetch::PartsWanted, parts::Part, peer_book::VmCard, poison::PoisonMessage, sums::Share,
-    usage::Counts,
+    part_fetch::PartsWanted, parts::Part, peer_book::VmCard, poison::PoisonMessage,
+    sums::PartialSum, usage::Counts,
 };
 use quincevalve_names::TimePoint;
 use serde::{Deserialize, Serialize};
@@ -62,7 +62,7 @@
 pub(super) enum Content {
     Share {
         scope: Scope,
-        share: Box<Share>,
+        share: Box<PartialSum>,
         relayed: Option<Relayed>,
         store: Option<ToldContact>,
     },
--- a/crates/quincevalve_node/src/peers/receive.rs
+++ b/crates/quincevalve_node/src/peers/receive.rs
@@ -3,7 +3,9 @@
 use std::{rc::Rc, time::Duration};
 
 use bincode::Options;
-use quincevalve_forwarding::{change_log::Excerpt, signal_outbox::Source, store_contact::Contact};
+use quincevalve_forwarding::{
+    change_log::Excerpt, signal_outbox::Source, store_contact::ContactSpan,
+};
 use quincevalve_names::TimePoint;
 use tokio::{net::UdpSocket, time::sleep};
 
@@ -58,7 +60,7 @@
         };
         peers.newest.insert(name.clone(), newest);
     }
-    node.wall.borrow_mut().heard(name.clone(), datagram.wall_ms, now);
+    node.wall.borrow_mut().record(name.clone(), datagram.wall_ms, now);
     match datagram.content {
         Content::Share { scope, share, relayed, store } => {
             // What is relayed may say that servers are gone, and the contact whether that may be a lapse.
@@ -86,13 +88,13 @@
                     Scope::Members => &mut peers.collectors,
                     Scope::Rest => &mut peers.rest,
                 };
-                sums.take(&sender, *share, now);
+                sums.insert(&sender, *share, now);
                 peers.has_news = true;
             }
             if scope == Scope::Rest
                 && let Some(true_ms) = datagram.true_ms
             {
-                node.wall.borrow_mut().trust(true_ms, now);
+                node.wall.borrow_mut().record_estimate(true_ms, now);
             }
         }
         Content::ConfigWanted { above } => {
@@ -133,7 +135,12 @@
         }
         Content::Usage { counts } => {
             let sent_ms = datagram.true_ms.unwrap_or(datagram.wall_ms);
-            node.usage.borrow_mut().heard(&name, datagram.incarnation, &counts, sent_ms);
+            node.usage.borrow_mut().merge_peer_totals(
+                &name,
+                datagram.incarnation,
+                &counts,
+                sent_ms,
+            );
         }
     }
 }
@@ -164,7 +171,7 @@
     let Some(newest) = newest else { return };
     let since = earlier(newest, told.steady).unwrap_or(TimePoint::ZERO);
     if newest <= clock::now() {
-        heard_of_store(node, Contact { since, newest });
+        heard_of_store(node, ContactSpan { since, newest });
     }
 }
 
--- a/crates/quincevalve_node/src/peers/receive/tests.rs
+++ b/crates/quincevalve_node/src/peers/receive/tests.rs
@@ -3,8 +3,8 @@
 use quincevalve_forwarding::{
     peer_book::VmCard,
     servers::{ServerEntry, ServerStart},
-    store_contact::Contact,
-    sums::Share,
+    store_contact::ContactSpan,
+    sums::PartialSum,
 };
 use quincevalve_names::BackendServerName;
 use tokio::task::LocalSet;
@@ -56,7 +56,7 @@
     let node = bare_node("vm-1");
     let servers = names().map(|it| (it, server(false))).into();
     take_whole(&node, Whole { at: AT, newest: AT, servers, ..Whole::default() });
-    heard_of_store(&node, Contact::at(ago(read_ago)));
+    heard_of_store(&node, ContactSpan::at(ago(read_ago)));
     node
 }
 
@@ -83,7 +83,7 @@
         seen: None,
         content: Content::Share {
             scope: Scope::Members,
-            share: Box::<Share>::default(),
+            share: Box::<PartialSum>::default(),
             relayed: Some(Relayed { age: Duration::ZERO, version: 0, after: AT, upto, changes }),
             store,
         },
@@ -113,7 +113,7 @@
         note_away(&node);
         hear(&node, &socket().await, datagram(&node, Some(answered_all_the_while()), removed()));
         assert!(usable(&node).is_empty());
-        heard_of_store(&node, Contact::at(clock::now()));
+        heard_of_store(&node, ContactSpan::at(clock::now()));
         assert!(usable(&node).is_empty());
         assert!(!node.servers.borrow().is_store_away());
     });
@@ -127,7 +127,7 @@
         note_away(&node);
         hear(&node, &socket, datagram(&node, None, removed()));
         hear(&node, &socket, datagram(&node, Some(answered_all_the_while()), removed()));
-        heard_of_store(&node, Contact::at(clock::now()));
+        heard_of_store(&node, ContactSpan::at(clock::now()));
         assert!(usable(&node).is_empty());
     });
 }
--- a/crates/quincevalve_node/src/peers/send.rs
+++ b/crates/quincevalve_node/src/peers/send.rs
@@ -9,7 +9,7 @@
     part_fetch::PartsWanted,
     peer_book::Role,
     signal_outbox::ServerKey,
-    sums::{NAMED_TO_COLLECTOR, NAMED_TO_MEMBER, Share},
+    sums::{MAX_SERVERS_TO_COLLECTOR, MAX_SERVERS_TO_MEMBER, PartialSum},
 };
 use quincevalve_names::TimePoint;
 use tokio::{net::UdpSocket, time::sleep};
@@ -55,7 +55,7 @@
 pub(crate) async fn send_digests(node: Rc<Node>, socket: Rc<UdpSocket>) {
     for turn in 0_u32.. {
         let now = clock::now();
-        node.wall.borrow_mut().heard(String::new(), clock::wall_ms(), now);
+        node.wall.borrow_mut().record(String::new(), clock::wall_ms(), now);
         for gone in node.peers.borrow_mut().book.forget(now) {
             log::info!(peer = gone; "peer-forgotten");
             node.wall.borrow_mut().forget(&gone);
@@ -80,7 +80,7 @@
 
 /// Says how many lines of requests were not written since the last time.
 fn log_left_out(node: &Node) {
-    let lines = node.lines.borrow_mut().take_left_out();
+    let lines = node.lines.borrow_mut().take_suppressed();
     if lines > 0 {
         log::info!(lines; "lines-left-out");
         node.metrics.left_out(lines);
@@ -101,14 +101,14 @@
         quota.set_others(&others.spending, reachable_part, &config, now);
     }
     let seat = node.peers.borrow().book.seat(LIMITS_KEY);
-    let true_ms = node.wall.borrow().true_ms(now).unwrap_or_else(clock::wall_ms);
+    let true_ms = node.wall.borrow().estimate_ms(now).unwrap_or_else(clock::wall_ms);
     node.servers.borrow_mut().set_seat(seat, true_ms, now);
     measure_demand(node, now);
     if !node.rollouts.borrow().is_idle() {
         node.rollouts.borrow_mut().set_others(&others.rollouts);
         rollouts::refresh(node);
     }
-    node.servers.borrow_mut().set_others(&others.works, now);
+    node.servers.borrow_mut().set_others(&others.server_work, now);
 }
 
 /// Measures the work that all VMs take on, whoever holds the duties: the next holder plans by it at once.
@@ -121,14 +121,14 @@
     }
 }
 
-fn own_share(node: &Node) -> Share {
+fn own_share(node: &Node) -> PartialSum {
     let now = clock::now();
     let demand = node.demand.borrow();
     let demand = demand.iter().map(|(service, it)| (service.clone(), it.busy(now)));
     let spending = node.quota.borrow().spending(now).collect();
-    Share {
+    PartialSum {
         vms: 1,
-        works: node.servers.borrow().own_work(now),
+        server_work: node.servers.borrow().own_work(now),
         spending,
         demand: demand.collect(),
         rollouts: node.rollouts.borrow_mut().shares(&node.servers.borrow(), now),
@@ -136,7 +136,7 @@
 }
 
 /// A digest for the VM at an address.
-type Outgoing = (SocketAddr, Scope, Share);
+type Outgoing = (SocketAddr, Scope, PartialSum);
 
 fn send_loads(node: &Node, socket: &UdpSocket, turn: u32, now: TimePoint) {
     let own = own_share(node);
@@ -144,7 +144,7 @@
     let mut peers = node.peers.borrow_mut();
     let members = peers.members.fresh_senders(now).count();
     // Members that are told by turns hear of the store each time: their turns may never be those of the others.
-    let by_turns = peers.pace.periods(members, PERIODS_PER_SECOND) > 1;
+    let by_turns = peers.pace.periods_between_digests(members, PERIODS_PER_SECOND) > 1;
     let sent = match peers.book.role(members > 0, now) {
         Role::Member { address, .. } => {
             own_digest(&mut peers, own, address, turn).into_iter().collect()
@@ -166,7 +166,7 @@
         let bytes = send(node, socket, address, Content::Share { scope, share, relayed, store });
         let mut peers = node.peers.borrow_mut();
         if scope == Scope::Rest {
-            peers.pace.sent(bytes);
+            peers.pace.record_sent_bytes(bytes);
         }
         peers.book.asked(address, now);
     }
@@ -175,7 +175,12 @@
 /// What a member tells its collector in this period: nothing while there is no news, but for every few periods.
 ///
 /// What an account spends is a rate that fades. Who stops telling it while it is high has it counted on at its full height.
-fn own_digest(peers: &mut Peers, own: Share, address: SocketAddr, turn: u32) -> Option<Outgoing> {
+fn own_digest(
+    peers: &mut Peers,
+    own: PartialSum,
+    address: SocketAddr,
+    turn: u32,
+) -> Option<Outgoing> {
     let spent: f64 = own.spending.values().sum();
     let is_news = peers.has_own_news(&own);
     if is_news {
@@ -192,7 +197,7 @@
 /// What a collector tells its members and the other collectors in this period.
 fn collector_digests(
     peers: &Peers,
-    own: Share,
+    own: PartialSum,
     others: &[SocketAddr],
     config: Option<&ForwardingConfig>,
     turn: u32,
@@ -202,17 +207,17 @@
     peers.members.add_to(&mut share, None, now);
     let mut all = share.clone();
     peers.collectors.add_to(&mut all, None, now);
-    share.name_busiest(NAMED_TO_COLLECTOR);
-    all.name_busiest(NAMED_TO_MEMBER);
+    share.keep_busiest_servers(MAX_SERVERS_TO_COLLECTOR);
+    all.keep_busiest_servers(MAX_SERVERS_TO_MEMBER);
     if let Some(config) = config {
-        all.drop_light_spending(config);
+        all.drop_low_spending(config);
     }
     let members: Vec<_> = peers.members.fresh_senders(now).collect();
     let is_due = |at| peers.pace.is_due(at, turn, members.len(), PERIODS_PER_SECOND);
     let due = members.iter().enumerate().filter(|(at, _)| is_due(*at));
     let to_members = due.filter_map(|(_, member)| {
         let address = peers.member_addresses.get(*member)?;
-        let told = peers.members.told(member, now)?;
+        let told = peers.members.get(member, now)?;
         Some((*address, Scope::Rest, all.without(told)))
     });
     let to_collectors = others.iter().map(|it| (*it, Scope::Members, share.clone()));
@@ -224,13 +229,13 @@
 fn ask_better_collector(node: &Node, socket: &UdpSocket, now: TimePoint) {
     let better = node.peers.borrow().book.better_collector(now);
     let Some(address) = better else { return };
-    let share = Box::<Share>::default();
+    let share = Box::<PartialSum>::default();
     let content = Content::Share { scope: Scope::Own, share, relayed: None, store: None };
     send(node, socket, address, content);
 }
 
 fn told_contact(node: &Node, now: TimePoint) -> Option<ToldContact> {
-    let contact = node.store_contact.get().contact()?;
+    let contact = node.store_contact.get().newest_span()?;
     let age = now.since(contact.newest);
     Some(ToldContact { age, steady: contact.newest.since(contact.since) })
 }
@@ -360,7 +365,7 @@
         from: node.peers.borrow().book.me().clone(),
         incarnation: node.incarnation,
         wall_ms: clock::wall_ms(),
-        true_ms: node.wall.borrow().true_ms(now),
+        true_ms: node.wall.borrow().estimate_ms(now),
         content,
     };
     match encoding().serialize(&datagram) {
--- a/crates/quincevalve_node/src/peers/send/tests.rs
+++ b/crates/quincevalve_node/src/peers/send/tests.rs
@@ -25,13 +25,13 @@
     WorkSum { requests, prefill: 9_000, urgent_prefill: 900, memory: 50_000, recent: 9_000 }
 }
 
-fn share(servers: impl Iterator<Item = u64>) -> Share {
+fn share(servers: impl Iterator<Item = u64>) -> PartialSum {
     let works = servers.map(|it| (hash_text(&it.to_string()), work(1))).collect();
-    Share { vms: 1, works, ..Share::default() }
+    PartialSum { vms: 1, server_work: works, ..PartialSum::default() }
 }
 
 /// The periods of twenty in which a member tells what it does.
-fn told(mut share_at: impl FnMut(u32) -> Share) -> Vec<u32> {
+fn told(mut share_at: impl FnMut(u32) -> PartialSum) -> Vec<u32> {
     let mut peers = peers();
     let mut is_told = |turn: &u32| own_digest(&mut peers, share_at(*turn), any(), *turn).is_some();
     (0..20).filter(|turn| is_told(turn)).collect()
@@ -56,7 +56,7 @@
 fn what_accounts_spend_is_told_until_it_has_faded() {
     let spending = |turn: u32| {
         let rate = 40_000.0 * (-f64::from(turn) * 0.06 / 0.25).exp();
-        Share { spending: [("desk".into(), rate)].into_iter().collect(), ..share(0..2) }
+        PartialSum { spending: [("desk".into(), rate)].into_iter().collect(), ..share(0..2) }
     };
     assert_eq!(told(spending), [0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 12, 16]);
 }
@@ -68,15 +68,16 @@
     for at in 1..=MEMBERS {
         let member = card(at, 120);
         let own = share((0..SERVERS).filter(|it| it % u64::from(MEMBERS) == u64::from(at - 1)));
-        peers.members.take(&member.name, own, TimePoint::ZERO);
+        peers.members.insert(&member.name, own, TimePoint::ZERO);
         peers.member_addresses.insert(member.name.clone(), member.address);
     }
     let others = [any()];
-    let digests = collector_digests(&peers, Share::default(), &others, None, 0, TimePoint::ZERO);
+    let digests =
+        collector_digests(&peers, PartialSum::default(), &others, None, 0, TimePoint::ZERO);
     assert_eq!(digests.len(), usize::from(MEMBERS) + others.len());
     for (_, scope, share) in digests {
         let bytes = encoding().serialized_size(&share).expect("it fits");
         assert!(bytes as usize + PASSED_BYTES <= MAX_DATAGRAM, "{scope:?}: {bytes} bytes");
-        assert!(!share.works.is_empty());
+        assert!(!share.server_work.is_empty());
     }
 }
--- a/crates/quincevalve_node/src/quarantine.rs
+++ b/crates/quincevalve_node/src/quarantine.rs
@@ -54,7 +54,7 @@
         return Standing::Free;
     }
     let now = clock::now();
-    poison.standing(req.digest(), now, node.wall.borrow().true_ms(now))
+    poison.standing(req.digest(), now, node.wall.borrow().estimate_ms(now))
 }
 
 /// Notes that a request ended well: it is not what ends servers.
--- a/crates/quincevalve_node/src/quarantine/orders.rs
+++ b/crates/quincevalve_node/src/quarantine/orders.rs
@@ -155,5 +155,5 @@
 }
 
 fn true_ms(node: &Node) -> Option<i64> {
-    node.wall.borrow().true_ms(clock::now())
+    node.wall.borrow().estimate_ms(clock::now())
 }
--- a/crates/quincevalve_node/src/request/trace.rs
+++ b/crates/quincevalve_node/src/request/trace.rs
@@ -27,7 +27,7 @@
         if held.len() < HELD_LINES {
             held.push(Held { name, fields, at_ms: clock::now().as_micros() / 1_000 });
         } else {
-            node.lines.borrow_mut().leave_out(1);
+            node.lines.borrow_mut().record_suppressed(1);
         }
     }
 
@@ -35,7 +35,7 @@
     pub(crate) fn end(&self, node: &Node, id: &str, was_bad: bool) {
         let held = self.held.take();
         if !was_bad {
-            node.lines.borrow_mut().leave_out(held.len() as u64);
+            node.lines.borrow_mut().record_suppressed(held.len() as u64);
             return;
         }
         for line in held {
--- a/crates/quincevalve_node/src/rollouts.rs
+++ b/crates/quincevalve_node/src/rollouts.rs
@@ -95,7 +95,7 @@
     let config = node.config();
     let engine = config.as_ref().and_then(|it| it.services.get(service)?.engine);
     let around = Surroundings {
-        true_ms: node.wall.borrow().true_ms(now),
+        true_ms: node.wall.borrow().estimate_ms(now),
         has_engines: engine.is_some(),
         seat: node.peers.borrow().book.seat(order.0),
         is_in_touch: is_in_touch(node),
--- a/crates/quincevalve_node/src/store/state_copy.rs
+++ b/crates/quincevalve_node/src/store/state_copy.rs
@@ -15,7 +15,7 @@
     part_fetch::{FetchStep, PartFetch, PartsWanted, Served, WINDOW, in_turn, patience},
     parts::{Part, split},
     peer_book::{VmCard, rank_at_start, vms_to_ask_at_start},
-    store_pacing::ReadingPart,
+    store_pacing::StoreReadRole,
 };
 use quincevalve_names::TimePoint;
 use rand::seq::SliceRandom;
@@ -157,7 +157,7 @@
 
 /// Whether this VM has a new proof that what it knows is the newest.
 fn is_newest(node: &Node, now: TimePoint) -> bool {
-    let longest = ReadingPart::StandBy.longest_told_age(node.settings.bounds.change_in_force);
+    let longest = StoreReadRole::Standby.max_confirmation_age(node.settings.bounds.change_in_force);
     let is_proved = node.freshness.get().age(now).is_some_and(|it| it <= longest);
     // What is known here must be all that the proof is for.
     is_proved && node.config().is_some_and(|it| it.version >= node.told_version.get())
--- a/crates/quincevalve_node/src/store/sync.rs
+++ b/crates/quincevalve_node/src/store/sync.rs
@@ -3,8 +3,8 @@
 use std::{rc::Rc, time::Duration};
 
 use quincevalve_forwarding::{
-    store_contact::{Contact, StoreNews},
-    store_pacing::{ConfigSource, LackedConfig, ReadingPart},
+    store_contact::{ContactSpan, StoreUpdate},
+    store_pacing::{ConfigSource, MissingConfig, StoreReadRole},
 };
 use quincevalve_names::TimePoint;
 use tokio::{
@@ -78,11 +78,11 @@
             Ok(ReadAge::Newest) => {
                 prove(&node, asked);
                 note_regained(&mut failures);
-                node.reading_part().pause()
+                node.reading_part().pause_after_answer()
             }
             Err(StoreError::HistoryGone) => {
                 log::info!("store-history-gone");
-                heard_of_store(&node, Contact::at(asked));
+                heard_of_store(&node, ContactSpan::at(asked));
                 node.store_view.borrow_mut().forget();
                 Duration::ZERO
             }
@@ -108,33 +108,33 @@
 
 /// Notes if nobody who is heard had an answer of the store for so long that entries lapse.
 pub(crate) fn note_away(node: &Node) {
-    let Some(since) = node.store_contact.get().away_since(clock::now()) else { return };
+    let Some(since) = node.store_contact.get().unreachable_since(clock::now()) else { return };
     node.servers.borrow_mut().store_lost(since);
 }
 
 /// Takes a span in which the store answered this VM or one that it hears. What the answer said is taken afterwards:
 /// whether a removal may be a lapse depends on it.
-pub(crate) fn heard_of_store(node: &Node, heard: Contact) {
+pub(crate) fn heard_of_store(node: &Node, heard: ContactSpan) {
     let mut contact = node.store_contact.get();
-    let news = contact.heard(heard);
+    let news = contact.record(heard);
     node.store_contact.set(contact);
     let now = clock::now();
     let mut servers = node.servers.borrow_mut();
     // Failure: a VM was cut off, said so to itself, and then hears of answers that leave no gap. Symptom: it takes the
     // store for away for good.
-    let is_there = contact.away_since(now).is_none();
+    let is_there = contact.unreachable_since(now).is_none();
     match news {
-        StoreNews::Unchanged if is_there && servers.is_store_away() => {
+        StoreUpdate::Unchanged if is_there && servers.is_store_away() => {
             log::info!("store-never-away");
             servers.store_never_away(now);
         }
-        StoreNews::Unchanged => {}
-        StoreNews::Returned { since } => {
+        StoreUpdate::Unchanged => {}
+        StoreUpdate::Returned { since } => {
             log::info!(away_ms = now.since(since).as_millis() as u64; "store-returned");
             servers.store_lost(since);
             servers.store_found(now);
         }
-        StoreNews::NeverAway => {
+        StoreUpdate::NoOutage => {
             log::info!("store-never-away");
             servers.store_never_away(now);
         }
@@ -145,9 +145,9 @@
 fn must_read(node: &Node) -> bool {
     let knows_all = node.store_view.borrow().reached().is_some() && node.config().is_some();
     let part = node.reading_part();
-    let told_age = part.longest_told_age(node.settings.bounds.change_in_force);
+    let told_age = part.max_confirmation_age(node.settings.bounds.change_in_force);
     let is_told = node.freshness.get().is_within(told_age, clock::now());
-    !knows_all || part == ReadingPart::Reader || !is_told
+    !knows_all || part == StoreReadRole::Reader || !is_told
 }
 
 /// Reads the store and says how new what was read is.
@@ -163,7 +163,7 @@
         // A VM that has proved nothing yet serves nobody: it doesn't wait for a change.
         let wait = if node.was_proved() { WAIT } else { Duration::ZERO };
         let changes = store.changes(after, wait).await?;
-        heard_of_store(node, Contact::at(asked));
+        heard_of_store(node, ContactSpan::at(asked));
         // Failure: thousands of servers change at once, and the answer holds the first of the changes only. Symptom: a
         // configuration behind them counts as not there, and its routes are answered 404.
         let age = if changes.may_be_cut { ReadAge::MayBeOld } else { ReadAge::Newest };
@@ -175,13 +175,13 @@
         return Ok(ReadAge::MayBeOld);
     }
     let snapshot = store.snapshot(ReadAge::Newest).await?;
-    heard_of_store(node, Contact::at(asked));
+    heard_of_store(node, ContactSpan::at(asked));
     take_snapshot(node, snapshot);
     Ok(ReadAge::Newest)
 }
 
 /// Reads a configuration that others have and this VM lacks, unless they pass it on.
-async fn fetch_config<S>(node: &Node, store: &S, lacked: &mut Option<LackedConfig>)
+async fn fetch_config<S>(node: &Node, store: &S, lacked: &mut Option<MissingConfig>)
 where
     S: PlatformStore,
 {
@@ -192,11 +192,11 @@
         return;
     }
     let now = clock::now();
-    let lacked = lacked.get_or_insert_with(|| LackedConfig::new(newest, now));
-    let age = match lacked.next(newest, node.settings.bounds.change_in_force, now) {
+    let lacked = lacked.get_or_insert_with(|| MissingConfig::new(newest, now));
+    let age = match lacked.next_source(newest, node.settings.bounds.change_in_force, now) {
         ConfigSource::Peers => return,
-        ConfigSource::OldCopy => ReadAge::MayBeOld,
-        ConfigSource::Newest => ReadAge::Newest,
+        ConfigSource::StaleRead => ReadAge::MayBeOld,
+        ConfigSource::ConsistentRead => ReadAge::Newest,
     };
     match store.config(age).await {
         Ok(Some(config)) => node.apply_config(config),
@@ -213,7 +213,7 @@
         return;
     }
     let mut freshness = node.freshness.get();
-    freshness.proved(asked, clock::now());
+    freshness.record_confirmation(asked, clock::now());
     node.freshness.set(freshness);
 }
 
--- a/crates/quincevalve_node/src/store/sync/tests.rs
+++ b/crates/quincevalve_node/src/store/sync/tests.rs
@@ -16,12 +16,12 @@
 fn a_store_that_answered_others_is_no_longer_taken_for_away() {
     run(|| {
         let node = node("vm-1");
-        heard_of_store(&node, Contact::at(ago(5_000)));
+        heard_of_store(&node, ContactSpan::at(ago(5_000)));
         note_away(&node);
         assert!(node.servers.borrow().is_store_away());
-        heard_of_store(&node, Contact { since: ago(6_000), newest: ago(4_000) });
+        heard_of_store(&node, ContactSpan { since: ago(6_000), newest: ago(4_000) });
         assert!(node.servers.borrow().is_store_away(), "that is long ago");
-        heard_of_store(&node, Contact { since: ago(6_000), newest: ago(100) });
+        heard_of_store(&node, ContactSpan { since: ago(6_000), newest: ago(100) });
         assert!(!node.servers.borrow().is_store_away());
     });
 }
@@ -30,9 +30,9 @@
 fn a_store_that_answered_nobody_is_back_with_its_first_answer() {
     run(|| {
         let node = node("vm-1");
-        heard_of_store(&node, Contact::at(ago(5_000)));
+        heard_of_store(&node, ContactSpan::at(ago(5_000)));
         note_away(&node);
-        heard_of_store(&node, Contact::at(ago(100)));
+        heard_of_store(&node, ContactSpan::at(ago(100)));
         let servers = node.servers.borrow();
         assert!(!servers.is_store_away());
         assert!(servers.may_lack_entries(clock::now()), "entries may have lapsed");
@@ -54,8 +54,9 @@
         let vms = (1..4).map(card).collect();
         let whole = Whole { at: 7, newest: 7, config: Some(config(1)), vms, ..Whole::default() };
         take_whole(&node, whole);
-        let told_age = ReadingPart::Told.longest_told_age(node.settings.bounds.change_in_force);
-        assert_eq!(node.reading_part(), ReadingPart::Told);
+        let told_age =
+            StoreReadRole::Follower.max_confirmation_age(node.settings.bounds.change_in_force);
+        assert_eq!(node.reading_part(), StoreReadRole::Follower);
         prove(&node, ago(told_age.as_millis() as u64 + 50));
         assert!(must_read(&node));
         prove(&node, ago(told_age.as_millis() as u64 - 300));
--- a/crates/quincevalve_node/src/store/view/tests.rs
+++ b/crates/quincevalve_node/src/store/view/tests.rs
@@ -1,4 +1,4 @@
-use quincevalve_forwarding::{servers::ServerStart, store_contact::Contact};
+use quincevalve_forwarding::{servers::ServerStart, store_contact::ContactSpan};
 
 use super::*;
 use crate::{
@@ -144,7 +144,7 @@
 /// A VM that knows one server, and that the store answers it.
 fn informed() -> Node {
     let node = node("vm-1");
-    heard_of_store(&node, Contact::at(clock::now()));
+    heard_of_store(&node, ContactSpan::at(clock::now()));
     let servers = vec![("i-1".into(), ready())];
     take_whole(&node, Whole { at: 100, newest: 100, servers, ..Whole::default() });
     assert_eq!(usable(&node), 1);
