--- a/crates/quincevalve_forwarding/src/sums.rs
+++ b/crates/quincevalve_forwarding/src/sums.rs
@@ -10,7 +10,7 @@
 use crate::{
     config::ForwardingConfig,
     load::WorkSum,
-    rollout::share::{RolloutShares, add_shares, shares_without},
+    rollout::partial_sum::{RolloutPartialSums, add_partial_sums, partial_sums_without},
 };
 
 /// Lifetime of a received partial sum: several digest periods, so that one or two lost datagrams change nothing.
@@ -37,7 +37,7 @@
     /// Their admitted work in busy servers, by service.
     pub demand: Demand,
     /// Their observations of roll-outs, by service.
-    pub rollouts: RolloutShares,
+    pub rollouts: RolloutPartialSums,
 }
 
 /// Maximum number of servers in a digest from a collector to one of its members.
@@ -70,7 +70,7 @@
         for (service, busy) in &other.demand {
             *self.demand.entry(service.clone()).or_default() += busy;
         }
-        add_shares(&mut self.rollouts, &other.rollouts);
+        add_partial_sums(&mut self.rollouts, &other.rollouts);
     }
 
     /// Keeps the `servers` busiest servers and drops all others.
@@ -121,7 +121,7 @@
             server_work: self.server_work.iter().filter_map(work).collect(),
             spending: subtract_rates(&self.spending, &subtrahend.spending),
             demand: subtract_rates(&self.demand, &subtrahend.demand),
-            rollouts: shares_without(&self.rollouts, &subtrahend.rollouts),
+            rollouts: partial_sums_without(&self.rollouts, &subtrahend.rollouts),
         }
     }
 }
