--- a/crates/quincevalve_forwarding/src/rollout/table.rs
+++ b/crates/quincevalve_forwarding/src/rollout/table.rs
@@ -1,4 +1,5 @@
-//! One VM's part in all roll-outs: where its requests go, what it sees, and what it tells.
+//! All roll-outs as one VM tracks them: the versions that its requests are sent to, the evidence that it collects, and
+//! the sums that it publishes.
 
 mod attempts;
 mod halt;
@@ -9,7 +10,7 @@
 use indexmap::IndexMap;
 use quincevalve_names::{ServerVersion, ServiceName, TimePoint};
 
-use self::{attempts::Runs, state::Rollout};
+use self::{attempts::TrackedAttempts, state::Rollout};
 pub use self::{
     attempts::{TrackedAttempt, TrackingId},
     state::{Comparison, RolloutProgress},
@@ -26,51 +27,51 @@
     shared_limit::{Seat, SharedLimit},
 };
 
-/// Where a request may go.
+/// The servers that a request may be sent to.
 #[derive(Clone, Debug, PartialEq)]
 pub enum VersionChoice {
-    /// To any server.
+    /// Any server.
     Any,
-    /// To these.
+    /// Only servers of this scope.
     One(Arc<VersionScope>),
-    /// To the first, and where they have no room to the second.
+    /// Servers of the first scope, or of the second if none of the first has room.
     WithFallback(Arc<VersionScope>, Arc<VersionScope>),
 }
 
-/// What a VM knows beside a roll-out when it goes on with it.
+/// State outside the table that a refresh of a roll-out depends on.
 #[derive(Clone, Copy, Debug)]
 pub struct RefreshContext {
-    /// True time in milliseconds, if it is known.
+    /// Wall-clock time in milliseconds, if it is known.
     pub wall_clock_ms: Option<i64>,
     /// Whether the service's servers are model engines.
     pub has_engines: bool,
-    /// This VM's place among all VMs.
+    /// This VM's rank among all VMs.
     pub vm_rank: Seat,
-    /// Whether what is known of the store is new, and most VMs are heard.
+    /// Whether the known state of the store is recent and at least half of the VMs are reachable.
     pub is_connected: bool,
 }
 
-/// A new version that was found bad here.
+/// A new version that was just found bad.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Halt {
-    /// Of this service.
+    /// The service.
     pub service: ServiceName,
-    /// The version.
+    /// The bad version.
     pub version: ServerVersion,
-    /// By whom it was found.
+    /// Whether this VM or another found it bad.
     pub detected_by: DetectedBy,
 }
 
-/// By whom a version was found bad.
+/// Which VM found a version bad.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DetectedBy {
-    /// By this VM, from these figures.
+    /// This VM, by this judgement.
     Here(Judgement),
-    /// By another.
+    /// Another VM.
     Elsewhere,
 }
 
-/// All roll-outs as one VM sees them.
+/// All roll-outs as one VM tracks them, by service.
 ///
 /// # Examples
 ///
@@ -86,28 +87,29 @@
 /// assert_eq!(table.choose(&service, RouteKey::of("chat"), 0.5, now), VersionChoice::Any);
 /// let order = RolloutOrder { id: OrderId(7), to: "v2".into(), duration: Duration::from_secs(60) };
 /// table.apply_order(&service, order, true, now);
-/// // Until its servers are known the new version gets nothing.
+/// // Until its servers are known the new version gets no requests.
 /// assert!(matches!(table.choose(&service, RouteKey::of("chat"), 0.5, now), VersionChoice::One(_)));
 /// ```
 #[derive(Clone, Debug)]
 pub struct RolloutTable {
     limit: SharedLimit,
     rollouts: IndexMap<ServiceName, Rollout>,
-    runs: Runs,
+    attempts: TrackedAttempts,
 }
 
 impl RolloutTable {
-    /// Begins without any; `limit` is how many requests a version may get that isn't known to be good.
+    /// Creates an empty table. `limit` bounds the requests to a version that isn't known to be good.
     pub fn new(limit: SharedLimit) -> Self {
-        Self { limit, rollouts: IndexMap::new(), runs: Runs::default() }
+        Self { limit, rollouts: IndexMap::new(), attempts: TrackedAttempts::default() }
     }
 
-    /// Whether nothing was ever ordered.
+    /// Returns whether there was never an order or a record.
     pub fn is_idle(&self) -> bool {
         self.rollouts.is_empty()
     }
 
-    /// Takes an order; `false` if it is known. `was_running` says whether this process knew the store before it.
+    /// Applies an order, and returns `false` if it or a later one is known. `was_running` says whether this process had
+    /// read the store before the order came.
     pub fn apply_order(
         &mut self,
         service: &ServiceName,
@@ -119,14 +121,14 @@
         rollout.apply_order(order, was_running, now)
     }
 
-    /// Takes it that an order was removed.
+    /// Removes a service's order.
     pub fn remove_order(&mut self, service: &ServiceName) {
         if let Some(rollout) = self.rollouts.get_mut(service) {
             rollout.remove_order();
         }
     }
 
-    /// Takes the record of a roll-out; `false` if it is known.
+    /// Applies the record of a roll-out, and returns `false` if it or a later one is known.
     pub fn apply_record(
         &mut self,
         service: &ServiceName,
@@ -137,7 +139,7 @@
         rollout.apply_record(record, now)
     }
 
-    /// Takes all orders and records; those that are missing were removed.
+    /// Applies all orders and records of the store. Orders that are missing are removed.
     pub fn replace_all(
         &mut self,
         orders: Vec<(ServiceName, RolloutOrder)>,
@@ -158,58 +160,58 @@
         }
     }
 
-    /// The orders that stand.
+    /// Returns the current orders.
     pub fn orders(&self) -> impl Iterator<Item = (&ServiceName, &RolloutOrder)> {
         self.rollouts.iter().filter_map(|(service, it)| Some((service, it.order()?)))
     }
 
-    /// The records that are known.
+    /// Returns the known records.
     pub fn records(&self) -> impl Iterator<Item = (&ServiceName, &RolloutRecord)> {
         self.rollouts.iter().filter_map(|(service, it)| Some((service, it.record()?)))
     }
 
-    /// The services that have or had a roll-out.
+    /// Returns the services that have or had a roll-out.
     pub fn services(&self) -> impl Iterator<Item = &ServiceName> {
         self.rollouts.keys()
     }
 
-    /// The order that a service's roll-out follows, for the order of VMs.
+    /// Returns the id of the order that a service's roll-out follows, which also determines the ranks of VMs.
     pub fn order_id(&self, service: &ServiceName) -> OrderId {
         self.rollouts.get(service).map_or_else(OrderId::default, Rollout::id)
     }
 
-    /// Takes what others told.
-    pub fn set_peer_sums(&mut self, shares: &RolloutPartialSums) {
+    /// Replaces the sums of what other VMs reported.
+    pub fn set_peer_sums(&mut self, sums: &RolloutPartialSums) {
         for (service, rollout) in &mut self.rollouts {
-            rollout.set_peer_sums(shares.get(service));
+            rollout.set_peer_sums(sums.get(service));
         }
     }
 
-    /// What this VM tells.
+    /// Returns the partial sums that this VM reports.
     pub fn partial_sums(&mut self, servers: &ServerTable, now: TimePoint) -> RolloutPartialSums {
-        let tell = |(service, it): (&ServiceName, &mut Rollout)| {
-            Some((service.clone(), it.share(service, servers, now)?))
+        let report = |(service, it): (&ServiceName, &mut Rollout)| {
+            Some((service.clone(), it.partial_sum(service, servers, now)?))
         };
-        self.rollouts.iter_mut().filter_map(tell).collect()
+        self.rollouts.iter_mut().filter_map(report).collect()
     }
 
-    /// Goes on with a service's roll-out: which servers are there, what the answers say. Returns the version if it was
-    /// just found bad.
+    /// Updates a service's roll-out by the current servers and evidence. Returns the new version if it was just found bad.
     pub fn refresh(
         &mut self,
         service: &ServiceName,
         servers: &ServerTable,
-        around: &RefreshContext,
+        context: &RefreshContext,
         now: TimePoint,
     ) -> Option<Halt> {
         let rollout = self.rollouts.get_mut(service)?;
-        for (route, side, ratio) in self.runs.overdue(service, now) {
-            rollout.add_sample(route, side, Sample::First(ratio), now);
+        for (route, role, ratio) in self.attempts.overdue(service, now) {
+            rollout.add_sample(route, role, Sample::First(ratio), now);
         }
-        rollout.refresh(service, servers, &self.limit, around, now)
+        rollout.refresh(service, servers, &self.limit, context, now)
     }
 
-    /// Where a new request of a service may go; it counts from now on. `draw` is random, from 0 to 1.
+    /// Returns the servers that a new request of a service may be sent to, and counts the request. `draw` is random,
+    /// from 0 to 1.
     pub fn choose(
         &mut self,
         service: &ServiceName,
@@ -223,32 +225,32 @@
         }
     }
 
-    /// Where a request may go that goes to one more server.
+    /// Returns the servers that a further attempt of a request may be sent to.
     pub fn choice_for_retry(&self, service: &ServiceName) -> VersionChoice {
         self.rollouts.get(service).map_or(VersionChoice::Any, Rollout::choice_for_retry)
     }
 
-    /// Whether a request may still be sent to a server of that version.
+    /// Returns whether a request may still be sent to a server of that version.
     pub fn admits(&self, service: &ServiceName, version: &ServerVersion) -> bool {
         self.rollouts.get(service).is_none_or(|it| it.admits(version))
     }
 
-    /// Whether a server of that version counts for the plan of the fleet.
+    /// Returns whether a server of that version counts as capacity in the plan of the fleet.
     pub fn carries_load(&self, service: &ServiceName, version: &ServerVersion) -> bool {
         self.rollouts.get(service).is_none_or(|it| it.carries_load(version))
     }
 
-    /// Whether this VM sends nothing to a service's old version any more.
+    /// Returns whether this VM no longer sends to a service's old version, as the promotion's ramp is over.
     pub fn has_switched(&self, service: &ServiceName, now: TimePoint) -> bool {
         self.rollouts.get(service).is_some_and(|it| it.has_switched(now))
     }
 
-    /// Whether the versions of a service change places at present.
+    /// Returns whether a new version of the service is being promoted.
     pub fn is_promoting(&self, service: &ServiceName) -> bool {
         self.rollouts.get(service).is_some_and(Rollout::is_promoting)
     }
 
-    /// When servers of that version are expected to stop; `None` where nothing says so.
+    /// Returns when servers of that version are expected to stop, or `None` if they aren't.
     pub fn expected_stop(
         &self,
         service: &ServiceName,
@@ -257,55 +259,60 @@
         self.rollouts.get(service)?.expected_stop(version)
     }
 
-    /// Notes that a request is sent to a server, for whatever reason.
+    /// Counts an attempt that is sent to a server of this version, also if it is a retry.
     pub fn record_sent(&mut self, service: &ServiceName, version: &ServerVersion) {
         if let Some(rollout) = self.rollouts.get_mut(service) {
             rollout.record_sent(version);
         }
     }
 
-    /// Watches how a request is answered, where versions are compared.
+    /// Starts tracking an attempt, or returns `None` if versions of the service aren't compared.
     pub fn start_tracking(
         &mut self,
-        run: TrackedAttempt<'_>,
+        attempt: TrackedAttempt<'_>,
         now: TimePoint,
     ) -> Option<TrackingId> {
-        let side = self.rollouts.get(run.service)?.side(run.version, run.server)?;
-        Some(self.runs.begin(run, side, now))
+        let role = self.rollouts.get(attempt.service)?.role(attempt.version, attempt.server)?;
+        Some(self.attempts.begin(attempt, role, now))
     }
 
-    /// Notes the first part of a watched request's answer.
-    pub fn add_first_part(&mut self, ticket: TrackingId, now: TimePoint) {
-        let Some(first) = self.runs.first_part(ticket, now) else { return };
-        if let Some(rollout) = self.rollouts.get_mut(&first.service) {
-            rollout.add_sample(first.route, first.side, Sample::First(first.ratio), now);
+    /// Adds the time to the first part of a tracked attempt's answer.
+    pub fn add_first_part(&mut self, id: TrackingId, now: TimePoint) {
+        let Some(first_part) = self.attempts.first_part(id, now) else { return };
+        if let Some(rollout) = self.rollouts.get_mut(&first_part.service) {
+            rollout.add_sample(
+                first_part.route,
+                first_part.role,
+                Sample::First(first_part.ratio),
+                now,
+            );
         }
     }
 
-    /// Notes whether the server succeeded, or the time between events.
-    pub fn add_sample(&mut self, ticket: TrackingId, sample: Sample, now: TimePoint) {
-        let Some((service, route, side)) = self.runs.of(ticket) else { return };
+    /// Adds a sample of a tracked attempt: whether the server succeeded, or the time between events.
+    pub fn add_sample(&mut self, id: TrackingId, sample: Sample, now: TimePoint) {
+        let Some((service, route, role)) = self.attempts.get(id) else { return };
         if let Some(rollout) = self.rollouts.get_mut(service) {
-            rollout.add_sample(route, side, sample, now);
+            rollout.add_sample(route, role, sample, now);
         }
     }
 
-    /// Ends the watch of a request.
-    pub fn stop_tracking(&mut self, ticket: TrackingId) {
-        self.runs.end(ticket);
+    /// Stops tracking an attempt.
+    pub fn stop_tracking(&mut self, id: TrackingId) {
+        self.attempts.remove(id);
     }
 
-    /// What the answers of a service's versions say, and the answers, as far as all VMs told.
+    /// Returns the judgement of a service's versions, with the evidence that all VMs reported.
     pub fn comparison(&self, service: &ServiceName) -> Option<&Comparison> {
         self.rollouts.get(service).map(Rollout::comparison)
     }
 
-    /// The verdict on a service's new version, found here or elsewhere.
+    /// Returns the verdict on a service's new version, found by this VM or another.
     pub fn verdict(&self, service: &ServiceName) -> Verdict {
         self.rollouts.get(service).map_or(Verdict::Undecided, Rollout::verdict)
     }
 
-    /// What all VMs told of a service's roll-out and what this one has to tell.
+    /// Returns how far VMs have followed a service's roll-out.
     pub fn progress(&self, service: &ServiceName) -> Option<RolloutProgress> {
         self.rollouts.get(service).map(Rollout::progress)
     }
--- a/crates/quincevalve_forwarding/src/rollout/table/attempts.rs
+++ b/crates/quincevalve_forwarding/src/rollout/table/attempts.rs
@@ -1,4 +1,4 @@
-//! Requests whose answers are compared, while they run.
+//! Attempts in flight whose answers are compared.
 
 use std::time::Duration;
 
@@ -7,112 +7,117 @@
 
 use crate::rollout::evidence::{RouteKey, VersionRole};
 
-/// Names a watched request.
+/// Identifies a tracked attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct TrackingId(u64);
 
-/// A request that goes to a server.
+/// An attempt to have a server process a request.
 #[derive(Clone, Copy, Debug)]
 pub struct TrackedAttempt<'a> {
-    /// Its service.
+    /// The request's service.
     pub service: &'a ServiceName,
-    /// Its route.
+    /// The request's route.
     pub route: RouteKey,
     /// The server's version.
     pub version: &'a ServerVersion,
-    /// That start of the server.
+    /// The server's start hash.
     pub server: u64,
-    /// When the first part of the answer is expected, whatever the server's record; `None` where nothing can be expected,
-    /// as the server has just started.
+    /// Expected time to the first part of the answer, regardless of how slow the server has been. `None` if there is no
+    /// expectation, as the server has just started.
     pub expected: Option<Duration>,
 }
 
-/// An answer that is so many times later than expected counts as late before it comes: those that come first are the
-/// fast ones.
-const OVERDUE: f64 = 2.5;
-/// How much later it is expected to come at last.
+/// Factor of the expected time after which an answer counts as late before it arrives. If only answers that have arrived
+/// counted, the fast ones would be overrepresented.
+const OVERDUE_THRESHOLD: f64 = 2.5;
+/// Factor by which the final time of a late answer is assumed to exceed the time waited so far.
 const OVERDUE_FACTOR: f64 = 2.0;
-/// Time beyond that, for requests that take a few milliseconds.
+/// Margin added to [`OVERDUE_THRESHOLD`], for requests that take only a few milliseconds.
 const OVERDUE_MARGIN: Duration = Duration::from_millis(40);
 
 #[derive(Clone, Debug)]
-struct Run {
+struct Attempt {
     service: ServiceName,
     route: RouteKey,
-    side: VersionRole,
+    role: VersionRole,
     sent: TimePoint,
-    /// Until the time to the first part was noted.
+    /// The expected time to the first part; `None` once the measured time was recorded.
     expected: Option<Duration>,
 }
 
-/// The time to the first part of an answer.
+/// The relative time to the first part of an answer.
 pub(super) struct FirstPart {
     pub(super) service: ServiceName,
     pub(super) route: RouteKey,
-    pub(super) side: VersionRole,
-    /// Against the expected one.
+    pub(super) role: VersionRole,
+    /// Ratio of the measured to the expected time.
     pub(super) ratio: f64,
 }
 
 #[derive(Clone, Debug, Default)]
-pub(super) struct Runs {
+pub(super) struct TrackedAttempts {
     next: u64,
-    runs: IndexMap<TrackingId, Run>,
+    attempts: IndexMap<TrackingId, Attempt>,
 }
 
-impl Runs {
+impl TrackedAttempts {
     pub(super) fn begin(
         &mut self,
-        run: TrackedAttempt<'_>,
-        side: VersionRole,
+        attempt: TrackedAttempt<'_>,
+        role: VersionRole,
         now: TimePoint,
     ) -> TrackingId {
-        let ticket = TrackingId(self.next);
+        let id = TrackingId(self.next);
         self.next += 1;
-        let TrackedAttempt { service, route, expected, .. } = run;
-        let run = Run { service: service.clone(), route, side, sent: now, expected };
-        self.runs.insert(ticket, run);
-        ticket
+        let TrackedAttempt { service, route, expected, .. } = attempt;
+        let attempt = Attempt { service: service.clone(), route, role, sent: now, expected };
+        self.attempts.insert(id, attempt);
+        id
     }
 
-    pub(super) fn first_part(&mut self, ticket: TrackingId, now: TimePoint) -> Option<FirstPart> {
-        let run = self.runs.get_mut(&ticket)?;
-        let expected = run.expected.take()?;
-        let ratio = ratio(now.since(run.sent), expected);
-        Some(FirstPart { service: run.service.clone(), route: run.route, side: run.side, ratio })
+    pub(super) fn first_part(&mut self, id: TrackingId, now: TimePoint) -> Option<FirstPart> {
+        let attempt = self.attempts.get_mut(&id)?;
+        let expected = attempt.expected.take()?;
+        let ratio = ratio(now.since(attempt.sent), expected);
+        Some(FirstPart {
+            service: attempt.service.clone(),
+            route: attempt.route,
+            role: attempt.role,
+            ratio,
+        })
     }
 
-    /// Requests of a service that are late already, each once.
+    /// Returns the service's attempts that are late already, each attempt only once.
     pub(super) fn overdue(
         &mut self,
         service: &ServiceName,
         now: TimePoint,
     ) -> Vec<(RouteKey, VersionRole, f64)> {
         let mut overdue = Vec::new();
-        for run in self.runs.values_mut().filter(|it| it.service == *service) {
-            let Some(expected) = run.expected else { continue };
-            let waited = now.since(run.sent);
-            if waited > expected.mul_f64(OVERDUE) + OVERDUE_MARGIN {
-                run.expected = None;
+        for attempt in self.attempts.values_mut().filter(|it| it.service == *service) {
+            let Some(expected) = attempt.expected else { continue };
+            let waited = now.since(attempt.sent);
+            if waited > expected.mul_f64(OVERDUE_THRESHOLD) + OVERDUE_MARGIN {
+                attempt.expected = None;
                 let ratio = ratio(waited, expected) * OVERDUE_FACTOR;
-                overdue.push((run.route, run.side, ratio));
+                overdue.push((attempt.route, attempt.role, ratio));
             }
         }
         overdue
     }
 
-    pub(super) fn of(&self, ticket: TrackingId) -> Option<(&ServiceName, RouteKey, VersionRole)> {
-        self.runs.get(&ticket).map(|it| (&it.service, it.route, it.side))
+    pub(super) fn get(&self, id: TrackingId) -> Option<(&ServiceName, RouteKey, VersionRole)> {
+        self.attempts.get(&id).map(|it| (&it.service, it.route, it.role))
     }
 
-    pub(super) fn end(&mut self, ticket: TrackingId) {
-        self.runs.swap_remove(&ticket);
+    pub(super) fn remove(&mut self, id: TrackingId) {
+        self.attempts.swap_remove(&id);
     }
 }
 
-/// The least time that is told apart from none.
-const LEAST_EXPECTED: Duration = Duration::from_millis(1);
+/// Minimum time used in a ratio of times.
+const MIN_TIME: Duration = Duration::from_millis(1);
 
 fn ratio(measured: Duration, expected: Duration) -> f64 {
-    measured.max(LEAST_EXPECTED).as_secs_f64() / expected.max(LEAST_EXPECTED).as_secs_f64()
+    measured.max(MIN_TIME).as_secs_f64() / expected.max(MIN_TIME).as_secs_f64()
 }
--- a/crates/quincevalve_forwarding/src/rollout/table/halt.rs
+++ b/crates/quincevalve_forwarding/src/rollout/table/halt.rs
@@ -1,4 +1,4 @@
-//! What a VM does about a version that was found bad, here or elsewhere.
+//! State of a VM after a version was found bad by this VM or another.
 
 use std::time::Duration;
 
@@ -6,40 +6,46 @@
 
 use crate::rollout::record::RollbackCause;
 
-/// For how long a VM that has told that it sends nothing to the old version keeps to that: the holder hears what was found,
-/// and takes the roll-out back.
-const HOLDER_HEARS: Duration = Duration::from_secs(1);
+/// Time for which a VM that has reported its switch to the new version keeps sending there, while the holder of the duties
+/// receives the finding and rolls back.
+const REPORT_PERIOD: Duration = Duration::from_secs(1);
 
-/// Only another order takes it back.
+/// Whether the new version was found bad. Only another order resets it.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) enum HaltState {
     #[default]
-    NotFoundBad,
-    /// It is told why, since then.
+    NotDetected,
+    /// The cause has been reported to other VMs since this time, and the new version still gets requests.
     Reporting(RollbackCause, TimePoint),
-    /// And the version gets nothing.
+    /// The new version gets no requests.
     Halted(RollbackCause),
 }
 
 impl HaltState {
-    /// Failure: the holder has heard from all VMs that they send nothing to the old servers, and one sends there again as
-    /// it finds the new version bad. Symptom: the old servers stop at the word, and answers are cut.
-    pub(super) fn begin(cause: RollbackCause, has_told_following: bool, now: TimePoint) -> Self {
-        if has_told_following { Self::Reporting(cause, now) } else { Self::Halted(cause) }
+    /// Returns the state after the version was found bad.
+    ///
+    /// If all VMs have reported that they no longer send to the old servers, the holder may complete the roll-out and the
+    /// old servers stop. A VM that sent there again at once would have its answers truncated.
+    pub(super) fn after_detection(
+        cause: RollbackCause,
+        has_reported_switched: bool,
+        now: TimePoint,
+    ) -> Self {
+        if has_reported_switched { Self::Reporting(cause, now) } else { Self::Halted(cause) }
     }
 
-    pub(super) fn at(self, now: TimePoint) -> Self {
+    pub(super) fn advance(self, now: TimePoint) -> Self {
         match self {
-            Self::Reporting(cause, since) if now.since(since) >= HOLDER_HEARS => {
+            Self::Reporting(cause, since) if now.since(since) >= REPORT_PERIOD => {
                 Self::Halted(cause)
             }
-            Self::NotFoundBad | Self::Reporting(..) | Self::Halted(_) => self,
+            Self::NotDetected | Self::Reporting(..) | Self::Halted(_) => self,
         }
     }
 
     pub(super) fn cause(self) -> Option<RollbackCause> {
         match self {
-            Self::NotFoundBad => None,
+            Self::NotDetected => None,
             Self::Reporting(cause, _) | Self::Halted(cause) => Some(cause),
         }
     }
