--- a/crates/quincevalve_forwarding/tests/rollout_world/plan.rs
+++ b/crates/quincevalve_forwarding/tests/rollout_world/plan.rs
@@ -1,66 +1,66 @@
-//! What happens in a world.
+//! Configuration of a simulation.
 
 /// A kind of request.
 #[derive(Clone, Debug)]
 pub(crate) struct Traffic {
     pub(crate) name: &'static str,
-    /// Requests a second, over all VMs.
+    /// Requests per second, over all VMs.
     pub(crate) rate: f64,
-    /// The part that fails whatever the version.
-    pub(crate) fails: f64,
-    /// Milliseconds to the first part of the answer, as expected.
+    /// Fraction of the requests that fails with any version.
+    pub(crate) failure_rate: f64,
+    /// Expected milliseconds to the first part of the answer.
     pub(crate) first_ms: f64,
-    /// Milliseconds from there to the end of a stream.
+    /// Milliseconds from the first part to the end of a stream.
     pub(crate) length_ms: f64,
     pub(crate) is_stream: bool,
 }
 
 impl Traffic {
-    /// Requests of this kind that run at once.
+    /// Returns the mean number of concurrent requests of this kind.
     pub(crate) fn running(&self) -> f64 {
         self.rate * (self.first_ms + self.length_ms) / 1_000.0
     }
 }
 
-/// When a bad version shows.
+/// When the fault of a bad version shows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Way {
-    AtOnce,
-    /// Five seconds after each server came.
-    Later,
+pub(crate) enum FaultOnset {
+    Immediate,
+    /// Five seconds after each server was listed.
+    Late,
     /// At servers with more than half of their usual load.
     UnderLoad,
     OneRoute,
 }
 
-/// How bad a version is.
+/// The fault of a bad version.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Badness {
-    pub(crate) way: Way,
-    /// The part of the answers that are failures.
-    pub(crate) fails: f64,
-    /// How many times as long answers take.
-    pub(crate) slow: f64,
+pub(crate) struct VersionFault {
+    pub(crate) onset: FaultOnset,
+    /// Fraction of the answers that are failures.
+    pub(crate) failure_rate: f64,
+    /// Factor on the time that answers take.
+    pub(crate) slowdown: f64,
 }
 
-/// What goes wrong beside the roll-out.
+/// A fault that is independent of the version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Trouble {
+pub(crate) enum Disturbance {
     None,
     GreyServers,
     SlowServers,
-    SpoiledAnswers,
+    FaultyAnswers,
     Crashes,
     Flapping,
-    /// A quarter of the VMs.
-    CutOff,
+    /// A quarter of the VMs can't reach the others or the store.
+    Partitioned,
     Restarts,
-    HolderCut,
+    HolderPartitioned,
     HolderKilled(u64),
     AllKilled(u64),
-    /// From and to, in milliseconds since the order.
-    StoreAway(u64, u64),
-    AnswersLost,
+    /// From and to, in milliseconds after the order.
+    StoreUnreachable(u64, u64),
+    StoreAnswersLost,
 }
 
 #[derive(Clone, Debug)]
@@ -75,23 +75,23 @@
     pub(crate) order_at: u64,
     pub(crate) boot: u64,
     pub(crate) duration: u64,
-    pub(crate) badness: Option<Badness>,
-    pub(crate) trouble: Trouble,
-    /// Whether the real cores decide, or the naive way.
+    pub(crate) version_fault: Option<VersionFault>,
+    pub(crate) disturbance: Disturbance,
+    /// Whether the real roll-out code decides, or the naive baseline.
     pub(crate) guarded: bool,
 }
 
-/// Model engines at a size.
+/// Returns a plan of model engines with a load for this number of VMs.
 pub(crate) fn engines(vms: usize, duration: u64) -> Plan {
     let (servers, rate) = match vms {
         ..16 => (12, 92.0),
         16..128 => (60, 331.0),
         _ => (204, 1_270.0),
     };
-    let stream = |name, part: f64, first_ms, length_ms| Traffic {
+    let stream = |name, fraction: f64, first_ms, length_ms| Traffic {
         name,
-        rate: rate * part,
-        fails: 0.0,
+        rate: rate * fraction,
+        failure_rate: 0.0,
         first_ms,
         length_ms,
         is_stream: true,
@@ -111,19 +111,19 @@
         order_at: 3_000,
         boot: 4_000,
         duration,
-        badness: None,
-        trouble: Trouble::None,
+        version_fault: None,
+        disturbance: Disturbance::None,
         guarded: true,
     }
 }
 
-/// A plain service at a size.
+/// Returns a plan of a plain service with a load for this number of VMs.
 pub(crate) fn plain(vms: usize, duration: u64) -> Plan {
     let rate = if vms < 16 { 35.0 } else { 155.0 };
-    let call = |name, part: f64, fails| Traffic {
+    let call = |name, fraction: f64, failure_rate| Traffic {
         name,
-        rate: rate * part,
-        fails,
+        rate: rate * fraction,
+        failure_rate,
         first_ms: 18.0,
         length_ms: 0.0,
         is_stream: false,
--- a/crates/quincevalve_forwarding/tests/rollout_world/world.rs
+++ b/crates/quincevalve_forwarding/tests/rollout_world/world.rs
@@ -1,4 +1,4 @@
-//! Many VMs with their real roll-out cores, and callers, servers, a network and a store in virtual time.
+//! Simulates many VMs that run the real roll-out code, with callers, servers, a network and a store in virtual time.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -20,32 +20,34 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::plan::{Badness, Plan, Trouble, Way};
+use crate::plan::{Disturbance, FaultOnset, Plan, VersionFault};
 
-/// Milliseconds between two digests of each VM.
-const PERIOD: u64 = 60;
-/// Digests after which what a VM told is known to all.
+/// Interval between two digests of each VM, in milliseconds.
+const DIGEST_INTERVAL_MS: u64 = 60;
+/// Number of digests after which a VM's report has reached all VMs.
 const DIGEST_DELAY: usize = 3;
-/// Milliseconds between two looks of the holder.
-const LOOK: u64 = 100;
-/// Milliseconds that a write takes, and a change to each VM, from and to.
-const WRITE_TIME: u64 = 8;
-const CHANGE_DELAY: (u64, u64) = (10, 300);
-/// Milliseconds after which another VM takes the duties over.
-const TAKE_OVER: u64 = 3_800;
-/// Milliseconds for which a VM must have been sound to count as in touch.
-const CONTACT: u64 = 4_000;
-/// Milliseconds from the word that the new version goes to its end.
-const NEW_SERVERS_STAY: u64 = 3_000;
-/// Milliseconds before old servers are expected to stop at which streams are moved, and how often that succeeds.
-const MOVE_BEFORE: u64 = 1_100;
-const MOVE_SUCCEEDS: f64 = 0.97;
-/// The part of its slots that an old server usually has taken.
+/// Interval between two decisions of the holder, in milliseconds.
+const HOLDER_INTERVAL_MS: u64 = 100;
+/// Duration of a write to the store, in milliseconds.
+const WRITE_TIME_MS: u64 = 8;
+/// Minimum and maximum delay of a store change to each VM, in milliseconds.
+const CHANGE_DELAY_MS: (u64, u64) = (10, 300);
+/// Time after which another VM takes over the duties of a lost holder, in milliseconds.
+const TAKE_OVER_MS: u64 = 3_800;
+/// Time for which a VM must have been up and connected for its requests to be counted, in milliseconds.
+const MIN_CONTACT_MS: u64 = 4_000;
+/// Time from the roll-back until servers of the new version stop, in milliseconds.
+const NEW_SERVERS_STOP_DELAY_MS: u64 = 3_000;
+/// Time before the expected stop of old servers at which streams are migrated, in milliseconds.
+const MIGRATION_LEAD_MS: u64 = 1_100;
+/// Fraction of migrations that succeed.
+const MIGRATION_SUCCESS_RATE: f64 = 0.97;
+/// Fraction of an old server's slots that are usually in use.
 const USUAL_LOAD: f64 = 0.65;
-/// Spread of the time to an answer about what was expected, as a logarithm.
-const SPREAD: f64 = 0.35;
-/// Milliseconds of true time at the start.
-const START_MS: i64 = 1_700_000_000_000;
+/// Standard deviation of the logarithm of measured over expected times to an answer.
+const LOG_TIME_DEVIATION: f64 = 0.35;
+/// Wall-clock time at the start, in milliseconds.
+const START_WALL_CLOCK_MS: i64 = 1_700_000_000_000;
 
 const SERVICE: &str = "service";
 
@@ -55,10 +57,10 @@
     is_new: bool,
     listed_at: u64,
     gone_at: u64,
-    /// Down for these spans, as it crashes or flaps.
+    /// Spans in milliseconds in which the server is down, as it crashes or flaps.
     down: Vec<(u64, u64)>,
     fails: f64,
-    spoils: f64,
+    faulty_answer_rate: f64,
     slow: f64,
     running: u32,
 }
@@ -76,7 +78,7 @@
     vm: usize,
     vm_start: u32,
     server: usize,
-    ticket: Option<TrackingId>,
+    tracking_id: Option<TrackingId>,
     first_at: u64,
     ends: u64,
     fails: bool,
@@ -87,16 +89,16 @@
 
 #[derive(Debug)]
 struct Vm {
-    book: RolloutTable,
+    rollouts: RolloutTable,
     table: ServerTable,
     starts: u32,
     down_until: u64,
-    cut: Vec<(u64, u64)>,
-    /// When it was last not sound.
-    unsound: u64,
-    /// Changes of the store that are on their way to it.
+    partitions: Vec<(u64, u64)>,
+    /// When the VM was last down or partitioned, in milliseconds.
+    last_unsound_at: u64,
+    /// Store changes in transit to the VM, and when they arrive.
     inbox: VecDeque<(u64, StoreChange)>,
-    told: VecDeque<RolloutPartialSums>,
+    reported: VecDeque<RolloutPartialSums>,
 }
 
 #[derive(Clone, Debug)]
@@ -107,21 +109,24 @@
     Gone(usize),
 }
 
-/// What came of a roll-out.
+/// The result of a simulated roll-out.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Outcome {
     pub(crate) phase: Option<Phase>,
     pub(crate) final_at: Option<u64>,
     pub(crate) deadline: u64,
-    /// Requests that reached the service and its new version between the order and the deadline.
+    /// Requests to the service between the order and the deadline.
     pub(crate) requests: u64,
+    /// Requests to the new version in the same time.
     pub(crate) exposed: u64,
-    /// Bad answers of the new version, when the fiftieth came, and when the last request was sent there.
+    /// Bad answers of the new version.
     pub(crate) bad: u64,
+    /// When the fiftieth bad answer came, in milliseconds.
     pub(crate) fiftieth_at: Option<u64>,
+    /// When the last request was sent to the new version, in milliseconds.
     pub(crate) last_sent: u64,
-    /// Answers that were cut as the old servers stopped.
-    pub(crate) broken: u64,
+    /// Answers that were truncated as the old servers stopped.
+    pub(crate) truncated: u64,
     pub(crate) refused: u64,
     pub(crate) phases: Vec<(u64, Phase)>,
     pub(crate) figures: String,
@@ -150,7 +155,7 @@
     record: Option<RolloutRecord>,
     holder: Option<usize>,
     holder_lost: u64,
-    /// A write whose answer is lost has to be read back.
+    /// When the holder has read back a write whose answer was lost, in milliseconds.
     read_back_at: u64,
     revision: u64,
     naive_sent: u64,
@@ -203,29 +208,29 @@
                 gone_at: u64::MAX,
                 down: Vec::new(),
                 fails: 0.0,
-                spoils: 0.0,
+                faulty_answer_rate: 0.0,
                 slow: 1.0,
                 running: 0,
             };
-            self.afflict(&mut server);
+            self.apply_server_fault(&mut server);
             self.servers.push(server);
         }
         for at in 0..self.servers.len() {
             let listed_at = self.servers[at].listed_at;
-            self.tell_all(StoreChange::Server(at), listed_at);
+            self.publish_change(StoreChange::Server(at), listed_at);
         }
     }
 
-    /// Gives a server its part of the plan's trouble.
-    fn afflict(&mut self, server: &mut Server) {
+    /// Applies the plan's disturbance to a server.
+    fn apply_server_fault(&mut self, server: &mut Server) {
         let draw: f64 = self.rng.random();
         let begin = self.plan.order_at + self.plan.boot + self.rng.random_range(0..2_500);
-        match self.plan.trouble {
-            Trouble::GreyServers if draw < 0.14 => server.fails = 0.45,
-            Trouble::SlowServers if draw < 0.14 => server.slow = 6.0,
-            Trouble::SpoiledAnswers if draw < 0.35 => server.spoils = 0.02,
-            Trouble::Crashes if draw < 0.2 => server.down.push((begin, begin + 3_000)),
-            Trouble::Flapping if draw < 0.1 => {
+        match self.plan.disturbance {
+            Disturbance::GreyServers if draw < 0.14 => server.fails = 0.45,
+            Disturbance::SlowServers if draw < 0.14 => server.slow = 6.0,
+            Disturbance::FaultyAnswers if draw < 0.35 => server.faulty_answer_rate = 0.02,
+            Disturbance::Crashes if draw < 0.2 => server.down.push((begin, begin + 3_000)),
+            Disturbance::Flapping if draw < 0.1 => {
                 let spans = (0..3).map(|it| (begin + it * 2_800, begin + it * 2_800 + 1_400));
                 server.down.extend(spans);
             }
@@ -233,35 +238,35 @@
         }
     }
 
-    /// Lets each VM hear of a change of the store.
-    fn tell_all(&mut self, change: StoreChange, from: u64) {
+    /// Sends a store change to each VM.
+    fn publish_change(&mut self, change: StoreChange, from: u64) {
         for vm in 0..self.vms.len() {
-            let delay = self.rng.random_range(CHANGE_DELAY.0..CHANGE_DELAY.1);
+            let delay = self.rng.random_range(CHANGE_DELAY_MS.0..CHANGE_DELAY_MS.1);
             self.vms[vm].inbox.push_back((from + delay, change.clone()));
         }
     }
 
-    pub(crate) fn play(mut self) -> Outcome {
+    pub(crate) fn simulate(mut self) -> Outcome {
         let plan = self.plan.clone();
         self.outcome.deadline = plan.order_at + plan.duration;
-        self.begin_troubles();
+        self.schedule_partitions();
         let end = plan.order_at + plan.duration + 4_000;
         while self.now < end {
             if self.now == plan.order_at {
                 self.place_order();
             }
-            self.lose_vms();
-            self.hear_store();
+            self.apply_vm_faults();
+            self.deliver_store_changes();
             self.end_runs();
-            self.ask();
-            if self.now.is_multiple_of(PERIOD) {
-                self.tell();
+            self.send_requests();
+            if self.now.is_multiple_of(DIGEST_INTERVAL_MS) {
+                self.exchange_digests();
             }
-            if self.now.is_multiple_of(LOOK) && plan.guarded {
-                self.lead();
+            if self.now.is_multiple_of(HOLDER_INTERVAL_MS) && plan.guarded {
+                self.run_holder();
             }
-            if !plan.guarded && self.now.is_multiple_of(LOOK) {
-                self.lead_naively();
+            if !plan.guarded && self.now.is_multiple_of(HOLDER_INTERVAL_MS) {
+                self.run_naive_holder();
             }
             self.now += 10;
         }
@@ -276,23 +281,23 @@
             duration: Duration::from_millis(self.plan.duration),
         };
         self.order = Some(order.clone());
-        self.tell_all(StoreChange::Order(Some(order)), self.now);
+        self.publish_change(StoreChange::Order(Some(order)), self.now);
     }
 
-    /// Plans who is cut off and when.
-    fn begin_troubles(&mut self) {
+    /// Schedules which VMs are partitioned and when.
+    fn schedule_partitions(&mut self) {
         let begin = self.plan.order_at + 3_000;
-        match self.plan.trouble {
-            Trouble::CutOff => {
+        match self.plan.disturbance {
+            Disturbance::Partitioned => {
                 let many = self.plan.vms / 4;
                 let from = begin + self.rng.random_range(0..2_000);
                 for vm in 0..many {
-                    self.vms[vm].cut.push((from, from + 5_500));
+                    self.vms[vm].partitions.push((from, from + 5_500));
                 }
             }
-            Trouble::HolderCut => {
+            Disturbance::HolderPartitioned => {
                 let from = begin + self.rng.random_range(0..4_000);
-                self.vms[0].cut.push((from, from + 6_000));
+                self.vms[0].partitions.push((from, from + 6_000));
             }
             _ => {}
         }
@@ -302,9 +307,9 @@
         let starts = self.vms[vm].starts + 1;
         let mut new = new_vm(&self.plan, starts);
         new.down_until = self.now + down;
-        new.unsound = self.now + down;
-        new.cut = std::mem::take(&mut self.vms[vm].cut);
-        // What the store holds is read at the start.
+        new.last_unsound_at = self.now + down;
+        new.partitions = std::mem::take(&mut self.vms[vm].partitions);
+        // The VM reads the store at its start.
         let back = self.now + down + 60;
         for at in 0..self.servers.len() {
             let server = &self.servers[at];
@@ -319,7 +324,7 @@
         if let Some(record) = &self.record {
             new.inbox.push_back((back, StoreChange::Record(record.clone())));
         }
-        // Changes that come while it is down are read too.
+        // Changes that arrive while the VM is down are part of what it reads.
         let later = self.vms[vm].inbox.iter().filter(|(due, _)| *due > back).cloned();
         new.inbox.extend(later.collect::<Vec<_>>());
         self.vms[vm] = new;
@@ -335,20 +340,22 @@
         }
     }
 
-    fn lose_vms(&mut self) {
+    fn apply_vm_faults(&mut self) {
         let since = self.now.saturating_sub(self.plan.order_at);
         let is_time = |it: u64| self.now >= self.plan.order_at && since == it;
-        match self.plan.trouble {
-            Trouble::Restarts if self.now > self.plan.order_at && since.is_multiple_of(1_000) => {
+        match self.plan.disturbance {
+            Disturbance::Restarts
+                if self.now > self.plan.order_at && since.is_multiple_of(1_000) =>
+            {
                 for _ in 0..(self.plan.vms / 20).max(1) {
                     let vm = self.rng.random_range(0..self.vms.len());
                     self.kill(vm, 600);
                 }
             }
-            Trouble::AllKilled(after) if is_time(after) => {
+            Disturbance::AllKilled(after) if is_time(after) => {
                 (0..self.vms.len()).for_each(|it| self.kill(it, 900));
             }
-            Trouble::HolderKilled(after) if is_time(after) => {
+            Disturbance::HolderKilled(after) if is_time(after) => {
                 if let Some(holder) = self.holder {
                     self.kill(holder, 900);
                 }
@@ -356,49 +363,49 @@
             _ => {}
         }
         for vm in &mut self.vms {
-            if self.now < vm.down_until || is_cut(vm, self.now) {
-                vm.unsound = self.now;
+            if self.now < vm.down_until || is_partitioned(vm, self.now) {
+                vm.last_unsound_at = self.now;
             }
         }
     }
 
-    fn store_is_away(&self) -> bool {
+    fn is_store_unreachable(&self) -> bool {
         let since = self.now.saturating_sub(self.plan.order_at);
-        matches!(self.plan.trouble, Trouble::StoreAway(from, to) if (from..to).contains(&since))
+        matches!(self.plan.disturbance, Disturbance::StoreUnreachable(from, to) if (from..to).contains(&since))
     }
 
-    fn hear_store(&mut self) {
-        if self.store_is_away() {
+    fn deliver_store_changes(&mut self) {
+        if self.is_store_unreachable() {
             return;
         }
         for vm in 0..self.vms.len() {
-            if self.now < self.vms[vm].down_until || is_cut(&self.vms[vm], self.now) {
+            if self.now < self.vms[vm].down_until || is_partitioned(&self.vms[vm], self.now) {
                 continue;
             }
             let (due, later): (Vec<_>, Vec<_>) =
                 self.vms[vm].inbox.drain(..).partition(|(due, _)| *due <= self.now);
             self.vms[vm].inbox = later.into();
-            let is_news = !due.is_empty();
+            let has_changes = !due.is_empty();
             for (_, change) in due {
-                self.take_change(vm, change);
+                self.apply_change(vm, change);
             }
-            if is_news {
+            if has_changes {
                 self.refresh(vm);
             }
         }
     }
 
-    fn take_change(&mut self, vm: usize, change: StoreChange) {
+    fn apply_change(&mut self, vm: usize, change: StoreChange) {
         let now = at(self.now);
         let was_running = self.vms[vm].starts == 0;
         let vm = &mut self.vms[vm];
         match change {
             StoreChange::Order(Some(order)) => {
-                vm.book.apply_order(&self.service, order, was_running, now);
+                vm.rollouts.apply_order(&self.service, order, was_running, now);
             }
-            StoreChange::Order(None) => vm.book.remove_order(&self.service),
+            StoreChange::Order(None) => vm.rollouts.remove_order(&self.service),
             StoreChange::Record(record) => {
-                vm.book.apply_record(&self.service, record, now);
+                vm.rollouts.apply_record(&self.service, record, now);
             }
             StoreChange::Server(at) => {
                 let server = &self.servers[at];
@@ -413,33 +420,34 @@
     }
 
     fn refresh(&mut self, vm: usize) {
-        let is_cut = is_cut(&self.vms[vm], self.now);
-        let around = RefreshContext {
-            wall_clock_ms: Some(START_MS + self.now.cast_signed()),
+        let is_partitioned = is_partitioned(&self.vms[vm], self.now);
+        let context = RefreshContext {
+            wall_clock_ms: Some(START_WALL_CLOCK_MS + self.now.cast_signed()),
             has_engines: self.plan.has_engines,
             vm_rank: Seat { rank: vm, of: self.plan.vms },
-            is_connected: !is_cut,
+            is_connected: !is_partitioned,
         };
         let vm = &mut self.vms[vm];
-        vm.book.refresh(&self.service, &vm.table, &around, at(self.now));
+        vm.rollouts.refresh(&self.service, &vm.table, &context, at(self.now));
     }
 
-    /// Each VM tells what it saw, and hears what all others told some time ago.
-    fn tell(&mut self) {
+    /// Each VM reports its partial sums, and receives those that all others reported some digests ago.
+    fn exchange_digests(&mut self) {
         let now = at(self.now);
         let mut sum = RolloutPartialSums::default();
         for vm in 0..self.vms.len() {
-            let is_heard = self.now >= self.vms[vm].down_until && !is_cut(&self.vms[vm], self.now);
+            let is_reachable =
+                self.now >= self.vms[vm].down_until && !is_partitioned(&self.vms[vm], self.now);
             let vm = &mut self.vms[vm];
-            let told = if is_heard {
-                vm.book.partial_sums(&vm.table, now)
+            let reported = if is_reachable {
+                vm.rollouts.partial_sums(&vm.table, now)
             } else {
                 RolloutPartialSums::default()
             };
-            add_partial_sums(&mut sum, &told);
-            vm.told.push_back(told);
-            if vm.told.len() > DIGEST_DELAY {
-                vm.told.pop_front();
+            add_partial_sums(&mut sum, &reported);
+            vm.reported.push_back(reported);
+            if vm.reported.len() > DIGEST_DELAY {
+                vm.reported.pop_front();
             }
         }
         self.sums.push_back(sum);
@@ -450,35 +458,35 @@
             if self.now < self.vms[vm].down_until {
                 continue;
             }
-            let hears = !is_cut(&self.vms[vm], self.now);
-            if let (true, Some(sum)) = (hears, self.sums.front()) {
-                let own = if self.vms[vm].told.len() == self.sums.len() {
-                    self.vms[vm].told.front().cloned().unwrap_or_default()
+            let is_connected = !is_partitioned(&self.vms[vm], self.now);
+            if let (true, Some(sum)) = (is_connected, self.sums.front()) {
+                let own = if self.vms[vm].reported.len() == self.sums.len() {
+                    self.vms[vm].reported.front().cloned().unwrap_or_default()
                 } else {
                     RolloutPartialSums::default()
                 };
                 let others = partial_sums_without(sum, &own);
-                self.vms[vm].book.set_peer_sums(&others);
+                self.vms[vm].rollouts.set_peer_sums(&others);
             }
             self.refresh(vm);
         }
     }
 
-    fn lead(&mut self) {
+    fn run_holder(&mut self) {
         if let Some(holder) = self.holder
-            && is_cut(&self.vms[holder], self.now)
+            && is_partitioned(&self.vms[holder], self.now)
         {
             self.holder = None;
             self.holder_lost = self.now;
         }
-        if self.holder.is_none() && self.now >= self.holder_lost + TAKE_OVER {
-            let sound = |it: &usize| {
-                self.now >= self.vms[*it].down_until && !is_cut(&self.vms[*it], self.now)
+        if self.holder.is_none() && self.now >= self.holder_lost + TAKE_OVER_MS {
+            let is_sound = |it: &usize| {
+                self.now >= self.vms[*it].down_until && !is_partitioned(&self.vms[*it], self.now)
             };
-            self.holder = (0..self.vms.len()).filter(sound).max();
+            self.holder = (0..self.vms.len()).filter(is_sound).max();
         }
         let Some(holder) = self.holder else { return };
-        if self.store_is_away() || self.now < self.read_back_at {
+        if self.is_store_unreachable() || self.now < self.read_back_at {
             return;
         }
         let Some(next) = self.next(holder) else { return };
@@ -488,83 +496,86 @@
     fn next(&self, holder: usize) -> Option<RolloutRecord> {
         let vm = &self.vms[holder];
         let now = at(self.now);
-        let order = vm.book.orders().map(|(_, it)| it).next();
+        let order = vm.rollouts.orders().map(|(_, it)| it).next();
         let usable: Vec<_> = vm.table.usable(&self.service, now).collect();
         let new = usable.iter().filter(|(_, it)| it.entry.version.as_str() == "v2").count();
         let old = usable.len() - new;
-        let told = vm.book.progress(&self.service).unwrap_or_default();
-        let heard = self.vms.iter();
-        let heard = heard.filter(|it| self.now >= it.down_until && !is_cut(it, self.now)).count();
+        let reported = vm.rollouts.progress(&self.service).unwrap_or_default();
+        let reachable = self.vms.iter();
+        let reachable = reachable
+            .filter(|it| self.now >= it.down_until && !is_partitioned(it, self.now))
+            .count();
         next_record(&StepInput {
-            now_ms: START_MS + self.now.cast_signed(),
+            now_ms: START_WALL_CLOCK_MS + self.now.cast_signed(),
             order,
             record: self.record.as_ref(),
-            verdict: vm.book.verdict(&self.service),
+            verdict: vm.rollouts.verdict(&self.service),
             has_engines: self.plan.has_engines,
             new_servers: new,
             needed_servers: old * 3 / 4,
             has_old_servers: old > 0,
             vms: PromotionProgress {
                 vms: self.vms.len(),
-                reachable: heard,
-                switched: told.switched as usize
-                    + usize::from(vm.book.has_switched(&self.service, now)),
-                old_in_flight: told.old_in_flight,
+                reachable: reachable,
+                switched: reported.switched as usize
+                    + usize::from(vm.rollouts.has_switched(&self.service, now)),
+                old_in_flight: reported.old_in_flight,
             },
         })
     }
 
     fn write(&mut self, holder: usize, next: RolloutRecord) {
-        if let Trouble::AnswersLost = self.plan.trouble
+        if let Disturbance::StoreAnswersLost = self.plan.disturbance
             && self.rng.random::<f64>() < 0.5
         {
-            // Half of these were done.
+            // Half of these writes succeeded.
             self.read_back_at = self.now + 1_200;
             if self.rng.random::<bool>() {
                 return;
             }
         }
         self.outcome.phases.push((self.now, next.phase));
-        let judged = self.vms[holder].book.comparison(&self.service);
+        let judged = self.vms[holder].rollouts.comparison(&self.service);
         self.outcome.figures = format!("{:?}", judged.and_then(|it| it.judgement));
         self.record = Some(next.clone());
-        self.vms[holder].book.apply_record(&self.service, next.clone(), at(self.now));
+        self.vms[holder].rollouts.apply_record(&self.service, next.clone(), at(self.now));
         self.refresh(holder);
-        self.tell_all(StoreChange::Record(next.clone()), self.now + WRITE_TIME);
+        self.publish_change(StoreChange::Record(next.clone()), self.now + WRITE_TIME_MS);
         if next.phase.is_final() {
             self.outcome.phase = Some(next.phase);
-            self.outcome.final_at = Some(self.now + WRITE_TIME);
+            self.outcome.final_at = Some(self.now + WRITE_TIME_MS);
             self.stop_servers(next.phase);
         }
     }
 
     fn stop_servers(&mut self, phase: Phase) {
         let is_completed = phase == Phase::Completed;
-        let gone_at = self.now + if is_completed { WRITE_TIME } else { NEW_SERVERS_STAY };
+        let gone_at =
+            self.now + if is_completed { WRITE_TIME_MS } else { NEW_SERVERS_STOP_DELAY_MS };
         for at in 0..self.servers.len() {
             if self.servers[at].is_new != is_completed {
                 self.servers[at].gone_at = gone_at;
-                self.tell_all(StoreChange::Gone(at), gone_at);
+                self.publish_change(StoreChange::Gone(at), gone_at);
             }
         }
     }
 
-    /// A tenth of the traffic and a threshold on failures, at each VM by itself.
-    fn lead_naively(&mut self) {
+    /// The naive baseline: a tenth of the traffic and a fixed threshold on failures.
+    fn run_naive_holder(&mut self) {
         let Some(order) = &self.order else { return };
         if self.outcome.phase.is_some() {
             return;
         }
         let left = self.outcome.deadline.saturating_sub(self.now);
-        let part = self.outcome.bad as f64 / self.naive_sent.max(1) as f64;
-        let phase = if self.naive_sent > 50 && part > 0.1 {
+        let failed_fraction = self.outcome.bad as f64 / self.naive_sent.max(1) as f64;
+        let phase = if self.naive_sent > 50 && failed_fraction > 0.1 {
             Phase::RolledBack(quincevalve_forwarding::rollout::record::RollbackCause::Failures)
         } else if left < 1_000 {
             Phase::Completed
         } else {
             return;
         };
-        let record = RolloutRecord { phase, ..RolloutRecord::first(order, START_MS) };
+        let record = RolloutRecord { phase, ..RolloutRecord::first(order, START_WALL_CLOCK_MS) };
         self.record = Some(record);
         self.outcome.phase = Some(phase);
         self.outcome.final_at = Some(self.now);
@@ -576,71 +587,73 @@
         for at_run in (0..self.runs.len()).rev() {
             let run = &mut self.runs[at_run];
             let server = &self.servers[run.server];
-            let is_broken = !server.is_up(now);
-            if !run.first_noted && now >= run.first_at && !is_broken {
+            let is_down = !server.is_up(now);
+            if !run.first_noted && now >= run.first_at && !is_down {
                 run.first_noted = true;
                 let vm = &mut self.vms[run.vm];
-                if let Some(ticket) = run.ticket {
+                if let Some(tracking_id) = run.tracking_id {
                     if !run.fails {
-                        vm.book.add_first_part(ticket, at(now));
+                        vm.rollouts.add_first_part(tracking_id, at(now));
                     }
                     let sample = if run.fails { Sample::Failed } else { Sample::Succeeded };
-                    vm.book.add_sample(ticket, sample, at(now));
+                    vm.rollouts.add_sample(tracking_id, sample, at(now));
                 }
             }
-            if is_broken || now >= run.ends {
+            if is_down || now >= run.ends {
                 let stopped = server.gone_at <= now && !server.is_new && now < run.ends;
-                if is_broken && stopped {
-                    self.outcome.broken += 1;
+                if is_down && stopped {
+                    self.outcome.truncated += 1;
                 }
-                self.forget_run(at_run);
+                self.remove_run(at_run);
                 continue;
             }
-            self.move_run(at_run);
+            self.migrate_run(at_run);
         }
     }
 
-    fn forget_run(&mut self, at_run: usize) {
+    fn remove_run(&mut self, at_run: usize) {
         let run = self.runs.swap_remove(at_run);
         let server = &mut self.servers[run.server];
         server.running = server.running.saturating_sub(1);
         let vm = &mut self.vms[run.vm];
-        if let Some(ticket) = run.ticket {
-            vm.book.stop_tracking(ticket);
+        if let Some(tracking_id) = run.tracking_id {
+            vm.rollouts.stop_tracking(tracking_id);
         }
         if let Some(it) = vm.table.get_mut(&self.servers[run.server].name, START) {
             it.load.remove_request(run.work);
         }
     }
 
-    /// Moves a stream off a server that is expected to stop.
-    fn move_run(&mut self, at_run: usize) {
+    /// Migrates a stream away from a server that is expected to stop.
+    fn migrate_run(&mut self, at_run: usize) {
         let run = &self.runs[at_run];
         if !run.is_stream || self.servers[run.server].is_new || self.now < run.first_at {
             return;
         }
         let version = "v1".into();
         let vm = &self.vms[run.vm];
-        let Some(goes_at) = vm.book.expected_stop(&self.service, &version) else { return };
-        let is_due = goes_at <= at(self.now + MOVE_BEFORE);
+        let Some(expected_stop) = vm.rollouts.expected_stop(&self.service, &version) else {
+            return;
+        };
+        let is_due = expected_stop <= at(self.now + MIGRATION_LEAD_MS);
         if !is_due {
             return;
         }
         let (vm, vm_start, ends, work) = (run.vm, run.vm_start, run.ends, run.work);
-        let choice = self.vms[vm].book.choice_for_retry(&self.service);
+        let choice = self.vms[vm].rollouts.choice_for_retry(&self.service);
         let Some(to) = self.pick(vm, &choice) else { return };
-        self.forget_run(at_run);
-        if self.rng.random::<f64>() > MOVE_SUCCEEDS {
+        self.remove_run(at_run);
+        if self.rng.random::<f64>() > MIGRATION_SUCCESS_RATE {
             return;
         }
-        self.count_sent(vm, to);
-        self.vms[vm].book.record_sent(&self.service, &version_of(self.servers[to].is_new));
+        self.count_exposed(vm, to);
+        self.vms[vm].rollouts.record_sent(&self.service, &version_of(self.servers[to].is_new));
         self.begin(vm, to, work);
         self.runs.push(Run {
             vm,
             vm_start,
             server: to,
-            ticket: None,
+            tracking_id: None,
             first_at: self.now,
             ends,
             fails: false,
@@ -684,35 +697,36 @@
         None
     }
 
-    fn count_sent(&mut self, vm: usize, server: usize) {
+    fn count_exposed(&mut self, vm: usize, server: usize) {
         if !self.servers[server].is_new {
             return;
         }
-        let in_touch = self.vms[vm].unsound + CONTACT < self.now || self.vms[vm].unsound == 0;
+        let has_contact = self.vms[vm].last_unsound_at + MIN_CONTACT_MS < self.now
+            || self.vms[vm].last_unsound_at == 0;
         let is_counted = self.now >= self.plan.order_at && self.now <= self.outcome.deadline;
-        if in_touch && is_counted {
+        if has_contact && is_counted {
             self.outcome.exposed += 1;
         }
-        if in_touch {
+        if has_contact {
             self.outcome.last_sent = self.now;
         }
     }
 
-    /// Callers ask for this step.
-    fn ask(&mut self) {
+    /// Sends the callers' requests of this step.
+    fn send_requests(&mut self) {
         let routes = self.plan.routes.clone();
         for (at_route, route) in routes.iter().enumerate() {
             let mut left = route.rate / 100.0;
             while left > 0.0 {
                 if self.rng.random::<f64>() < left.min(1.0) {
-                    self.ask_one(at_route);
+                    self.send_request(at_route);
                 }
                 left -= 1.0;
             }
         }
     }
 
-    fn ask_one(&mut self, at_route: usize) {
+    fn send_request(&mut self, at_route: usize) {
         let vm = self.rng.random_range(0..self.vms.len());
         if self.now < self.vms[vm].down_until {
             return;
@@ -725,7 +739,7 @@
         let key = RouteKey::of(route.name);
         let now = at(self.now);
         let choice = if self.plan.guarded {
-            self.vms[vm].book.choose(&self.service, key, draw, now)
+            self.vms[vm].rollouts.choose(&self.service, key, draw, now)
         } else {
             self.naive_choice(draw)
         };
@@ -734,8 +748,8 @@
             return;
         };
         let is_new = self.servers[server].is_new;
-        self.vms[vm].book.record_sent(&self.service, &version_of(is_new));
-        self.count_sent(vm, server);
+        self.vms[vm].rollouts.record_sent(&self.service, &version_of(is_new));
+        self.count_exposed(vm, server);
         if is_new {
             self.naive_sent += 1;
         }
@@ -760,14 +774,14 @@
         let route = self.plan.routes[at_route].clone();
         let at_server = &self.servers[server];
         let load = f64::from(at_server.running) / self.plan.slots();
-        let noise = (SPREAD * normal(&mut self.rng)).exp();
-        let (bad_fails, bad_slow) = self.badness(server, at_route, load);
+        let noise = (LOG_TIME_DEVIATION * normal(&mut self.rng)).exp();
+        let (bad_fails, bad_slow) = self.version_fault_effect(server, at_route, load);
         let slow = at_server.slow * bad_slow;
         let fails = 1.0
-            - (1.0 - route.fails)
+            - (1.0 - route.failure_rate)
                 * (1.0 - at_server.fails)
                 * (1.0 - bad_fails)
-                * (1.0 - at_server.spoils);
+                * (1.0 - at_server.faulty_answer_rate);
         let fails = self.rng.random::<f64>() < fails;
         let expected = route.first_ms;
         let first = expected * noise * slow;
@@ -785,21 +799,21 @@
         }
         let name = self.servers[server].name.clone();
         let version = version_of(self.servers[server].is_new);
-        let watched = TrackedAttempt {
+        let attempt = TrackedAttempt {
             service: &self.service,
             route: RouteKey::of(route.name),
             version: &version,
             server: start_hash(&name, START),
             expected: Some(Duration::from_secs_f64(expected / 1_000.0)),
         };
-        let ticket = self.vms[vm].book.start_tracking(watched, at(self.now));
+        let tracking_id = self.vms[vm].rollouts.start_tracking(attempt, at(self.now));
         let work = Work { prefill: 100, memory: 100, output: 50, urgency: 1 };
         self.begin(vm, server, work);
         self.runs.push(Run {
             vm,
             vm_start: self.vms[vm].starts,
             server,
-            ticket,
+            tracking_id,
             first_at: self.now + first as u64,
             ends: self.now + (first + length) as u64,
             fails,
@@ -809,20 +823,22 @@
         });
     }
 
-    /// How much more often a request fails at a server, and how many times as long it takes, by its version.
-    fn badness(&self, server: usize, at_route: usize, load: f64) -> (f64, f64) {
+    /// Returns the failure rate and the slowdown that a server's version causes.
+    fn version_fault_effect(&self, server: usize, at_route: usize, load: f64) -> (f64, f64) {
         if !self.servers[server].is_new {
             return (0.0, 1.0);
         }
-        let Some(Badness { way, fails, slow }) = self.plan.badness else { return (0.0, 1.0) };
+        let Some(VersionFault { onset, failure_rate, slowdown }) = self.plan.version_fault else {
+            return (0.0, 1.0);
+        };
         let served = self.now.saturating_sub(self.servers[server].listed_at);
-        let shows = match way {
-            Way::AtOnce => true,
-            Way::Later => served >= 5_000,
-            Way::UnderLoad => load > USUAL_LOAD / 2.0,
-            Way::OneRoute => at_route == 0,
+        let shows = match onset {
+            FaultOnset::Immediate => true,
+            FaultOnset::Late => served >= 5_000,
+            FaultOnset::UnderLoad => load > USUAL_LOAD / 2.0,
+            FaultOnset::OneRoute => at_route == 0,
         };
-        if shows { (fails, slow) } else { (0.0, 1.0) }
+        if shows { (failure_rate, slowdown) } else { (0.0, 1.0) }
     }
 }
 
@@ -830,19 +846,19 @@
 
 fn new_vm(plan: &Plan, starts: u32) -> Vm {
     Vm {
-        book: RolloutTable::new(SharedLimit { ratio: plan.share, slack: plan.slack }),
+        rollouts: RolloutTable::new(SharedLimit { ratio: plan.share, slack: plan.slack }),
         table: ServerTable::default(),
         starts,
         down_until: 0,
-        cut: Vec::new(),
-        unsound: 0,
+        partitions: Vec::new(),
+        last_unsound_at: 0,
         inbox: VecDeque::new(),
-        told: VecDeque::new(),
+        reported: VecDeque::new(),
     }
 }
 
-fn is_cut(vm: &Vm, now: u64) -> bool {
-    vm.cut.iter().any(|(from, to)| (*from..*to).contains(&now))
+fn is_partitioned(vm: &Vm, now: u64) -> bool {
+    vm.partitions.iter().any(|(from, to)| (*from..*to).contains(&now))
 }
 
 fn version_of(is_new: bool) -> quincevalve_names::ServerVersion {
@@ -864,21 +880,21 @@
     }
 }
 
-/// A value of the standard normal distribution.
+/// Returns a value of the standard normal distribution.
 fn normal(rng: &mut Pcg64Mcg) -> f64 {
     let radius = (-2.0 * rng.random::<f64>().max(1e-12).ln()).sqrt();
     radius * (std::f64::consts::TAU * rng.random::<f64>()).cos()
 }
 
 impl Plan {
-    /// Requests that a server runs at once at most, so that old ones have their usual load.
+    /// Returns the number of requests that a server runs at once at most, so that old servers have their usual load.
     fn slots(&self) -> f64 {
         let running: f64 = self.routes.iter().map(crate::plan::Traffic::running).sum();
         (running / self.old_servers as f64 / USUAL_LOAD).max(1.0)
     }
 }
 
-/// Figures by verdict, for a table.
+/// Returns the name of an outcome in the printed table.
 pub(crate) fn verdict_name(outcome: &Outcome) -> &'static str {
     match outcome.phase {
         Some(Phase::Completed) => "completed",
@@ -887,5 +903,5 @@
     }
 }
 
-/// Counts by name.
+/// Counts of outcomes by name.
 pub(crate) type Counts = IndexMap<&'static str, usize>;
