--- a/crates/quincevalve_forwarding/src/config.rs
+++ b/crates/quincevalve_forwarding/src/config.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration as the forwarding path uses it.
+//! The operators' configuration in the form used by the forwarding path.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -6,101 +6,101 @@
 use quincevalve_names::{ClientAccountName, DataCentreName, ServiceName, mix};
 use serde::{Deserialize, Serialize};
 
-/// Keeps the choice of a target independent of other uses of a request's hash.
+/// Salt that makes the choice of a target independent of other uses of a request's hash.
 const SPLIT_SALT: u64 = 0x51;
 
-/// What a repetition of a request does.
+/// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum RetrySafety {
-    /// It may run any number of times.
+    /// The request may run any number of times.
     Idempotent,
-    /// It runs at most once for each attempt of the caller.
+    /// The request runs at most once for each attempt of the caller.
     NonIdempotent,
-    /// The answer is a stream of events that only the server that began it can finish.
+    /// The answer is a stream of events that only the server that started it can finish.
     Stream,
     /// The answer is a stream of events that another server can continue after any event.
     ResumableStream,
 }
 
 impl RetrySafety {
-    /// Whether the answer is a stream of events.
+    /// Returns whether the answer is a stream of events.
     pub const fn is_stream(self) -> bool {
         matches!(self, Self::Stream | Self::ResumableStream)
     }
 
-    /// Whether a second run does no harm.
+    /// Returns whether a second execution is harmless.
     pub const fn is_retryable(self) -> bool {
         matches!(self, Self::Idempotent | Self::ResumableStream)
     }
 }
 
-/// A service that takes a share of a route's requests.
+/// A service that receives a share of a route's requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
     /// The service.
     pub service: ServiceName,
-    /// Its weight against the route's other targets.
+    /// Weight relative to the route's other targets.
     pub weight: u32,
 }
 
-/// A rule that says which requests go where and how.
+/// A rule that assigns requests to services and states how to forward them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Route {
-    /// The operators' name for it.
+    /// The name given by the operators.
     pub name: Arc<str>,
-    /// The `Host` that it answers for.
+    /// The `Host` header that the route matches.
     pub host: String,
-    /// The start of the paths that it answers for; begins and ends with a slash.
+    /// The path prefix that the route matches; begins and ends with a slash.
     pub prefix: String,
-    /// Where requests go.
+    /// The services that receive the requests.
     pub targets: Vec<Target>,
-    /// What may be repeated.
+    /// Whether requests may be executed more than once.
     pub retry_safety: RetrySafety,
-    /// The longest time that a request may be kept without its final answer.
+    /// Maximum time until a request gets its final answer.
     pub timeout: Duration,
-    /// The time within which an answer (a stream's first event) is on time.
+    /// Latency objective for the answer, or for a stream's first event.
     pub objective: Duration,
-    /// Servers to which one attempt of the caller may be sent.
+    /// Maximum number of servers to which one attempt of the caller may be sent.
     pub max_servers: u32,
-    /// Urgency, 0 first.
+    /// Urgency class; 0 is the most urgent.
     pub urgency: u8,
-    /// Whether requests need no key.
+    /// Whether requests are accepted without an API key.
     pub anonymous: bool,
 }
 
 impl Route {
-    /// The target for a request, by weight; the same for the same request.
+    /// Returns the target for a request, chosen by weight. The choice is deterministic for a given request.
     pub fn target(&self, request: u64) -> Option<&Target> {
         let total: u64 = self.targets.iter().map(|it| u64::from(it.weight)).sum();
-        let mut at = mix(request, SPLIT_SALT).checked_rem(total)?;
+        let mut position = mix(request, SPLIT_SALT).checked_rem(total)?;
         self.targets.iter().find(|it| {
             let weight = u64::from(it.weight);
-            let found = at < weight;
-            at = at.saturating_sub(weight);
-            found
+            let is_selected = position < weight;
+            position = position.saturating_sub(weight);
+            is_selected
         })
     }
 }
 
-/// What an account may ask for in all, over all entry VMs.
+/// The rate limit of an account over all entry VMs.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Quota {
-    /// Units a second.
+    /// Units per second.
     pub per_second: f64,
-    /// Units that may be taken at once after a pause.
+    /// Maximum number of units that may be used at once after a pause.
     pub burst: f64,
-    /// What a request counts.
+    /// How a request is charged.
     pub unit: QuotaUnit,
 }
 
-/// What a request counts against a quota.
+/// The unit in which a request is charged against a quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum QuotaUnit {
-    /// One.
+    /// Each request counts as one.
     Requests,
-    /// Its prompt and the most that it may generate.
+    /// A request counts as its prompt tokens plus the maximum number of generated tokens.
     Tokens {
-        /// What a request without token counts is taken for.
+        /// Number of tokens charged for a request without token counts.
         default_tokens: u32,
     },
 }
@@ -108,81 +108,81 @@
 /// A client account.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Account {
-    /// Its keys.
+    /// The account's API keys.
     pub keys: Vec<Arc<str>>,
-    /// Urgency that goes before the route's, 0 first.
+    /// Urgency class that overrides the route's; 0 is the most urgent.
     pub urgency: Option<u8>,
-    /// Its quota, if it has one.
+    /// The account's quota, if any.
     pub quota: Option<Quota>,
 }
 
-/// What the operators tell of a service's model engines.
+/// The configured capacity of a service's model engines.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Engine {
-    /// Requests that run at once on one server.
+    /// Maximum number of concurrent requests on one server.
     pub slots: u32,
-    /// Tokens that one server's KV cache holds.
+    /// Capacity of one server's KV cache, in tokens.
     pub kv_tokens: u64,
-    /// Whether a running request can be moved to another server.
+    /// Whether a running request can be migrated to another server.
     pub supports_migration: bool,
 }
 
-/// Within which bounds the number of a service's servers may be ordered.
+/// The bounds and prices for ordering a service's servers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Scaling {
-    /// Servers of both kinds in a data centre at least.
+    /// Minimum number of servers of both kinds in a data centre.
     pub min: u32,
-    /// Servers of both kinds in a data centre at most.
+    /// Maximum number of servers of both kinds in a data centre.
     pub max: u32,
-    /// From an order to service.
+    /// Time from an order until the server is ready.
     pub boot_time: Duration,
-    /// The price of a reclaimable server against an on-demand one; `None` where there are none.
+    /// Price of a reclaimable server relative to an on-demand one; `None` where there are no reclaimable servers.
     pub reclaimable_price: Option<f64>,
-    /// The price of an on-demand server for a second, by data centre.
+    /// Price of an on-demand server per second, by data centre.
     pub prices: IndexMap<DataCentreName, f64>,
 }
 
-/// A service.
+/// The settings of a service.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Service {
-    /// Connections that one server takes from all callers.
+    /// Maximum number of connections that one server accepts from all callers.
     pub max_connections: Option<u32>,
-    /// Set where its servers are model engines.
+    /// The engines' capacity, if the service's servers are model engines.
     pub engine: Option<Engine>,
-    /// Set where its servers may be ordered.
+    /// The scaling bounds, if the service's servers may be ordered.
     pub scaling: Option<Scaling>,
 }
 
-/// What a caller may send, and how slowly.
+/// Limits on the size and duration of callers' requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerLimits {
-    /// Bytes of a request's head.
+    /// Maximum size of a request's head, in bytes.
     pub head_bytes: usize,
-    /// Bytes of a request's body.
+    /// Maximum size of a request's body, in bytes.
     pub body_bytes: usize,
-    /// How long a head may take.
+    /// Maximum time for receiving a request's head.
     pub head_timeout: Duration,
-    /// How long a connection may be idle.
+    /// Maximum time for which a connection may be idle.
     pub idle_timeout: Duration,
 }
 
-/// One version of the configuration, whole.
+/// One complete version of the configuration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ForwardingConfig {
-    /// The operators' version; grows with each change.
+    /// The operators' version number; increases with each change.
     pub version: u64,
     /// Services by name.
     pub services: IndexMap<ServiceName, Service>,
     /// Client accounts by name.
     pub accounts: IndexMap<ClientAccountName, Account>,
-    /// What callers may send.
+    /// Limits on callers' requests.
     pub limits: CallerLimits,
     routes_by_host: HashMap<String, Vec<Arc<Route>>>,
     accounts_by_key: HashMap<Arc<str>, ClientAccountName>,
 }
 
 impl ForwardingConfig {
-    /// Indexes a configuration.
+    /// Creates a configuration with indexes for the look-up of routes and accounts.
     pub fn new(
         version: u64,
         routes: Vec<Route>,
@@ -204,23 +204,23 @@
         Self { version, services, accounts, limits, routes_by_host, accounts_by_key }
     }
 
-    /// The route with the longest prefix of `path` at `host`.
+    /// Returns the route at `host` with the longest matching prefix of `path`.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let routes = self.routes_by_host.get(host)?;
         routes.iter().find(|it| path.starts_with(&it.prefix))
     }
 
-    /// All routes.
+    /// Returns all routes.
     pub fn routes(&self) -> impl Iterator<Item = &Arc<Route>> {
         self.routes_by_host.values().flatten()
     }
 
-    /// The account that holds a key.
+    /// Returns the account that holds an API key.
     pub fn account_of_key(&self, key: &str) -> Option<&ClientAccountName> {
         self.accounts_by_key.get(key)
     }
 
-    /// Whether callers have to show a key at all.
+    /// Returns whether callers must authenticate with an API key.
     pub fn has_accounts(&self) -> bool {
         !self.accounts.is_empty()
     }
--- a/crates/quincevalve_forwarding/src/demand.rs
+++ b/crates/quincevalve_forwarding/src/demand.rs
@@ -1,4 +1,4 @@
-//! The work that callers ask of a service, as each entry VM measures it from what all of them tell.
+//! Measures the demand for a service, from the reports of all entry VMs.
 
 use std::time::Duration;
 
@@ -6,71 +6,72 @@
 
 use crate::rate::Rate;
 
-/// Weight of a new second in the running mean of the demand when it is above the mean.
-const RISING: f64 = 0.5;
-/// The same when it is below: callers come in waves of some ten seconds.
-const FALLING: f64 = 0.08;
-/// The part of the entry VMs that must be heard before less demand is believed.
-const NEARLY_ALL: f64 = 0.8;
-/// Time between two looks at least: what comes in a shorter time says little of the demand.
-const LEAST_LOOK: Duration = Duration::from_millis(900);
-/// Looks at the demand before it is believed; until then the quotas say what to expect. After four, the running mean
-/// has nine tenths of a demand that is there from the first.
-const LOOKS_BEFORE_BELIEF: u32 = 4;
-
-/// The demand for a service, in servers that would be busy all the time.
+/// Weight of a new observation in the moving average of the demand when it is above the average.
+const RISING_WEIGHT: f64 = 0.5;
+/// Weight of a new observation when it is below the average; lower, since callers come in bursts of about ten seconds.
+const FALLING_WEIGHT: f64 = 0.08;
+/// Minimum fraction of the entry VMs that must be reachable for a decrease in demand to be accepted.
+const MIN_REACHABLE_FRACTION: f64 = 0.8;
+/// Minimum interval between two observations; shorter intervals say little about the demand.
+const MIN_OBSERVATION_INTERVAL: Duration = Duration::from_millis(900);
+/// Minimum number of observations before the measured demand is used; until then, it is estimated from quotas. After
+/// four observations, the moving average has reached nine tenths of a constant demand.
+const MIN_OBSERVATIONS: u32 = 4;
+
+/// The measured demand for a service, in fully utilized servers.
 #[derive(Clone, Debug, Default)]
 pub struct MeasuredDemand {
-    last: Option<TimePoint>,
+    last_observed_at: Option<TimePoint>,
     busy: f64,
-    looks: u32,
+    observations: u32,
 }
 
 impl MeasuredDemand {
-    /// Takes the work that entry VMs take on at present, in busy servers. `part` of them were heard.
-    pub fn observe(&mut self, rate: f64, part: f64, now: TimePoint) {
-        if self.last.is_some_and(|it| now.since(it) < LEAST_LOOK) {
+    /// Records the current rate of work of the entry VMs, in fully utilized servers. `reachable_fraction` is the fraction
+    /// of the VMs whose reports it contains.
+    pub fn observe(&mut self, rate: f64, reachable_fraction: f64, now: TimePoint) {
+        if self.last_observed_at.is_some_and(|it| now.since(it) < MIN_OBSERVATION_INTERVAL) {
             return;
         }
-        self.last = Some(now);
-        // Who isn't heard may have work; less of it is believed only of nearly all.
+        self.last_observed_at = Some(now);
+        // Unreachable VMs may have work, so a decrease is accepted only when nearly all VMs are reachable.
         let is_higher = rate > self.busy;
-        if !is_higher && part < NEARLY_ALL {
+        if !is_higher && reachable_fraction < MIN_REACHABLE_FRACTION {
             return;
         }
-        let weight = if is_higher { RISING } else { FALLING };
+        let weight = if is_higher { RISING_WEIGHT } else { FALLING_WEIGHT };
         self.busy += weight * (rate - self.busy);
         if self.busy > 0.0 {
-            self.looks += 1;
+            self.observations += 1;
         }
     }
 
-    /// The demand that another VM measured, taken as if it had been measured here.
+    /// Creates a demand that another VM measured, as if it had been measured here.
     pub fn from_report(busy: f64) -> Self {
-        Self { last: None, busy, looks: LOOKS_BEFORE_BELIEF }
+        Self { last_observed_at: None, busy, observations: MIN_OBSERVATIONS }
     }
 
-    /// Busy servers as measured; `None` before enough was seen.
+    /// Returns the measured demand in fully utilized servers; `None` before there are enough observations.
     pub fn measured(&self) -> Option<f64> {
-        (self.looks >= LOOKS_BEFORE_BELIEF).then_some(self.busy)
+        (self.observations >= MIN_OBSERVATIONS).then_some(self.busy)
     }
 
-    /// Whether no work was seen at all.
+    /// Returns whether no work was observed.
     pub fn has_no_observations(&self) -> bool {
-        self.looks == 0
+        self.observations == 0
     }
 
-    /// Servers that would be busy all the time; at least `expected` until enough was seen.
+    /// Returns the demand in fully utilized servers; at least `expected` until there are enough observations.
     pub fn busy(&self, expected: f64) -> f64 {
-        if self.looks < LOOKS_BEFORE_BELIEF { self.busy.max(expected) } else { self.busy }
+        if self.observations < MIN_OBSERVATIONS { self.busy.max(expected) } else { self.busy }
     }
 }
 
-/// Time over which the work that comes to a VM is taken before it is told: the plan of the fleet looks at it each
-/// second.
-const WORK_TIME: Duration = Duration::from_secs(1);
+/// Time window over which a VM averages its rate of work before reporting it. The fleet planner evaluates the demand
+/// once a second.
+const WORK_RATE_WINDOW: Duration = Duration::from_secs(1);
 
-/// The work that one VM takes on for a service.
+/// The rate of work that one VM accepts for a service.
 ///
 /// # Examples
 ///
@@ -90,28 +91,28 @@
 }
 
 impl WorkRate {
-    /// Without any work.
+    /// Creates a rate without any work.
     pub const fn new(now: TimePoint) -> Self {
-        Self { busy: Rate::new(WORK_TIME, now), requests: Rate::new(WORK_TIME, now) }
+        Self { busy: Rate::new(WORK_RATE_WINDOW, now), requests: Rate::new(WORK_RATE_WINDOW, now) }
     }
 
-    /// Takes a request that would keep a server busy for so many seconds.
+    /// Records a request that keeps a server busy for `busy_seconds`.
     pub fn add(&mut self, busy_seconds: f64, now: TimePoint) {
         self.busy.add(busy_seconds, now);
         self.requests.add(1.0, now);
     }
 
-    /// Busy servers, as of now.
+    /// Returns the current rate of work in fully utilized servers.
     pub fn busy(&self, now: TimePoint) -> f64 {
         self.busy.per_second(now)
     }
 
-    /// Seconds for which a request keeps a server busy; `None` where none came lately.
+    /// Returns the average seconds for which a request keeps a server busy; `None` without recent requests.
     pub fn busy_seconds_per_request(&self, now: TimePoint) -> Option<f64> {
         let requests = self.requests.per_second(now);
-        (requests > RECENT_REQUESTS).then(|| self.busy(now) / requests)
+        (requests > MIN_REQUEST_RATE).then(|| self.busy(now) / requests)
     }
 }
 
-/// Requests a second below which none came lately.
-const RECENT_REQUESTS: f64 = 0.1;
+/// Minimum rate, in requests per second, to count as having recent requests.
+const MIN_REQUEST_RATE: f64 = 0.1;
--- a/crates/quincevalve_forwarding/src/fleet_size.rs
+++ b/crates/quincevalve_forwarding/src/fleet_size.rs
@@ -1,4 +1,4 @@
-//! How many servers of each kind a service should have in each data centre.
+//! Computes how many servers of each kind a service should have in each data centre.
 
 use std::time::Duration;
 
@@ -11,105 +11,107 @@
     server_signals::RequestRate,
 };
 
-/// Servers in a data centre at present.
+/// Number of servers of each kind that are present in a data centre.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ServerCounts {
-    /// Reclaimable ones that take new work.
+    /// Reclaimable servers that accept new work.
     pub reclaimable: u32,
-    /// On-demand ones that take new work.
+    /// On-demand servers that accept new work.
     pub on_demand: u32,
 }
 
-/// The kind of a server, by what it costs and whether it can be taken back.
+/// The kind of a server, by its price and whether the platform can reclaim it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ServerKind {
-    /// Cheap, and may be taken back at any time.
+    /// Cheap; may be reclaimed at any time.
     Reclaimable,
-    /// Stays until it is given back.
+    /// Stays until it is released.
     OnDemand,
 }
 
-/// The number of servers of a kind to have in a data centre.
+/// An order for the total number of servers of a kind in a data centre.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
-    /// Where.
+    /// The data centre of the servers.
     pub data_centre: DataCentreName,
-    /// Of which kind.
+    /// The kind of the servers.
     pub kind: ServerKind,
-    /// How many in all.
+    /// The total number of servers, including those already present.
     pub count: u32,
 }
 
-/// What became of an order.
+/// The outcome of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// It was taken.
+    /// The platform accepted the order.
     Taken,
-    /// None of the kind are to be had there at present.
+    /// No servers of the kind are currently available in the data centre.
     NoneAvailable,
-    /// It may have been taken or not.
+    /// The order may or may not have been accepted.
     Unknown,
 }
 
-/// The part of its time that a server is busy in a fleet of the wanted size; the rest is for waves of callers.
-const WANTED_BUSY: f64 = 0.65;
-/// The part of its time that a server may be busy while a data centre is lost: those that are left have its prompts to
-/// read again.
-const BEARABLE_BUSY: f64 = 0.72;
-/// The part of its time that a server may be busy before an on-demand one, several times as dear as a reclaimable one, is
-/// ordered beside it.
-const ON_DEMAND_BUSY: f64 = 0.72;
-/// The same for the few seconds that an on-demand server takes to start after the next reclaim: the servers that are left
-/// have the prompts of those that went to read again.
-const SHORT_BUSY: f64 = 0.72;
-/// Data centres whose reclaimable servers may be gone at the same time without a server on demand.
-const LOST_CENTRES: usize = 1;
-/// The part of all on-demand servers that one data centre has.
+/// Target utilization of a server in a fleet of the wanted size; the rest is headroom for bursts of callers.
+const TARGET_UTILIZATION: f64 = 0.65;
+/// Maximum utilization of a server while a data centre is lost; the remaining servers have to recompute the prompts that
+/// were cached there.
+const DEGRADED_UTILIZATION: f64 = 0.72;
+/// Utilization of reclaimable servers above which additional on-demand servers are ordered, which cost several times as
+/// much.
+const ON_DEMAND_UTILIZATION: f64 = 0.72;
+/// Maximum utilization for the few seconds that an on-demand server takes to start after the next reclaim; the remaining
+/// servers have to recompute the prompts that the reclaimed ones had cached.
+const TRANSIENT_UTILIZATION: f64 = 0.72;
+/// Number of data centres that may lose their reclaimable servers at the same time without on-demand servers being needed.
+const TOLERATED_LOST_CENTRES: usize = 1;
+/// Maximum fraction of all on-demand servers in one data centre.
 ///
-/// Failure: all reclaimable servers are gone, those on demand stand where they are cheapest, and that data centre is
-/// cut off. Symptom: nearly no server is left, for as long as others take to start. With a half, a cut leaves as
-/// many as a wave's next step does, for a few hundredths of the price.
-const MOST_IN_ONE_CENTRE: f64 = 0.5;
-/// Accounts together use about this part of their quotas.
-const QUOTA_USED: f64 = 0.5;
-/// Tokens of quota that keep one server busy for a second: its prompts are partly kept in memory, and the
-/// most that may be generated seldom is.
+/// If all on-demand servers were in the cheapest data centre, a network partition of that data centre while all
+/// reclaimable servers are gone would leave nearly no server until others have started. With one half, a partition
+/// leaves as many servers as the next step of a reclaim wave does, for a few percent of the price.
+const MAX_SHARE_PER_CENTRE: f64 = 0.5;
+/// Fraction of their quotas that all accounts together typically use.
+const QUOTA_UTILIZATION: f64 = 0.5;
+/// Number of quota tokens that keep one server busy for a second. Prompts are partly cached, and requests seldom
+/// generate the maximum number of tokens.
 const QUOTA_TOKENS_PER_SERVER: f64 = 65_000.0;
-/// Times what the quotas let expect that is prepared for at most at first: not all accounts have a quota.
-const MOST_PROMISED: f64 = 1.5;
-/// Time that a VM which starts needs to see all servers: they renew their entries within it.
-const ACQUAINTANCE: Duration = Duration::from_millis(2_800);
-/// Time for which fewer reclaimable servers must be enough before fewer are ordered: longer than the times
-/// in which none can be had, so that the fleet doesn't shrink just before a data centre's servers go.
-const SHRINK_RECLAIMABLE_AFTER: Duration = Duration::from_secs(30);
-/// The same for on-demand servers, which cost several times as much.
-const SHRINK_ON_DEMAND_AFTER: Duration = Duration::from_secs(2);
-/// The same while reclaimable servers can't be had somewhere.
+/// Maximum initial demand, as a multiple of the demand derived from quotas; above 1 since not all accounts have a quota.
+const MAX_INITIAL_DEMAND_FACTOR: f64 = 1.5;
+/// Time that a starting VM needs to discover all servers; they renew their entries within it.
+const DISCOVERY_WINDOW: Duration = Duration::from_millis(2_800);
+/// Time for which fewer reclaimable servers must suffice before fewer are ordered. It is longer than the periods in
+/// which none are available, so that the fleet doesn't shrink just before a data centre loses its servers.
+const SHRINK_RECLAIMABLE_DELAY: Duration = Duration::from_secs(30);
+/// Time for which fewer on-demand servers, which cost several times as much, must suffice before fewer are ordered.
+const SHRINK_ON_DEMAND_DELAY: Duration = Duration::from_secs(2);
+/// Time for which fewer on-demand servers must suffice while a data centre has no reclaimable servers available.
 ///
-/// Failure: the demand turns out lower than was expected, and on-demand servers are given back between two steps of a
-/// wave. Symptom: the next data centre goes, as many are ordered again, and for the five seconds of their start
-/// most callers are late. The steps of a wave follow each other within some eight seconds.
-const SHRINK_IN_A_WAVE_AFTER: Duration = Duration::from_secs(10);
-/// From the end of a server's start to its being listed and known here.
-const LISTING_TIME: Duration = Duration::from_millis(2_500);
-/// Pause after an order that found none available.
-const REFUSED_PAUSE: Duration = Duration::from_millis(2_500);
-/// Pause after an order whose fate is unknown.
-const UNKNOWN_PAUSE: Duration = Duration::from_secs(1);
+/// The steps of a reclaim wave follow each other within about eight seconds. If on-demand servers were released between
+/// two steps, because the demand is lower than expected, the next data centre's loss would require ordering as many
+/// again, and most callers would be late for the five seconds that these take to start.
+const SHRINK_IN_RECLAIM_WAVE_DELAY: Duration = Duration::from_secs(10);
+/// Time from the end of a server's start until it is listed and known to this VM.
+const LISTING_DELAY: Duration = Duration::from_millis(2_500);
+/// Retry interval after an order that found no servers available.
+const UNAVAILABLE_RETRY_INTERVAL: Duration = Duration::from_millis(2_500);
+/// Retry interval after an order with an unknown outcome.
+const UNKNOWN_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
 #[derive(Clone, Copy, Debug)]
-struct Sent {
+struct SentOrder {
     count: u32,
-    /// Servers of the kind that were there then.
-    there: u32,
+    /// Number of servers of the kind that were present when the order was sent.
+    present: u32,
     at: TimePoint,
     outcome: OrderOutcome,
 }
 
-/// The part of a wanted server's work that a server must be able to do to count as one.
-const LEAST_CARRIED: f64 = 0.5;
+/// Minimum fraction of a regular server's work that a server must be able to do to count toward the fleet.
+const MIN_CARRIED_FRACTION: f64 = 0.5;
 
-/// Whether a server counts that takes no more than `limit`, where a request keeps a server busy for `busy_each` seconds.
+/// Returns whether a server with the request limit `limit` counts toward the fleet.
+///
+/// A request keeps a server busy for `busy_seconds_per_request`.
 ///
 /// # Examples
 ///
@@ -119,107 +121,123 @@
 /// assert!(!counts_toward_fleet(RequestRate::new(1.2), Some(0.05)));
 /// assert!(counts_toward_fleet(None, Some(0.05)));
 /// ```
-pub fn counts_toward_fleet(limit: Option<RequestRate>, busy_each: Option<f64>) -> bool {
-    let carried = limit.zip(busy_each).map(|(limit, each)| limit.per_second() * each);
-    carried.is_none_or(|it| it >= WANTED_BUSY * LEAST_CARRIED)
+pub fn counts_toward_fleet(
+    limit: Option<RequestRate>,
+    busy_seconds_per_request: Option<f64>,
+) -> bool {
+    let carried = limit
+        .zip(busy_seconds_per_request)
+        .map(|(limit, busy_seconds)| limit.per_second() * busy_seconds);
+    carried.is_none_or(|it| it >= TARGET_UTILIZATION * MIN_CARRIED_FRACTION)
 }
 
-/// The demand that accounts' quotas let expect, in busy servers.
+/// Returns the demand to expect from the accounts' quotas, in fully utilized servers.
 pub fn expected_demand(config: &ForwardingConfig) -> f64 {
     let quotas = config.accounts.values().filter_map(|it| it.quota);
     let tokens = quotas
         .filter(|it| matches!(it.unit, QuotaUnit::Tokens { .. }))
         .map(|it| it.per_second)
         .sum::<f64>();
-    tokens * QUOTA_USED / QUOTA_TOKENS_PER_SERVER
+    tokens * QUOTA_UTILIZATION / QUOTA_TOKENS_PER_SERVER
 }
 
-/// The demand to expect before any was measured, in busy servers.
+/// Returns the demand to assume before any was measured, in fully utilized servers.
 ///
-/// Failure: the duty passes to a VM that has not yet measured any demand. Symptom: it plans for none and
-/// gives the fleet back. Until it has measured, it takes the fleet for the right size, unless quotas let
-/// expect much less.
-fn expected_at_first(promised: f64, present: &IndexMap<DataCentreName, ServerCounts>) -> f64 {
+/// A VM that takes over the scaling duty without having measured any demand must not plan for none, or it would release
+/// the fleet. Until it has measured the demand, it assumes that the present fleet has the right size, unless the quotas
+/// imply much less.
+fn estimate_initial_demand(
+    quota_demand: f64,
+    present: &IndexMap<DataCentreName, ServerCounts>,
+) -> f64 {
     let servers: u32 = present.values().map(|it| it.reclaimable + it.on_demand).sum();
-    let carried = f64::from(servers) * WANTED_BUSY;
-    if promised <= 0.0 { carried } else { carried.min(promised * MOST_PROMISED).max(promised) }
+    let carried = f64::from(servers) * TARGET_UTILIZATION;
+    if quota_demand <= 0.0 {
+        carried
+    } else {
+        carried.min(quota_demand * MAX_INITIAL_DEMAND_FACTOR).max(quota_demand)
+    }
 }
 
-/// Plans the servers of one service.
+/// Plans the number of servers of one service.
 ///
-/// Load: reclaimable servers cost a fraction of on-demand ones, and all of a data centre's go at once,
-/// for a while perhaps without replacement. They are spread evenly over the data centres, so that the loss
-/// of one leaves enough; what is missing while none can be had is ordered on demand where it is cheapest.
-/// Reclaims come in waves that take one data centre after the other within seconds, less than a server needs
-/// to start. While one data centre has lost its servers, the largest other one is therefore taken for lost
-/// too, and replaced on demand before it goes.
+/// Reclaimable servers cost a fraction of on-demand ones, but all of a data centre's reclaimable servers are reclaimed
+/// at once, possibly without replacements being available for a while. They are spread evenly over the data centres, so
+/// that the loss of one leaves enough. While replacements are unavailable, the missing capacity is ordered on demand
+/// where it is cheapest. Reclaims come in waves that hit one data centre after the other within seconds, which is less
+/// than a server needs to start. While one data centre has lost its servers, the planner therefore assumes that the
+/// largest other one is lost too, and orders its replacement on demand in advance.
 #[derive(Clone, Debug)]
 pub struct FleetPlanner {
     since: TimePoint,
     demand: MeasuredDemand,
-    /// What was expected before any demand was measured, once all servers were seen.
-    expected: Option<f64>,
-    sent: IndexMap<(DataCentreName, ServerKind), Sent>,
+    /// The demand to assume before any was measured; set once the discovery window has passed.
+    initial_demand: Option<f64>,
+    sent_orders: IndexMap<(DataCentreName, ServerKind), SentOrder>,
     fewer_since: IndexMap<(DataCentreName, ServerKind), TimePoint>,
-    /// The servers that the newest orders were reckoned from.
-    seen: IndexMap<DataCentreName, ServerCounts>,
+    /// The servers from which the newest orders were computed.
+    present: IndexMap<DataCentreName, ServerCounts>,
 }
 
 impl FleetPlanner {
-    /// Begins to plan at a VM that has known the servers `since` then.
+    /// Creates a planner for a VM that has known the servers since `since`.
     ///
-    /// Failure: entry VMs are restarted one after the other, and with them each holder of the duties. Symptom: no holder
-    /// is there for long enough to give anything back, and servers on demand that nobody needs stay until the restarts are
-    /// over. A VM that has known the servers for long need not see them anew.
+    /// A VM that has known the servers for long need not discover them again when it becomes the duty holder. Otherwise,
+    /// while entry VMs are restarted one after the other, no holder would plan for long enough to release servers, and
+    /// unneeded on-demand servers would stay until the restarts are over.
     pub fn new(since: TimePoint) -> Self {
         Self {
             since,
             demand: MeasuredDemand::default(),
-            expected: None,
-            sent: IndexMap::new(),
+            initial_demand: None,
+            sent_orders: IndexMap::new(),
             fewer_since: IndexMap::new(),
-            seen: IndexMap::new(),
+            present: IndexMap::new(),
         }
     }
 
-    /// Takes the work that entry VMs take on at present, in busy servers, of which `part` were heard, and
-    /// returns the servers that are expected to be busy all the time. `promised` is what quotas let expect.
+    /// Records the current rate of work of the entry VMs, in fully utilized servers, and returns the demand to plan for.
+    ///
+    /// `reachable_fraction` is the fraction of the VMs whose reports `rate` contains; `quota_demand` is the demand
+    /// expected from quotas.
     ///
-    /// Failure: the duty passes on, and its new holder hears the VMs one after the other. Symptom: with running
-    /// totals each one's whole past counts as new demand, ten times too many servers are ordered, and for
-    /// minutes nobody gives them back. Rates add up however late a VM is heard.
+    /// The input is a rate, since a new duty holder receives the first reports of the VMs one after the other. With
+    /// running totals, each VM's whole past would count as new demand: ten times too many servers would be ordered and
+    /// not be released for minutes. Rates add up correctly however late a VM's first report arrives.
     pub fn observe(
         &mut self,
         rate: f64,
-        part: f64,
-        promised: f64,
+        reachable_fraction: f64,
+        quota_demand: f64,
         present: &IndexMap<DataCentreName, ServerCounts>,
         now: TimePoint,
     ) -> f64 {
-        self.demand.observe(rate, part, now);
-        let mut expected = self.expected.unwrap_or_else(|| expected_at_first(promised, present));
-        if !self.is_new(now) {
-            expected = *self.expected.get_or_insert(expected);
+        self.demand.observe(rate, reachable_fraction, now);
+        let mut expected =
+            self.initial_demand.unwrap_or_else(|| estimate_initial_demand(quota_demand, present));
+        if !self.is_discovering(now) {
+            expected = *self.initial_demand.get_or_insert(expected);
         }
         self.demand.busy(expected)
     }
 
-    /// Busy servers as measured; `None` before enough was seen.
+    /// Returns the measured demand in fully utilized servers; `None` before there are enough observations.
     pub fn measured(&self) -> Option<f64> {
         self.demand.measured()
     }
 
-    /// Goes on from the demand that was measured here before, or by another planner.
+    /// Replaces the planner's demand by one that was measured on this VM before, or by another planner.
     ///
-    /// Failure: the holder's lease ends in an outage of the store, or it dies. Symptom: its successor knows no demand,
-    /// takes the whole fleet for the right size, and orders on demand whatever of it is gone, several times what is
-    /// needed, until it has measured for itself. All VMs hear what all take on, and measure it all the time.
+    /// Each VM receives the reports of all VMs and measures the demand all the time. If the holder's lease expires during
+    /// a store outage, or the holder dies, a successor without a measured demand would assume that the whole fleet has
+    /// the right size. It would order replacements on demand for each lost server, several times what is needed, until
+    /// it has measured the demand itself.
     pub fn set_demand(&mut self, demand: MeasuredDemand) {
         self.demand = demand;
     }
 
-    /// The orders that should be sent now for `busy` servers: reclaimable ones first, and with their answers
-    /// the others at the next call.
+    /// Returns the orders to send now for a demand of `busy` fully utilized servers. Orders for reclaimable servers come
+    /// first; on-demand ones follow at the next call, when the outcomes of the former are known.
     pub fn due_orders(
         &mut self,
         scaling: &Scaling,
@@ -227,81 +245,82 @@
         present: &IndexMap<DataCentreName, ServerCounts>,
         now: TimePoint,
     ) -> Vec<Order> {
-        self.seen.clone_from(present);
-        let each = reclaimable_each(scaling, busy, present.len());
+        self.present.clone_from(present);
+        let per_centre = reclaimable_per_centre(scaling, busy, present.len());
         let mut wanted = Vec::new();
         if scaling.reclaimable_price.is_some() {
             let reclaimable = |it: &DataCentreName| Order {
                 data_centre: it.clone(),
                 kind: ServerKind::Reclaimable,
-                count: each,
+                count: per_centre,
             };
             wanted.extend(present.keys().map(reclaimable));
-            wanted.extend(self.on_demand(scaling, busy, now));
+            wanted.extend(self.on_demand_orders(scaling, busy, now));
         } else {
             wanted.extend(present.keys().map(|it| Order {
                 data_centre: it.clone(),
                 kind: ServerKind::OnDemand,
-                count: each,
+                count: per_centre,
             }));
         }
-        let is_new = self.is_new(now);
+        let is_discovering = self.is_discovering(now);
         let is_fewer = |it: &Order| {
-            let there = present.get(&it.data_centre).copied().unwrap_or_default();
-            it.kind == ServerKind::OnDemand && it.count <= there.on_demand
+            let counts = present.get(&it.data_centre).copied().unwrap_or_default();
+            it.kind == ServerKind::OnDemand && it.count <= counts.on_demand
         };
-        // Nothing is given back before everything was seen: what looks superfluous may be all there is.
-        let wanted = wanted.into_iter().filter(|it| !(is_new && is_fewer(it)));
-        let started = scaling.boot_time + LISTING_TIME;
-        let due: Vec<_> = wanted.filter(|it| self.is_due(it, started, now)).collect();
-        // On-demand servers stand in for reclaimable ones that can't be had: that is known by the answers.
+        // Releases nothing during the discovery window: servers that seem superfluous may be the only ones left.
+        let wanted = wanted.into_iter().filter(|it| !(is_discovering && is_fewer(it)));
+        let start_time = scaling.boot_time + LISTING_DELAY;
+        let due: Vec<_> = wanted.filter(|it| self.is_due(it, start_time, now)).collect();
+        // On-demand servers replace unavailable reclaimable ones, so those orders' outcomes must be known first.
         let (reclaimable, on_demand): (Vec<_>, Vec<_>) =
             due.into_iter().partition(|it| it.kind == ServerKind::Reclaimable);
         if reclaimable.is_empty() { on_demand } else { reclaimable }
     }
 
-    /// The on-demand servers that each data centre should have.
+    /// Returns the orders for on-demand servers in each data centre.
     ///
-    /// Failure: reclaimable servers are ordered again after a wave, and the on-demand ones are given back for
-    /// them before they serve. Symptom: for the seconds that they take to start, or until the next reclaim
-    /// takes them too, there are far too few. Servers that start keep more from being ordered; only servers
-    /// that serve let others go, unless there is nobody to serve yet.
+    /// Starting reclaimable servers prevent further on-demand orders, but on-demand servers are released only when
+    /// reclaimable ones are ready to serve, or while there is no demand yet. If they were released as soon as reclaimable
+    /// servers are ordered again after a wave, there would be far too few servers until the new ones have started, or
+    /// the next reclaim takes them too.
     ///
-    /// Failure: the duty has passed on, and its new holder has sent no order for on-demand servers. Symptom: the moment
-    /// it can have reclaimable ones again it gives all others back, and for five seconds there is no server at all.
-    fn on_demand(&self, scaling: &Scaling, busy: f64, now: TimePoint) -> Vec<Order> {
-        let serve: Vec<u32> = self.seen.values().map(|it| it.reclaimable).collect();
-        let soon: Vec<u32> = self
-            .seen
+    /// A new duty holder that has sent no on-demand order counts the servers present as ordered. Otherwise it would
+    /// release them all as soon as reclaimable servers are available again, and for five seconds no server would be left.
+    fn on_demand_orders(&self, scaling: &Scaling, busy: f64, now: TimePoint) -> Vec<Order> {
+        let ready: Vec<u32> = self.present.values().map(|it| it.reclaimable).collect();
+        let ready_soon: Vec<u32> = self
+            .present
             .iter()
-            .map(|(centre, it)| it.reclaimable.max(self.coming(centre, scaling, now)))
+            .map(|(centre, it)| it.reclaimable.max(self.starting(centre, scaling, now)))
             .collect();
-        let least = on_demand_needed(busy, &soon);
-        let most = on_demand_needed(busy, &serve).max(least);
-        // What is there stands for the orders of the holder before.
+        let min_wanted = on_demand_needed(busy, &ready_soon);
+        let max_wanted = on_demand_needed(busy, &ready).max(min_wanted);
+        // The servers present stand for the orders of the previous duty holder.
         let ordered = |centre: &DataCentreName| {
-            let sent = self.sent.get(&(centre.clone(), ServerKind::OnDemand));
-            sent.map_or_else(|| self.there(centre, ServerKind::OnDemand), |it| it.count)
+            let sent = self.sent_orders.get(&(centre.clone(), ServerKind::OnDemand));
+            sent.map_or_else(|| self.present_count(centre, ServerKind::OnDemand), |it| it.count)
         };
-        let now_ordered: u32 = self.seen.keys().map(ordered).sum();
+        let now_ordered: u32 = self.present.keys().map(ordered).sum();
         let is_idle = self.demand.has_no_observations();
-        let mut wanted = if is_idle { least } else { now_ordered.clamp(least, most) };
+        let mut wanted =
+            if is_idle { min_wanted } else { now_ordered.clamp(min_wanted, max_wanted) };
         let all_wanted = wanted;
-        let mut cheapest: Vec<_> = self.seen.keys().collect();
+        let mut cheapest: Vec<_> = self.present.keys().collect();
         cheapest.sort_by(|a, b| price(scaling, a).total_cmp(&price(scaling, b)));
-        // What is ordered stays where it is as far as it is wanted; more goes where it is cheapest.
+        // Ordered servers stay in their data centre as far as they are wanted; more are added where they are cheapest.
         let mut counts: IndexMap<&DataCentreName, u32> = IndexMap::new();
         for centre in &cheapest {
-            let kept = ordered(centre).min(wanted);
-            wanted -= kept;
-            counts.insert(centre, kept);
+            let retained = ordered(centre).min(wanted);
+            wanted -= retained;
+            counts.insert(centre, retained);
         }
-        // First as many as a data centre may have, then, where all have that, as many as there is room for.
-        for most in [most_in_one_centre(all_wanted), u32::MAX] {
+        // Fills each data centre to its maximum share first; if that doesn't suffice, to its capacity.
+        for max_count in [max_per_centre(all_wanted), u32::MAX] {
             for (centre, count) in &mut counts {
-                let reclaimable = self.there(centre, ServerKind::Reclaimable);
+                let reclaimable = self.present_count(centre, ServerKind::Reclaimable);
                 let room = scaling.max.saturating_sub(reclaimable + *count);
-                let more = wanted.min(room).min(most.saturating_sub(*count));
+                let more = wanted.min(room).min(max_count.saturating_sub(*count));
                 wanted -= more;
                 *count += more;
             }
@@ -314,102 +333,105 @@
         counts.into_iter().map(order).collect()
     }
 
-    fn is_new(&self, now: TimePoint) -> bool {
-        now.since(self.since) < ACQUAINTANCE
+    fn is_discovering(&self, now: TimePoint) -> bool {
+        now.since(self.since) < DISCOVERY_WINDOW
     }
 
-    /// Notes an order that was sent.
+    /// Records a sent order and its outcome.
     pub fn record_order(&mut self, order: &Order, outcome: OrderOutcome, now: TimePoint) {
-        let there = self.there(&order.data_centre, order.kind);
-        let sent = Sent { count: order.count, there, at: now, outcome };
-        self.sent.insert((order.data_centre.clone(), order.kind), sent);
+        let present = self.present_count(&order.data_centre, order.kind);
+        let sent = SentOrder { count: order.count, present, at: now, outcome };
+        self.sent_orders.insert((order.data_centre.clone(), order.kind), sent);
     }
 
-    /// Servers of a kind that were there when the newest orders were reckoned.
-    fn there(&self, centre: &DataCentreName, kind: ServerKind) -> u32 {
-        let seen = self.seen.get(centre).copied().unwrap_or_default();
+    /// Returns the number of servers of a kind that were present when the newest orders were computed.
+    fn present_count(&self, centre: &DataCentreName, kind: ServerKind) -> u32 {
+        let counts = self.present.get(centre).copied().unwrap_or_default();
         match kind {
-            ServerKind::Reclaimable => seen.reclaimable,
-            ServerKind::OnDemand => seen.on_demand,
+            ServerKind::Reclaimable => counts.reclaimable,
+            ServerKind::OnDemand => counts.on_demand,
         }
     }
 
-    /// Reclaimable servers in a data centre that were ordered and still start. A reclaim takes those that
-    /// start too: where there are fewer than at the order, none are awaited.
-    fn coming(&self, centre: &DataCentreName, scaling: &Scaling, now: TimePoint) -> u32 {
-        let sent = self.sent.get(&(centre.clone(), ServerKind::Reclaimable));
-        let started = scaling.boot_time + LISTING_TIME;
-        let there = self.there(centre, ServerKind::Reclaimable);
-        sent.filter(|it| it.outcome == OrderOutcome::Taken && now.since(it.at) < started)
-            .filter(|it| there >= it.there)
+    /// Returns the number of reclaimable servers in a data centre that are ordered while the order's servers may still be
+    /// starting. A reclaim takes starting servers too: if fewer servers are present than at the time of the order, none
+    /// are expected.
+    fn starting(&self, centre: &DataCentreName, scaling: &Scaling, now: TimePoint) -> u32 {
+        let sent = self.sent_orders.get(&(centre.clone(), ServerKind::Reclaimable));
+        let start_time = scaling.boot_time + LISTING_DELAY;
+        let present = self.present_count(centre, ServerKind::Reclaimable);
+        sent.filter(|it| it.outcome == OrderOutcome::Taken && now.since(it.at) < start_time)
+            .filter(|it| present >= it.present)
             .map_or(0, |it| it.count)
     }
 
-    /// Whether no reclaimable servers are to be had somewhere at present.
-    fn is_in_a_wave(&self) -> bool {
-        let is_dry = |(key, it): (&(DataCentreName, ServerKind), &Sent)| {
+    /// Returns whether a data centre currently has no reclaimable servers available.
+    fn is_in_reclaim_wave(&self) -> bool {
+        let is_unavailable = |(key, it): (&(DataCentreName, ServerKind), &SentOrder)| {
             key.1 == ServerKind::Reclaimable && it.outcome == OrderOutcome::NoneAvailable
         };
-        self.sent.iter().any(is_dry)
+        self.sent_orders.iter().any(is_unavailable)
     }
 
-    /// Whether an order says something new, and fewer servers have been enough for long enough.
+    /// Returns whether to send an order: it differs from the last one, its servers are missing, or fewer servers have
+    /// sufficed for long enough.
     ///
-    /// Failure: servers are reclaimed or crash for good, and the order that brought them stands. Symptom:
-    /// nobody replaces them. An order whose servers are lacking after their time to start is sent again.
+    /// An order is sent again if its servers are missing after their start time. Otherwise, nothing would replace servers
+    /// that were reclaimed or crashed permanently while their order stands.
     ///
-    /// Failure: the duty passes on in a lull, and its new holder knows of no order. Symptom: it orders what the
-    /// lull asks, and the next wave of callers meets half of the servers. What is there stands for the last order.
-    fn is_due(&mut self, order: &Order, started: Duration, now: TimePoint) -> bool {
-        let there = self.there(&order.data_centre, order.kind);
-        let lacks = there < order.count;
+    /// Without a last order, the servers present stand for it. Otherwise, a new holder that takes over during a lull
+    /// would order only what the lull needs, and the next burst of callers would find half of the servers.
+    fn is_due(&mut self, order: &Order, start_time: Duration, now: TimePoint) -> bool {
+        let present = self.present_count(&order.data_centre, order.kind);
+        let is_short = present < order.count;
         let key = (order.data_centre.clone(), order.kind);
-        let last = self.sent.get(&key).copied();
+        let last = self.sent_orders.get(&key).copied();
         match last.map(|it| (it.outcome, now.since(it.at))) {
-            Some((OrderOutcome::NoneAvailable, age)) => return age >= REFUSED_PAUSE,
-            Some((OrderOutcome::Unknown, age)) => return age >= UNKNOWN_PAUSE,
-            Some((OrderOutcome::Taken, age)) if lacks && age >= started => return true,
+            Some((OrderOutcome::NoneAvailable, age)) => return age >= UNAVAILABLE_RETRY_INTERVAL,
+            Some((OrderOutcome::Unknown, age)) => return age >= UNKNOWN_RETRY_INTERVAL,
+            Some((OrderOutcome::Taken, age)) if is_short && age >= start_time => return true,
             Some((OrderOutcome::Taken, _)) | None => {}
         }
-        let ordered = last.map_or(there, |it| it.count);
+        let ordered = last.map_or(present, |it| it.count);
         if order.count >= ordered {
             self.fewer_since.swap_remove(&key);
             return order.count > ordered;
         }
         let since = *self.fewer_since.entry(key).or_insert(now);
-        let patience = match order.kind {
-            ServerKind::Reclaimable => SHRINK_RECLAIMABLE_AFTER,
-            ServerKind::OnDemand if self.is_in_a_wave() => SHRINK_IN_A_WAVE_AFTER,
-            ServerKind::OnDemand => SHRINK_ON_DEMAND_AFTER,
+        let shrink_delay = match order.kind {
+            ServerKind::Reclaimable => SHRINK_RECLAIMABLE_DELAY,
+            ServerKind::OnDemand if self.is_in_reclaim_wave() => SHRINK_IN_RECLAIM_WAVE_DELAY,
+            ServerKind::OnDemand => SHRINK_ON_DEMAND_DELAY,
         };
-        now.since(since) >= patience
+        now.since(since) >= shrink_delay
     }
 }
 
-/// Reclaimable servers that each data centre should have for `busy` servers' worth of work.
-fn reclaimable_each(scaling: &Scaling, busy: f64, centres: usize) -> u32 {
+/// Returns the number of reclaimable servers that each data centre should have for a demand of `busy` fully utilized
+/// servers.
+fn reclaimable_per_centre(scaling: &Scaling, busy: f64, centres: usize) -> u32 {
     let centres = centres.max(1);
-    let wanted = (busy / WANTED_BUSY).max(1.0);
-    let bearable = (busy / BEARABLE_BUSY).max(1.0);
-    let left = centres.saturating_sub(LOST_CENTRES).max(1);
-    let evenly = (wanted / centres as f64).max(bearable / left as f64);
-    (evenly.ceil() as u32).clamp(scaling.min, scaling.max)
+    let wanted = (busy / TARGET_UTILIZATION).max(1.0);
+    let degraded = (busy / DEGRADED_UTILIZATION).max(1.0);
+    let remaining = centres.saturating_sub(TOLERATED_LOST_CENTRES).max(1);
+    let per_centre = (wanted / centres as f64).max(degraded / remaining as f64);
+    (per_centre.ceil() as u32).clamp(scaling.min, scaling.max)
 }
 
-/// On-demand servers that are needed beside reclaimable ones, given by data centre.
+/// Returns the number of on-demand servers needed in addition to the reclaimable ones, which are given by data centre.
 fn on_demand_needed(busy: f64, reclaimable: &[u32]) -> u32 {
     let largest = reclaimable.iter().copied().max().unwrap_or_default();
     let at_risk = if reclaimable.contains(&0) { largest } else { 0 };
     let all = reclaimable.iter().sum::<u32>();
-    let needed = |part: f64| (busy / part).ceil() as u32;
-    let now = needed(ON_DEMAND_BUSY).saturating_sub(all);
-    let after = needed(SHORT_BUSY).saturating_sub(all - at_risk);
+    let needed = |utilization: f64| (busy / utilization).ceil() as u32;
+    let now = needed(ON_DEMAND_UTILIZATION).saturating_sub(all);
+    let after = needed(TRANSIENT_UTILIZATION).saturating_sub(all - at_risk);
     now.max(after)
 }
 
-/// On-demand servers that a data centre has at most while there is room in others.
-fn most_in_one_centre(all: u32) -> u32 {
-    (f64::from(all) * MOST_IN_ONE_CENTRE).ceil() as u32
+/// Returns the maximum number of on-demand servers in one data centre while others have room.
+fn max_per_centre(all: u32) -> u32 {
+    (f64::from(all) * MAX_SHARE_PER_CENTRE).ceil() as u32
 }
 
 fn price(scaling: &Scaling, centre: &DataCentreName) -> f64 {
--- a/crates/quincevalve_forwarding/src/lib.rs
+++ b/crates/quincevalve_forwarding/src/lib.rs
@@ -1,7 +1,7 @@
-//! Decisions of the forwarding path: requests that are passed on to backend servers unchanged.
+//! Decision logic of the forwarding path, which passes requests unchanged to backend servers.
 //!
-//! Everything here is a plain state machine without I/O and without a clock of its own, so that a test
-//! drives each decision in virtual time. `quincevalve_node` wraps these cores in HTTP.
+//! All types are state machines without I/O and without a clock, so that tests can drive each decision in virtual time.
+//! `quincevalve_node` connects them to HTTP.
 
 pub mod allowance;
 pub mod change_log;
--- a/crates/quincevalve_forwarding/src/placement.rs
+++ b/crates/quincevalve_forwarding/src/placement.rs
@@ -1,4 +1,4 @@
-//! Which server gets a request, and whether it gets one at all.
+//! Picks the backend server for a request, or rejects the request.
 
 use std::time::Duration;
 
@@ -14,31 +14,34 @@
     servers::{Restraint, Server, ServerStart, ServerTable},
 };
 
-/// What a request asks of a model engine.
+/// The prompt of a request to a model engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Prompt {
-    /// Prompt tokens.
+    /// Number of prompt tokens.
     pub input: u32,
-    /// Tokens generated at most.
+    /// Maximum number of generated tokens.
     pub max_output: u32,
-    /// Tokens that will be generated, as the caller guesses.
+    /// Number of generated tokens that the caller expects.
     pub expected_output: Option<u32>,
-    /// The last part of the prompt that other requests share, and the tokens up to its end.
+    /// Key of the last prompt segment shared with other requests, and the number of tokens up to its end.
     pub shared: Option<(u64, u32)>,
 }
 
 impl Prompt {
-    /// Tokens that will be generated, as far as can be told.
+    /// Returns the estimated number of generated tokens.
     fn output_tokens(&self) -> u32 {
         self.expected_output.unwrap_or(self.max_output / 2).min(self.max_output)
     }
 
-    /// The work that it usually is: its shared part is in memory at the server that it has affinity to, and elsewhere it isn't.
+    /// Returns the work to expect on average, given that only the server with affinity usually has the shared prefix
+    /// cached.
     pub fn expected_work(&self) -> Work {
-        let kept = self.shared.map_or(0, |(_, tokens)| (f64::from(tokens) * USUALLY_KEPT) as u32);
+        let cached = self
+            .shared
+            .map_or(0, |(_, tokens)| (f64::from(tokens) * TYPICAL_CACHED_FRACTION) as u32);
         let output = self.output_tokens();
         Work {
-            prefill: self.input.saturating_sub(kept),
+            prefill: self.input.saturating_sub(cached),
             memory: self.input + output,
             output,
             urgency: 0,
@@ -49,19 +52,19 @@
 /// A request that needs a server.
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementRequest<'a> {
-    /// The service that it goes to.
+    /// The requested service.
     pub service: &'a ServiceName,
-    /// What it asks, if the service's servers are model engines.
+    /// The prompt, if the service's servers are model engines, and the engine's capacity.
     pub prompt: Option<(Prompt, Engine)>,
-    /// Urgency, 0 first.
+    /// Urgency class; 0 is the most urgent.
     pub urgency: u8,
-    /// The time in which the first answer should come.
+    /// Maximum time until the first answer.
     pub latency_budget: Duration,
-    /// Where this entry VM stands.
+    /// The data centre of this entry VM.
     pub data_centre: &'a DataCentreName,
-    /// Servers that have had the request.
+    /// Servers that have already received the request.
     pub tried: &'a [BackendServerName],
-    /// The servers that it may go to, where their versions differ.
+    /// The servers that may receive the request, where their versions differ.
     pub scope: Option<&'a VersionScope>,
 }
 
@@ -71,126 +74,133 @@
     }
 }
 
-/// A server for a request.
+/// The server picked for a request, and the estimates behind the choice.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Placement {
     /// The server.
     pub server: BackendServerName,
-    /// Its start for which it was picked.
+    /// The start of the server for which it was picked.
     pub start: ServerStart,
-    /// Its version.
+    /// The server's software version.
     pub version: ServerVersion,
-    /// The work that it takes on.
+    /// The work that the request adds to the server.
     pub work: Work,
-    /// Its place in the order of servers that keep the prompt's shared part, 0 first; `None` if it isn't in it.
+    /// The server's position in the affinity order of the prompt's shared prefix, 0 first; `None` if it is not in it.
     pub affinity: Option<usize>,
-    /// When the first answer is expected, from now.
+    /// Predicted time until the first answer.
     pub predicted: Duration,
-    /// The same of a server without a record; `None` while it is slow after its start.
+    /// Predicted time until the first answer of a server without latency history; `None` while the server is slow
+    /// after its start.
     pub baseline: Option<Duration>,
-    /// The work that the server had, as far as known.
+    /// The server's work before this request, as far as known.
     pub known_load: WorkSum,
-    /// How long ago others told their part of it.
+    /// Age of the peers' reports in `known_load`.
     pub peer_report_age: Duration,
-    /// For how long the server's entry has been missing; `None` while it is listed.
+    /// Time for which the server's entry has been missing; `None` while it is listed.
     pub unlisted_for: Option<Duration>,
 }
 
-/// Why there is no server for a request.
+/// The reason why no server can take a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum PlacementError {
-    /// No server of the service is known to live.
+    /// No live server of the service is known.
     NoServer,
-    /// All are too busy; the nearest could answer so long from now.
+    /// All servers are too busy.
     Busy {
-        /// The predicted first answer.
+        /// Earliest predicted time until the first answer.
         predicted: Duration,
     },
-    /// All that could take it name limits, and have had what this VM may send them.
+    /// All eligible servers state request limits, and this VM has used up its allowance at each of them.
     Limited {
-        /// Until this VM may send one of them the next request, on average.
+        /// Average time until this VM may send the next request to one of them.
         wait: Duration,
     },
-    /// All that could take it want rest from this VM.
+    /// All eligible servers have asked this VM to rest.
     Resting {
-        /// Until the first of them has had it.
+        /// Time until the first rest period ends.
         wait: Duration,
     },
 }
 
-/// Milliseconds to a first token of an idle engine beyond reading the prompt.
-const FIRST_TOKEN_MS: f64 = 40.0;
-/// Milliseconds of work of a plain service's request before any was measured.
-const CALL_MS: f64 = 30.0;
-/// Milliseconds that another data centre costs: the way there and the price of the bytes.
-const OTHER_DATA_CENTRE_MS: f64 = 3.0;
-/// The part of an engine's memory that running requests may take; the rest keeps shared prompts.
-const MEMORY_PART: f64 = 0.85;
-/// The part of an engine's slots that are used; the rest is for what other VMs just sent.
-const SLOT_PART: f64 = 0.88;
-/// Milliseconds that a server is put back for if all its slots are taken; fades with the third power, so that
-/// half-filled servers are as good as idle ones. VMs that don't yet know of each other's newest requests
-/// would fill the last slots together, and the late ones wait for an answer to end.
-const SLOTS_MS: f64 = 400.0;
-/// Milliseconds that a server is put back for if all its answers fail lately.
-const FAILING_MS: f64 = 800.0;
-/// Milliseconds that it costs to read a thousand tokens again that another server keeps: beside the time, which is part of
-/// the prediction, it takes prefill from others and memory from other prompts.
-const READ_AGAIN_MS: f64 = 100.0;
-/// The part of shared prompts that is found in memory.
-const USUALLY_KEPT: f64 = 0.7;
-/// The part of its time that an engine may read prompts, by urgency. Tokens of running requests are made between chunks of
-/// prompts: beyond it long answers don't end before their deadlines, and their memory and slots are lost to others.
-const READING_PART: [f64; 3] = [0.95, 0.8, 0.7];
-/// The part up to which a large prompt is taken whatever its size.
-const IDLE_READING_PART: f64 = 0.1;
-/// Milliseconds that a server is put back for if it reads prompts all the time.
-const READING_MS: f64 = 250.0;
-/// Milliseconds that another data centre costs a call of a plain service: a cut between data centres takes
-/// all calls that are on their way across it, and a call has no prompt that another server keeps.
-const CALL_ACROSS_MS: f64 = 25.0;
-/// Servers that are taken to keep a shared part: one, and one that it spills over to.
+/// Time to the first token of an idle engine in addition to prefill, in milliseconds.
+const FIRST_TOKEN_OVERHEAD_MS: f64 = 40.0;
+/// Assumed duration of a plain service's request before any was measured, in milliseconds.
+const DEFAULT_CALL_MS: f64 = 30.0;
+/// Cost of sending a request to another data centre, in milliseconds: the network latency and the price of the traffic.
+const CROSS_CENTRE_PENALTY_MS: f64 = 3.0;
+/// Maximum fraction of an engine's KV cache for running requests; the rest caches shared prompts.
+const MAX_KV_FRACTION: f64 = 0.85;
+/// Maximum fraction of an engine's slots to use; the rest is reserved for requests that other VMs have just sent.
+const MAX_SLOT_FRACTION: f64 = 0.88;
+/// Cost of a server whose slots are all taken, in milliseconds. It scales with the third power of the slot
+/// utilization, so that half-filled servers rank nearly as high as idle ones. Without it, VMs that don't yet know of
+/// each other's newest requests would fill the last slots together, and the late requests would wait for an answer
+/// to end.
+const SLOT_PENALTY_MS: f64 = 400.0;
+/// Cost of a server whose recent answers all failed, in milliseconds; scales with the failure rate.
+const FAILURE_PENALTY_MS: f64 = 800.0;
+/// Cost of recomputing a thousand prompt tokens that another server has cached, in milliseconds. It comes on top of the
+/// predicted prefill time, since recomputation takes prefill capacity from other requests and cache space from other
+/// prompts.
+const RECOMPUTE_PENALTY_MS: f64 = 100.0;
+/// Fraction of shared prompt tokens that is typically found in the KV cache.
+const TYPICAL_CACHED_FRACTION: f64 = 0.7;
+/// Maximum fraction of its time that an engine may spend on prefill, by urgency. Running requests generate tokens
+/// between prefill chunks: with more prefill, long answers miss their deadlines, and the memory and slots that they
+/// occupied are wasted.
+const MAX_PREFILL_UTILIZATION: [f64; 3] = [0.95, 0.8, 0.7];
+/// Prefill utilization up to which a server accepts a prompt of any size.
+const IDLE_PREFILL_UTILIZATION: f64 = 0.1;
+/// Cost of a server that is always busy with prefill, in milliseconds; scales with the square of the utilization.
+const PREFILL_PENALTY_MS: f64 = 250.0;
+/// Cost of sending a plain service's call to another data centre, in milliseconds. A network partition between data
+/// centres fails all calls in flight across it, and a call gains nothing from another server's prompt cache.
+const CROSS_CENTRE_CALL_PENALTY_MS: f64 = 25.0;
+/// Number of servers with affinity to a shared prefix: a primary one and one for overflow.
 const AFFINITY_SERVERS: usize = 2;
-/// Servers beside those that a request looks at; few, so that VMs with the same view differ.
+/// Number of random candidates in addition to the affinity servers; small, so that VMs with the same view pick different
+/// servers.
 const RANDOM_CANDIDATES: usize = 3;
-/// Random part of a prediction, so that many VMs with the same view don't all pick the same server.
+/// Maximum random increase of a prediction, as a fraction, so that VMs with the same view don't all pick the same server.
 const JITTER: f64 = 0.1;
 
 impl ServerTable {
-    /// Picks the server with the earliest predicted first answer.
+    /// Picks the server with the lowest cost: the earliest predicted first answer plus penalties.
     ///
-    /// Load: many entry VMs, stale views of each other's work, prompts that share long beginnings. The
-    /// server that comes first in rendezvous order for the shared part is taken to hold it, so each shared
-    /// part is read on few servers, and hot ones spill to the next by their queue alone.
+    /// The load consists of requests from many entry VMs with stale views of each other's work, and of prompts that
+    /// share long prefixes. The first server in rendezvous order for a shared prefix is assumed to have it cached.
+    /// Each shared prefix is therefore computed on few servers, and a hot one overflows to the next server only when
+    /// the first one's queue grows.
     pub fn place<R>(
         &self,
-        ask: &PlacementRequest<'_>,
+        request: &PlacementRequest<'_>,
         rng: &mut R,
         now: TimePoint,
     ) -> Result<Placement, PlacementError>
     where
         R: Rng,
     {
-        let usable = self.usable(ask.service, now).filter(|(name, it)| ask.admits(name, it));
-        let (usable, held_back): (Vec<_>, Vec<_>) =
+        let usable =
+            self.usable(request.service, now).filter(|(name, it)| request.admits(name, it));
+        let (usable, restrained): (Vec<_>, Vec<_>) =
             usable.partition(|(_, it)| self.restraint(it, now).is_none());
-        if usable.is_empty() && !held_back.is_empty() {
-            let restraints = held_back.iter().filter_map(|(_, it)| self.restraint(it, now));
-            return Err(self.held_back(restraints));
+        if usable.is_empty() && !restrained.is_empty() {
+            let restraints = restrained.iter().filter_map(|(_, it)| self.restraint(it, now));
+            return Err(self.restraint_error(restraints));
         }
-        let some = candidates(ask, &usable, rng);
-        if let Ok(placement) = best_of(ask, &usable, &some, rng, now) {
+        let sampled = candidates(request, &usable, rng);
+        if let Ok(placement) = best_candidate(request, &usable, &sampled, rng, now) {
             return Ok(placement);
         }
-        // None of a few has room: look at all before the caller is refused.
+        // None of the sampled servers has room: consider all before rejecting the request.
         let all: Vec<_> = (0..usable.len()).collect();
-        best_of(ask, &usable, &all, rng, now)
+        best_candidate(request, &usable, &all, rng, now)
     }
 }
 
 impl ServerTable {
-    /// Why there is no server where each of them is under a restraint.
-    fn held_back(&self, restraints: impl Iterator<Item = Restraint>) -> PlacementError {
+    /// Returns the error for a service whose servers are all under a restraint.
+    fn restraint_error(&self, restraints: impl Iterator<Item = Restraint>) -> PlacementError {
         let (mut limits, mut rest) = (Vec::new(), Duration::MAX);
         for restraint in restraints {
             match restraint {
@@ -206,8 +216,9 @@
     }
 }
 
-fn best_of<R>(
-    ask: &PlacementRequest<'_>,
+/// Returns the candidate with the lowest cost among those that can meet the latency budget.
+fn best_candidate<R>(
+    request: &PlacementRequest<'_>,
     usable: &[(&BackendServerName, &Server)],
     candidates: &[usize],
     rng: &mut R,
@@ -217,76 +228,86 @@
     R: Rng,
 {
     let reachable = usable.iter().any(|(_, it)| !it.load.is_paused(now));
-    let preferred = affinity_servers(ask, usable);
+    let preferred = affinity_servers(request, usable);
     let mut best: Option<(f64, Placement)> = None;
-    let mut nearest: Option<Duration> = None;
+    let mut min_predicted: Option<Duration> = None;
     for at in candidates {
         let (name, server) = usable[*at];
-        if ask.tried.contains(name) || (reachable && server.load.is_paused(now)) {
+        if request.tried.contains(name) || (reachable && server.load.is_paused(now)) {
             continue;
         }
         let affinity = preferred.iter().position(|it| it == at);
-        let rank = affinity.unwrap_or(preferred.len());
-        let Prediction { ms: predicted_ms, expected_ms, work, room, reading, slots } =
-            predict(ask, server, rank, now);
+        let affinity_rank = affinity.unwrap_or(preferred.len());
+        let Prediction {
+            ms: predicted_ms,
+            baseline_ms,
+            work,
+            fits,
+            prefill_utilization,
+            slot_utilization,
+        } = predict(request, server, affinity_rank, now);
         let predicted = Duration::from_secs_f64(predicted_ms / 1_000.0);
-        nearest = Some(nearest.map_or(predicted, |it| it.min(predicted)));
-        if !room || predicted > ask.latency_budget {
+        min_predicted = Some(min_predicted.map_or(predicted, |it| it.min(predicted)));
+        if !fits || predicted > request.latency_budget {
             continue;
         }
         let mut cost = predicted_ms * (1.0 + JITTER * rng.random::<f64>());
-        cost += FAILING_MS * server.load.failure_rate();
-        cost += READING_MS * reading * reading;
-        cost += SLOTS_MS * slots.powi(3);
-        cost += READ_AGAIN_MS * read_again(ask, rank) / 1_000.0;
-        if server.entry.data_centre != *ask.data_centre {
-            cost += if ask.prompt.is_some() { OTHER_DATA_CENTRE_MS } else { CALL_ACROSS_MS };
+        cost += FAILURE_PENALTY_MS * server.load.failure_rate();
+        cost += PREFILL_PENALTY_MS * prefill_utilization * prefill_utilization;
+        cost += SLOT_PENALTY_MS * slot_utilization.powi(3);
+        cost += RECOMPUTE_PENALTY_MS * recomputed_tokens(request, affinity_rank) / 1_000.0;
+        if server.entry.data_centre != *request.data_centre {
+            cost += if request.prompt.is_some() {
+                CROSS_CENTRE_PENALTY_MS
+            } else {
+                CROSS_CENTRE_CALL_PENALTY_MS
+            };
         }
-        if best.as_ref().is_none_or(|(least, _)| cost < *least) {
-            let seen = server.load.total_work(now);
-            let told_age = server.load.peer_report_age(now);
+        if best.as_ref().is_none_or(|(lowest, _)| cost < *lowest) {
+            let known_load = server.load.total_work(now);
+            let peer_report_age = server.load.peer_report_age(now);
             let unlisted_for = server.unlisted_for(now);
-            let expected = Duration::from_secs_f64(expected_ms / 1_000.0);
-            let place = Placement {
+            let baseline = Duration::from_secs_f64(baseline_ms / 1_000.0);
+            let placement = Placement {
                 server: name.clone(),
                 start: server.entry.start,
                 version: server.entry.version.clone(),
                 work,
                 affinity,
                 predicted,
-                baseline: (!server.entry.is_cold).then_some(expected),
-                known_load: seen,
-                peer_report_age: told_age,
+                baseline: (!server.entry.is_cold).then_some(baseline),
+                known_load,
+                peer_report_age,
                 unlisted_for,
             };
-            best = Some((cost, place));
+            best = Some((cost, placement));
         }
     }
-    match (best, nearest) {
+    match (best, min_predicted) {
         (Some((_, placement)), _) => Ok(placement),
         (None, Some(predicted)) => Err(PlacementError::Busy { predicted }),
         (None, None) => Err(PlacementError::NoServer),
     }
 }
 
-/// The servers that are looked at for a request.
+/// Returns the indices of the servers to consider for a request: those with affinity to its shared prefix and a few
+/// random ones.
 ///
-/// Failure: many VMs hear of a server with little work at the same time, and until they hear of each other's
-/// newest requests all of them send theirs there. Symptom: one server gets several times what it was
-/// told to run, and first tokens are late while others idle. Each request therefore looks at a few
-/// servers of its own choice, beside those that keep its prompt's shared part.
+/// If every VM considered all servers, all of them would send their requests to the same lightly loaded server until
+/// they learned of each other's newest requests. That server would receive several times its share, and first tokens
+/// would be late while other servers idle.
 fn candidates<R>(
-    ask: &PlacementRequest<'_>,
+    request: &PlacementRequest<'_>,
     usable: &[(&BackendServerName, &Server)],
     rng: &mut R,
 ) -> Vec<usize>
 where
     R: Rng,
 {
-    if ask.prompt.is_none() || usable.len() <= RANDOM_CANDIDATES {
+    if request.prompt.is_none() || usable.len() <= RANDOM_CANDIDATES {
         return (0..usable.len()).collect();
     }
-    let mut chosen = affinity_servers(ask, usable);
+    let mut chosen = affinity_servers(request, usable);
     for _ in 0..RANDOM_CANDIDATES {
         let at = rng.random_range(0..usable.len());
         if !chosen.contains(&at) {
@@ -296,34 +317,34 @@
     chosen
 }
 
-/// The servers that come first in order for a prompt's shared part, best first. A server that starts again keeps none of
-/// its prompts and takes another place in the order.
+/// Returns the indices of the first servers in rendezvous order for a prompt's shared prefix, best first. A restarted
+/// server has lost its cached prompts and gets another position in the order.
 fn affinity_servers(
-    ask: &PlacementRequest<'_>,
+    request: &PlacementRequest<'_>,
     usable: &[(&BackendServerName, &Server)],
 ) -> Vec<usize> {
-    let Some((part, _)) = ask.prompt.and_then(|(prompt, _)| prompt.shared) else {
+    let Some((shared_key, _)) = request.prompt.and_then(|(prompt, _)| prompt.shared) else {
         return Vec::new();
     };
-    let mut first: [Option<(u64, usize)>; AFFINITY_SERVERS] = [None; AFFINITY_SERVERS];
+    let mut top: [Option<(u64, usize)>; AFFINITY_SERVERS] = [None; AFFINITY_SERVERS];
     for (at, (_, server)) in usable.iter().enumerate() {
-        let mut candidate = Some((rendezvous_score(part, server.hash), at));
-        for place in &mut first {
-            if candidate > *place {
-                std::mem::swap(place, &mut candidate);
+        let mut candidate = Some((rendezvous_score(shared_key, server.hash), at));
+        for entry in &mut top {
+            if candidate > *entry {
+                std::mem::swap(entry, &mut candidate);
             }
         }
     }
-    first.into_iter().flatten().map(|(_, at)| at).collect()
+    top.into_iter().flatten().map(|(_, at)| at).collect()
 }
 
-/// Tokens that a server would read although another keeps them, as they weigh. The second in order is where a
-/// hot part spills over, and often keeps it too.
-fn read_again(ask: &PlacementRequest<'_>, rank: usize) -> f64 {
-    let shared = ask.prompt.and_then(|(prompt, _)| prompt.shared);
-    let weight = if rank == 0 {
+/// Returns the weighted number of tokens that a server would compute although another has them cached. The second server
+/// in affinity order receives the overflow of hot prefixes, and often has them cached too.
+fn recomputed_tokens(request: &PlacementRequest<'_>, affinity_rank: usize) -> f64 {
+    let shared = request.prompt.and_then(|(prompt, _)| prompt.shared);
+    let weight = if affinity_rank == 0 {
         0.0
-    } else if rank < AFFINITY_SERVERS {
+    } else if affinity_rank < AFFINITY_SERVERS {
         0.6
     } else {
         1.0
@@ -331,55 +352,71 @@
     shared.map_or(0.0, |(_, tokens)| f64::from(tokens) * weight)
 }
 
-/// What is expected of a request at a server.
+/// Estimates for a request at a server.
 struct Prediction {
-    /// Milliseconds to the first answer.
+    /// Milliseconds until the first answer.
     ms: f64,
-    /// The same of a server without a record.
-    expected_ms: f64,
+    /// Milliseconds until the first answer of a server without latency history.
+    baseline_ms: f64,
     work: Work,
-    /// Whether there is room for it at all.
-    room: bool,
-    /// The part of its time that the server reads prompts already.
-    reading: f64,
-    /// The part of its slots that are taken.
-    slots: f64,
+    /// Whether the server has capacity for the request.
+    fits: bool,
+    /// Fraction of the server's time that is already spent on prefill.
+    prefill_utilization: f64,
+    /// Fraction of the server's slots that are taken.
+    slot_utilization: f64,
 }
 
-fn predict(ask: &PlacementRequest<'_>, server: &Server, rank: usize, now: TimePoint) -> Prediction {
+/// Predicts the latency of a request at a server, and whether it fits.
+fn predict(
+    request: &PlacementRequest<'_>,
+    server: &Server,
+    affinity_rank: usize,
+    now: TimePoint,
+) -> Prediction {
     let load = server.load.total_work(now);
-    let Some((prompt, engine)) = ask.prompt else {
+    let Some((prompt, engine)) = request.prompt else {
         let slots = f64::from(server.entry.slots.max(1));
-        let each = server.load.mean_answer_ms().max(CALL_MS);
-        // Work beyond the slots waits for one of them to come free.
+        let call_ms = server.load.mean_answer_ms().max(DEFAULT_CALL_MS);
+        // Requests beyond the slots wait until one is free.
         let queued = (f64::from(load.requests) + 1.0 - slots).max(0.0);
-        let spread = f64::from(load.requests) / slots;
-        let work = Work { urgency: ask.urgency, ..Work::default() };
-        let waits = 1.0 + 0.3 * spread + queued / slots;
-        let (ms, expected_ms) = (each * waits, CALL_MS * waits);
-        return Prediction { ms, expected_ms, work, room: true, reading: 0.0, slots: 0.0 };
+        let occupancy = f64::from(load.requests) / slots;
+        let work = Work { urgency: request.urgency, ..Work::default() };
+        let queue_factor = 1.0 + 0.3 * occupancy + queued / slots;
+        let (ms, baseline_ms) = (call_ms * queue_factor, DEFAULT_CALL_MS * queue_factor);
+        return Prediction {
+            ms,
+            baseline_ms,
+            work,
+            fits: true,
+            prefill_utilization: 0.0,
+            slot_utilization: 0.0,
+        };
     };
-    let is_cold = ask.scope.is_some_and(VersionScope::is_cold);
-    let kept = prompt.shared.map_or(0, |(_, tokens)| match rank {
+    let is_cold = request.scope.is_some_and(VersionScope::is_cold);
+    let cached = prompt.shared.map_or(0, |(_, tokens)| match affinity_rank {
         0 if !is_cold => (f64::from(tokens) * server.load.cache_warmth(now)) as u32,
         _ => 0,
     });
-    let prefill = prompt.input.saturating_sub(kept);
+    let prefill = prompt.input.saturating_sub(cached);
     let output = prompt.output_tokens();
     let memory = prompt.input + output;
-    let work = Work { prefill, memory, output, urgency: ask.urgency };
-    let ahead = if is_urgent(ask.urgency) { load.urgent_prefill } else { load.prefill };
-    let read_ms = (ahead as f64 + f64::from(prefill)) / PREFILL_PER_MS;
-    let step = STEP_MS_PER_REQUEST * f64::from(load.requests);
-    let expected_ms = FIRST_TOKEN_MS + read_ms + step;
-    let ms = expected_ms * server.load.slowness();
-    let memory_left = engine.kv_tokens as f64 * MEMORY_PART - load.memory as f64;
-    let slots = f64::from(load.requests) / f64::from(engine.slots.max(1));
-    let reading = server.load.prefill_utilization(&load);
-    let own_part = f64::from(prefill) / PREFILL_PER_MS / 1_000.0;
-    let most = READING_PART[usize::from(ask.urgency).min(READING_PART.len() - 1)];
-    let room = slots < SLOT_PART
+    let work = Work { prefill, memory, output, urgency: request.urgency };
+    let queued_prefill =
+        if is_urgent(request.urgency) { load.urgent_prefill } else { load.prefill };
+    let prefill_ms = (queued_prefill as f64 + f64::from(prefill)) / PREFILL_PER_MS;
+    let step_ms = STEP_MS_PER_REQUEST * f64::from(load.requests);
+    let baseline_ms = FIRST_TOKEN_OVERHEAD_MS + prefill_ms + step_ms;
+    let ms = baseline_ms * server.load.slowness();
+    let memory_left = engine.kv_tokens as f64 * MAX_KV_FRACTION - load.memory as f64;
+    let slot_utilization = f64::from(load.requests) / f64::from(engine.slots.max(1));
+    let prefill_utilization = server.load.prefill_utilization(&load);
+    let own_utilization = f64::from(prefill) / PREFILL_PER_MS / 1_000.0;
+    let max_utilization = MAX_PREFILL_UTILIZATION
+        [usize::from(request.urgency).min(MAX_PREFILL_UTILIZATION.len() - 1)];
+    let fits = slot_utilization < MAX_SLOT_FRACTION
         && (f64::from(memory) <= memory_left || load.requests == 0)
-        && (reading + own_part <= most || reading <= IDLE_READING_PART);
-    Prediction { ms, expected_ms, work, room, reading, slots }
+        && (prefill_utilization + own_utilization <= max_utilization
+            || prefill_utilization <= IDLE_PREFILL_UTILIZATION);
+    Prediction { ms, baseline_ms, work, fits, prefill_utilization, slot_utilization }
 }
