--- a/crates/quincevalve_forwarding/src/load.rs
+++ b/crates/quincevalve_forwarding/src/load.rs
@@ -100,7 +100,7 @@
         self.requests > 0 || self.recent_prefill >= MIN_REPORTED_RECENT
     }
 
-    /// Returns whether `later` differs from this sum only by the decay of `recent`.
+    /// Returns whether `later` differs from this sum only by the decay of `recent_prefill`.
     pub fn differs_only_by_decay(&self, later: Self) -> bool {
         later.recent_prefill <= self.recent_prefill
             && Self { recent_prefill: later.recent_prefill, ..*self } == later
@@ -173,7 +173,7 @@
 #[derive(Clone, Debug)]
 pub struct ServerLoad {
     own: WorkSum,
-    /// When the decay of `own.recent` was last computed.
+    /// When the decay of `own.recent_prefill` was last computed.
     recent_updated_at: TimePoint,
     /// The work of all other entry VMs, and when it was received.
     peer_work: (TimePoint, WorkSum),
--- a/crates/quincevalve_forwarding/tests/fleet_size.rs
+++ b/crates/quincevalve_forwarding/tests/fleet_size.rs
@@ -1,4 +1,4 @@
-//! How many servers are ordered, where and of which kind.
+//! Tests how many servers are ordered, in which data centres and of which kind.
 
 mod support;
 
@@ -22,7 +22,7 @@
     ["a", "b", "c", "d"].into_iter().map(Into::into).zip(counts).collect()
 }
 
-/// A planner that has been at work for a while and measured `busy` servers' worth of work a second.
+/// Returns a planner that has measured a demand of `busy` fully utilized servers for 100 seconds, and the current time.
 fn planner(busy: f64, fleet: &Fleet) -> (FleetPlanner, TimePoint) {
     let mut planner = FleetPlanner::new(ms(0));
     for second in 0..100_u32 {
@@ -40,7 +40,7 @@
     planner.due_orders(&scaling(), busy, fleet, now)
 }
 
-/// Sends what is due, reclaimable servers first, and returns all of it.
+/// Sends all due orders, those for reclaimable servers first, and returns them.
 fn send(planner: &mut FleetPlanner, busy: f64, fleet: &Fleet, outcome: OrderOutcome) -> Vec<Order> {
     let now = ms(99_000);
     let mut all = Vec::new();
@@ -60,14 +60,14 @@
 }
 
 #[test]
-fn the_demand_is_measured() {
+fn measures_the_demand() {
     let present = fleet([3; 4], [0; 4]);
     let (planner, _) = planner(5.0, &present);
     assert!((planner.measured().unwrap() - 5.0).abs() < 0.1);
 }
 
 #[test]
-fn reclaimable_servers_are_spread_evenly() {
+fn spreads_reclaimable_servers_evenly() {
     let present = fleet([2; 4], [0; 4]);
     let (mut planner, _) = planner(6.0, &present);
     let orders = send(&mut planner, 6.0, &present, OrderOutcome::Taken);
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn the_loss_of_one_data_centre_leaves_enough() {
+fn remaining_servers_suffice_when_one_data_centre_is_lost() {
     for busy in 1..14 {
         let present = fleet([0; 4], [0; 4]);
         let (mut planner, _) = planner(f64::from(busy), &present);
@@ -89,20 +89,20 @@
     }
 }
 
-// Callers are refused for seconds: reclaims took one data centre after the other, and each on-demand server
-// came when the next was gone. While one is lost, the largest other one is replaced beforehand.
+// Guards against rejecting callers for seconds when reclaims hit one data centre after the other and each on-demand server
+// starts only when the next data centre is gone. While one is lost, the largest other one is replaced in advance.
 #[test]
-fn a_wave_of_reclaims_is_met_one_step_ahead() {
+fn orders_on_demand_servers_one_step_ahead_of_a_reclaim_wave() {
     let present = fleet([0, 3, 3, 0], [0; 4]);
     let (mut planner, _) = planner(5.0, &present);
     let orders = send(&mut planner, 5.0, &present, OrderOutcome::NoneAvailable);
     assert!(count(&orders, ServerKind::OnDemand) >= 2, "{orders:?}");
-    let dearest = orders.iter().find(|it| it.kind == ServerKind::OnDemand && it.count > 0);
-    assert_eq!(dearest.map(|it| it.data_centre.as_str()), Some("b"), "not the cheapest");
+    let first = orders.iter().find(|it| it.kind == ServerKind::OnDemand && it.count > 0);
+    assert_eq!(first.map(|it| it.data_centre.as_str()), Some("b"), "not the cheapest");
 }
 
 #[test]
-fn on_demand_servers_have_room_where_no_reclaimable_one_is() {
+fn orders_on_demand_servers_when_no_reclaimable_ones_are_available() {
     let present = fleet([0; 4], [0; 4]);
     let (mut planner, _) = planner(15.0, &present);
     let orders = send(&mut planner, 15.0, &present, OrderOutcome::NoneAvailable);
@@ -110,10 +110,10 @@
     assert!(orders.iter().all(|it| it.count <= 6));
 }
 
-// Most callers are refused or late for seconds: the reclaimable servers were gone, all others stood in the cheapest
-// data centre, and it was cut off. No data centre has more than half of them.
+// Guards against rejecting or delaying most callers for seconds when the reclaimable servers are gone and the data centre
+// with all on-demand servers is partitioned. No data centre has more than half of the on-demand servers.
 #[test]
-fn on_demand_servers_are_not_all_in_one_data_centre() {
+fn does_not_place_all_on_demand_servers_in_one_data_centre() {
     for busy in [2.0, 3.0, 5.0, 7.0] {
         let present = fleet([0; 4], [0; 4]);
         let (mut planner, _) = planner(busy, &present);
@@ -125,10 +125,10 @@
     }
 }
 
-// A fleet is given back by a VM that has just taken over the duty: it has measured nothing yet. What is there
-// is taken for the right size, and nothing is given back before all servers were seen.
+// Guards against releasing the fleet when a VM takes over the duty without a measured demand. The present fleet is assumed
+// to have the right size, and nothing is released before all servers are discovered.
 #[test]
-fn a_new_planner_gives_nothing_back() {
+fn a_new_planner_releases_no_servers() {
     let present = fleet([4; 4], [1, 0, 0, 0]);
     let mut planner = FleetPlanner::new(ms(0));
     let busy = planner.observe(0.0, 1.0, 4.0, &present, ms(0));
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn a_successor_inherits_the_demand() {
+fn a_successor_uses_the_reported_demand() {
     let present = fleet([4; 4], [0; 4]);
     let mut planner = FleetPlanner::new(ms(0));
     planner.set_demand(MeasuredDemand::from_report(3.0));
@@ -146,11 +146,10 @@
     assert!((busy - 3.0).abs() < 1e-9);
 }
 
-// All VMs are killed, or the holder's lease ends in an outage of the store, and for ten seconds and more three times the
-// servers are ordered on demand. Each VM measures what all take on from its start, so that a holder that has just
-// taken the duties over plans by it.
+// Guards against ordering three times the needed servers on demand for ten seconds and more after all VMs were killed, or
+// after the holder's lease expired in a store outage. Each VM measures the demand from its start, so a new holder knows it.
 #[test]
-fn a_vm_that_takes_over_plans_by_what_it_measured_before() {
+fn a_new_holder_plans_by_the_demand_that_it_measured_before() {
     let gone = fleet([0, 4, 4, 0], [0; 4]);
     let mut measured = MeasuredDemand::default();
     for second in 0..8 {
@@ -164,90 +163,90 @@
     assert!(on_demand <= 4, "{on_demand}");
 }
 
-// All callers are refused for five seconds: the duty had passed on in a wave, and when reclaimable servers could be had
-// again, the new holder, which had ordered no on-demand ones itself, gave all of them back before the others served.
+// Guards against rejecting all callers for five seconds: a holder that took over during a reclaim wave had ordered no
+// on-demand servers itself, and released all of them as soon as reclaimable ones were available, before those were ready.
 #[test]
-fn a_new_holder_keeps_on_demand_servers_until_those_that_start_serve() {
-    let standing_in = fleet([0; 4], [0, 5, 0, 5]);
+fn a_new_holder_keeps_on_demand_servers_until_starting_ones_are_ready() {
+    let substitutes = fleet([0; 4], [0, 5, 0, 5]);
     let mut planner = FleetPlanner::new(ms(80_000));
     planner.set_demand(MeasuredDemand::from_report(8.0));
-    for order in due(&mut planner, 8.0, &standing_in, ms(90_000)) {
+    for order in due(&mut planner, 8.0, &substitutes, ms(90_000)) {
         planner.record_order(&order, OrderOutcome::NoneAvailable, ms(90_000));
     }
-    for order in due(&mut planner, 8.0, &standing_in, ms(99_000)) {
+    for order in due(&mut planner, 8.0, &substitutes, ms(99_000)) {
         assert_eq!(order.kind, ServerKind::Reclaimable);
         planner.record_order(&order, OrderOutcome::Taken, ms(99_000));
     }
     for after in [50, 1_000, 4_000, 6_000] {
-        let orders = due(&mut planner, 8.0, &standing_in, ms(99_000 + after));
+        let orders = due(&mut planner, 8.0, &substitutes, ms(99_000 + after));
         assert_eq!(count(&orders, ServerKind::OnDemand), 0, "{after}: {orders:?}");
         assert!(orders.is_empty(), "{after}: {orders:?}");
     }
 }
 
-// Callers are late for five seconds: the demand was measured to be half of what was expected, half of the on-demand
-// servers were given back, and a second later the next data centre was taken back. They stay from step to step.
-// Servers on demand that nobody needs any more stay for as long as entry VMs are restarted in turn: each new holder of the
-// duties waits to see all servers, and is gone before it gives anything back.
+// Guards against unneeded on-demand servers that stay while entry VMs are restarted in turn: each new duty holder waited to
+// discover all servers, and was restarted before it released any.
 #[test]
-fn a_new_holder_that_has_known_the_servers_for_long_gives_back_soon() {
+fn a_new_holder_that_has_long_known_the_servers_releases_them_soon() {
     let present = fleet([12; 4], [10; 4]);
     let mut planner = FleetPlanner::new(ms(0));
     planner.set_demand(MeasuredDemand::from_report(20.0));
-    let given_back = (60_000..63_000).step_by(500).map(ms).find(|now| {
+    let released = (60_000..63_000).step_by(500).map(ms).find(|now| {
         let orders = due(&mut planner, 20.0, &present, *now);
         orders.iter().any(|it| it.kind == ServerKind::OnDemand && it.count == 0)
     });
-    assert!(given_back.is_some(), "a holder of three seconds gives nothing back");
+    assert!(released.is_some(), "a holder of three seconds releases nothing");
 }
 
+// Guards against callers that are late for five seconds: half of the on-demand servers were released because the demand was
+// half of what was expected, and a second later the next data centre was reclaimed. They stay between the steps of a wave.
 #[test]
-fn on_demand_servers_stay_from_step_to_step_of_a_wave() {
+fn on_demand_servers_stay_between_the_steps_of_a_reclaim_wave() {
     let none = fleet([0; 4], [0; 4]);
     let (mut planner, _) = planner(8.0, &none);
     send(&mut planner, 8.0, &none, OrderOutcome::NoneAvailable);
-    let standing_in = fleet([0, 2, 2, 0], [0, 5, 0, 5]);
+    let substitutes = fleet([0, 2, 2, 0], [0, 5, 0, 5]);
     let fewer = |planner: &mut FleetPlanner, after: u64| {
         let now = ms(99_000 + after);
-        let orders = due(planner, 4.0, &standing_in, now);
+        let orders = due(planner, 4.0, &substitutes, now);
         for order in orders.iter().filter(|it| it.kind == ServerKind::Reclaimable) {
             planner.record_order(order, OrderOutcome::NoneAvailable, now);
         }
-        let orders = due(planner, 4.0, &standing_in, now);
+        let orders = due(planner, 4.0, &substitutes, now);
         orders.iter().any(|it| it.kind == ServerKind::OnDemand)
     };
     assert!(!fewer(&mut planner, 100));
-    assert!(!fewer(&mut planner, 8_000), "they are given back between two steps");
-    assert!(fewer(&mut planner, 10_200), "they are kept for good");
+    assert!(!fewer(&mut planner, 8_000), "they are released between two steps");
+    assert!(fewer(&mut planner, 10_200), "they are never released");
 }
 
-// The fleet grows to its limits for minutes: the duty passed on, and its new holder took each VM's whole past
-// for new demand when it first heard of it. VMs are heard one after the other, and count with what they do now.
+// Guards against a fleet that grows to its limits for minutes because a new holder counts each VM's whole past as new demand
+// when its first report arrives. Reports arrive one after the other, and each contributes only its current rate.
 #[test]
-fn vms_that_are_heard_one_after_the_other_ask_no_more_than_they_do() {
+fn vms_whose_reports_arrive_one_after_the_other_do_not_inflate_the_demand() {
     let present = fleet([3; 4], [0; 4]);
     let mut planner = FleetPlanner::new(ms(0));
     planner.set_demand(MeasuredDemand::from_report(6.0));
     for second in 0..20_u64 {
         let mut sums = Sums::default();
-        let heard = (second + 1).min(10);
-        for vm in 0..heard {
+        let reported = (second + 1).min(10);
+        for vm in 0..reported {
             let demand = IndexMap::from([("engines".into(), 0.6)]);
             sums.take(&vm.to_string(), Share { vms: 1, demand, ..Share::default() }, ms(0));
         }
         let mut sum = Share::default();
         sums.add_to(&mut sum, None, ms(0));
         let rate = sum.demand[&ServiceName::from("engines")];
-        let part = heard as f64 / 10.0;
-        let busy = planner.observe(rate, part, 0.0, &present, ms(second * 1_000));
+        let reachable_fraction = reported as f64 / 10.0;
+        let busy = planner.observe(rate, reachable_fraction, 0.0, &present, ms(second * 1_000));
         assert!((5.5..=6.1).contains(&busy), "after {second} s: {busy}");
     }
 }
 
-// Half of the fleet is given back in the middle of the day: a cut hides the VMs that have work. Less is believed
-// only when nearly all VMs are heard.
+// Guards against releasing half of the fleet because a network partition hides the VMs that have work. A lower demand is
+// accepted only while nearly all VMs are reachable.
 #[test]
-fn demand_does_not_fall_while_vms_are_out_of_reach() {
+fn demand_does_not_fall_while_vms_are_unreachable() {
     let present = fleet([3; 4], [0; 4]);
     let (mut planner, now) = planner(6.0, &present);
     let mut busy = 0.0;
@@ -261,7 +260,7 @@
 }
 
 #[test]
-fn servers_that_start_are_not_ordered_twice() {
+fn does_not_order_starting_servers_twice() {
     let before = fleet([0; 4], [3; 4]);
     let (mut planner, now) = planner(5.0, &before);
     let orders = send(&mut planner, 5.0, &before, OrderOutcome::Taken);
@@ -270,10 +269,10 @@
     assert!(next.is_empty(), "{next:?}");
 }
 
-// A fleet runs on dear on-demand servers for the rest of the day: its reclaimable ones were taken back, and
-// the order that once brought them was not sent again.
+// Guards against a fleet that permanently runs on expensive on-demand servers, because the order for its reclaimed servers
+// was not sent again.
 #[test]
-fn servers_that_were_taken_back_are_ordered_again() {
+fn orders_reclaimed_servers_again() {
     let whole = fleet([3; 4], [0; 4]);
     let (mut planner, now) = planner(6.0, &whole);
     send(&mut planner, 6.0, &whole, OrderOutcome::Taken);
@@ -285,10 +284,10 @@
     assert_eq!((orders[0].data_centre.as_str(), orders[0].count), ("b", 3));
 }
 
-// A data centre's servers are missed for half a minute after a reclaim: the demand had fallen a little since they
-// were ordered, so the order for fewer waited to be sure. What is lacking is ordered at once.
+// Guards against a data centre that lacks servers for half a minute after a reclaim: the demand had fallen a little since
+// the last order, and the smaller order was delayed like a reduction. Missing servers are ordered at once.
 #[test]
-fn servers_that_were_taken_back_are_ordered_again_when_fewer_are_enough() {
+fn orders_reclaimed_servers_again_when_fewer_suffice() {
     let whole = fleet([3; 4], [0; 4]);
     let (mut planner, now) = planner(6.0, &whole);
     send(&mut planner, 6.0, &whole, OrderOutcome::Taken);
@@ -299,10 +298,10 @@
     assert_eq!((orders[0].data_centre.as_str(), orders[0].count), ("b", 2));
 }
 
-// Four in ten servers go just before the next wave of callers: the duty passed on in a lull, and its new holder
-// ordered what the lull asks. What is there stands for what the last holder ordered, and goes as slowly.
+// Guards against releasing four in ten servers just before the next burst of callers, when a new holder takes over in a lull
+// and orders only what the lull needs. The present servers count as ordered, and are released with the same delay.
 #[test]
-fn a_new_holder_gives_reclaimable_servers_back_as_slowly() {
+fn a_new_holder_releases_reclaimable_servers_with_the_same_delay() {
     let present = fleet([5; 4], [0; 4]);
     let mut planner = FleetPlanner::new(ms(0));
     planner.set_demand(MeasuredDemand::from_report(4.0));
@@ -317,38 +316,38 @@
     assert!(!orders.is_empty());
 }
 
-// Nothing stands in for a data centre's servers for four seconds after their reclaim: more had been ordered
-// there just before, and were awaited. A reclaim takes those that start, too.
+// Guards against a data centre whose reclaimed servers are not replaced for four seconds, because the planner still expects
+// servers that were ordered there just before. A reclaim takes starting servers too.
 #[test]
-fn servers_that_start_where_a_reclaim_strikes_are_not_awaited() {
+fn does_not_wait_for_starting_servers_in_a_reclaimed_data_centre() {
     let whole = fleet([3; 4], [0; 4]);
     let (mut planner, _) = planner(8.0, &whole);
     send(&mut planner, 8.0, &whole, OrderOutcome::Taken);
     let hit = fleet([0, 3, 3, 0], [0; 4]);
     let at = |millis: u64| ms(99_000 + millis);
-    let refused = due(&mut planner, 8.0, &hit, at(7_000));
-    for order in &refused {
+    let unavailable = due(&mut planner, 8.0, &hit, at(7_000));
+    for order in &unavailable {
         planner.record_order(order, OrderOutcome::NoneAvailable, at(7_000));
     }
     let orders = due(&mut planner, 8.0, &hit, at(7_000));
     assert!(count(&orders, ServerKind::OnDemand) >= 4, "{orders:?}");
 }
 
-// Most of the fleet is gone for seconds: reclaimable servers could be ordered again, and the on-demand ones
-// that stood in for them were given back while the others still started.
+// Guards against losing most of the fleet for seconds, when reclaimable servers are ordered again and the on-demand servers
+// that replaced them are released while the reclaimable ones are still starting.
 #[test]
-fn on_demand_servers_stay_until_those_that_start_serve() {
+fn on_demand_servers_stay_until_starting_ones_are_ready() {
     let none = fleet([0; 4], [0; 4]);
     let (mut planner, _) = planner(8.0, &none);
     let orders = send(&mut planner, 8.0, &none, OrderOutcome::NoneAvailable);
     assert!(count(&orders, ServerKind::OnDemand) >= 8);
     let at = |millis: u64| ms(99_000 + millis);
-    let standing_in = fleet([0; 4], [0, 6, 0, 6]);
-    for order in due(&mut planner, 8.0, &standing_in, at(13_000)) {
+    let substitutes = fleet([0; 4], [0, 6, 0, 6]);
+    for order in due(&mut planner, 8.0, &substitutes, at(13_000)) {
         planner.record_order(&order, OrderOutcome::Taken, at(13_000));
     }
     for after in [13_100, 15_000, 18_000] {
-        let orders = due(&mut planner, 8.0, &standing_in, at(after));
+        let orders = due(&mut planner, 8.0, &substitutes, at(after));
         assert!(orders.is_empty(), "{after}: {orders:?}");
     }
     let back = fleet([4; 4], [0, 6, 0, 6]);
@@ -358,16 +357,16 @@
     assert_eq!(count(&orders, ServerKind::OnDemand), 0);
 }
 
-// Twice the servers that are needed are ordered on demand: half of the callers were refused for a while, came back
-// once each, and counted as new ones.
+// Guards against ordering twice the needed servers on demand, when half of the callers are rejected for a while, retry once
+// each, and are counted as new demand.
 #[test]
-fn callers_that_come_back_are_not_new_demand() {
+fn retries_of_rejected_callers_are_not_new_demand() {
     let present = fleet([1; 4], [0; 4]);
     let mut planner = FleetPlanner::new(ms(0));
     planner.set_demand(MeasuredDemand::from_report(4.0));
     let mut rate = Rate::new(support::millis(1_000), ms(0));
     let mut busy = 0.0;
-    // A request each 10 ms that keeps a server busy for 40 ms; every other one is refused, comes back and is served.
+    // Each 10 ms, a request that keeps a server busy for 40 ms; every other one is rejected, retried and then served.
     for step in 0..2_000_u64 {
         let now = ms(step * 10);
         rate.add(demand(0.04, true), now);
@@ -377,7 +376,7 @@
         busy = planner.observe(rate.per_second(now), 1.0, 0.0, &present, now);
     }
     assert!((4.0..=5.0).contains(&busy), "{busy}");
-    assert!(demand(0.04, false) > 0.01, "what is refused is asked for all the same");
+    assert!(demand(0.04, false) > 0.01, "rejected requests count as demand too");
 }
 
 fn is_repeated(outcome: OrderOutcome, after_ms: u64, expected: bool) {
@@ -396,16 +395,16 @@
 }
 
 cases! { is_repeated:
-    a_taken_order_is_not_repeated => OrderOutcome::Taken, 60_000, false;
-    a_refused_order_waits => OrderOutcome::NoneAvailable, 2_000, false;
-    a_refused_order_is_tried_again => OrderOutcome::NoneAvailable, 2_500, true;
-    an_order_of_unknown_fate_is_sent_again => OrderOutcome::Unknown, 1_000, true;
+    does_not_repeat_an_accepted_order => OrderOutcome::Taken, 60_000, false;
+    does_not_retry_an_unavailable_order_too_early => OrderOutcome::NoneAvailable, 2_000, false;
+    retries_an_unavailable_order_after_an_interval => OrderOutcome::NoneAvailable, 2_500, true;
+    retries_an_order_with_an_unknown_outcome => OrderOutcome::Unknown, 1_000, true;
 }
 
-// The fleet shrinks into the next wave of callers. Fewer reclaimable servers are ordered only after the time
-// in which none could be had if they were missed.
+// Guards against a fleet that shrinks just before the next burst of callers. Fewer reclaimable servers are ordered only
+// after a delay longer than the periods in which none are available.
 #[test]
-fn reclaimable_servers_are_given_back_slowly() {
+fn releases_reclaimable_servers_after_a_delay() {
     let present = fleet([5; 4], [0; 4]);
     let (mut planner, now) = planner(9.0, &present);
     send(&mut planner, 9.0, &present, OrderOutcome::Taken);
@@ -416,7 +415,7 @@
 }
 
 #[test]
-fn without_reclaimable_servers_all_are_on_demand() {
+fn orders_only_on_demand_servers_for_a_service_without_reclaimable_ones() {
     let only = Scaling { reclaimable_price: None, ..scaling() };
     let present = fleet([0; 4], [3; 4]);
     let (mut planner, now) = planner(5.0, &present);
--- a/crates/quincevalve_forwarding/tests/placement.rs
+++ b/crates/quincevalve_forwarding/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Which server gets a request, and which requests get none.
+//! Tests which server is picked for a request, and when a request is rejected.
 
 mod support;
 
@@ -30,28 +30,28 @@
 }
 
 #[test]
-fn without_servers_there_is_no_place() {
+fn returns_no_server_when_the_table_is_empty() {
     assert_eq!(place(&ServerTable::default(), &Asking::default()), Err(PlacementError::NoServer));
 }
 
 #[test]
-fn a_server_that_had_the_request_does_not_get_it_again() {
+fn does_not_pick_a_server_that_already_received_the_request() {
     let asking = Asking { had: vec![server(0)], ..Asking::default() };
     assert_eq!(place(&table(1), &asking), Err(PlacementError::NoServer));
     assert_eq!(place(&table(2), &asking).unwrap().server, server(1));
 }
 
 #[test]
-fn the_server_with_the_shorter_queue_is_chosen() {
+fn picks_the_server_with_the_shorter_queue() {
     let mut table = table(2);
     load(&mut table, 0, 10_000, 3);
     assert_eq!(place(&table, &Asking::default()).unwrap().server, server(1));
 }
 
-// A request is taken and answered late: it was sent where a queue of prompts stands before it. Where no
-// server can begin in time, the caller is told at once, with the time of the nearest.
+// Guards against accepting a request that is answered late because of a prefill queue. If no server can answer in time,
+// the request is rejected at once, with the earliest predicted time.
 #[test]
-fn a_request_that_cannot_be_in_time_is_refused() {
+fn rejects_a_request_that_cannot_be_answered_in_time() {
     let mut table = table(1);
     load(&mut table, 0, 12_000, 5);
     let asking = Asking { within: millis(300), ..Asking::default() };
@@ -60,16 +60,16 @@
 }
 
 #[test]
-fn work_that_others_told_counts() {
+fn includes_work_reported_by_peers() {
     let mut table = table(2);
-    let others =
+    let peer_work =
         WorkSum { requests: 9, prefill: 60_000, recent_prefill: 60_000, ..WorkSum::default() };
-    table.get_mut(&server(0), START).unwrap().load.set_peer_work(others, ms(0));
+    table.get_mut(&server(0), START).unwrap().load.set_peer_work(peer_work, ms(0));
     assert_eq!(place(&table, &Asking::default()).unwrap().server, server(1));
 }
 
 #[test]
-fn urgent_prompts_wait_for_urgent_ones_only() {
+fn urgent_prompts_queue_behind_urgent_ones_only() {
     let mut table = table(1);
     load(&mut table, 0, 9_000, 6);
     let urgent = Asking { urgency: 0, within: millis(400), ..Asking::default() };
@@ -78,11 +78,11 @@
     assert!(matches!(place(&table, &other), Err(PlacementError::Busy { .. })));
 }
 
-// Long answers die at their deadlines though their first tokens came in time: the engine read prompts all
-// the time, and made a token only between two chunks. Sustained prompts are kept below the rate at which it
-// has time for tokens, whatever the queue is at the moment.
+// Guards against long answers that miss their deadlines although their first tokens came in time. An engine that is busy
+// with prefill generates tokens only between prefill chunks, so the sustained prompt rate is limited even if the queue
+// is empty.
 #[test]
-fn an_engine_is_left_time_for_tokens() {
+fn rejects_prompts_when_prefill_leaves_no_time_for_tokens() {
     let mut table = table(1);
     let server = table.get_mut(&server(0), START).unwrap();
     for _ in 0..10 {
@@ -97,14 +97,14 @@
 }
 
 #[test]
-fn an_engine_without_free_slots_gets_nothing() {
+fn rejects_requests_when_the_engine_has_no_free_slots() {
     let mut table = table(1);
     load(&mut table, 0, 1, 122);
     assert!(matches!(place(&table, &Asking::default()), Err(PlacementError::Busy { .. })));
 }
 
 #[test]
-fn an_engine_without_memory_gets_nothing() {
+fn rejects_requests_when_the_engine_has_no_free_memory() {
     let mut table = table(1);
     let server = table.get_mut(&server(0), START).unwrap();
     let work = Work { prefill: 0, memory: 340_000, output: 100, urgency: 1 };
@@ -113,38 +113,38 @@
     assert!(matches!(place(&table, &Asking::default()), Err(PlacementError::Busy { .. })));
 }
 
-/// Places requests about `subjects` shared parts on 12 idle servers, and counts servers by part.
-fn servers_by_part(subjects: u64) -> HashMap<u64, Vec<BackendServerName>> {
+/// Places requests with `prefixes` different shared prefixes on 12 idle servers, and returns the servers used for each prefix.
+fn servers_by_prefix(prefixes: u64) -> HashMap<u64, Vec<BackendServerName>> {
     let table = table(12);
     let mut rng = rng();
-    let mut by_part: HashMap<u64, Vec<BackendServerName>> = HashMap::new();
-    for request in 0..subjects * 20 {
-        let part = request % subjects;
-        let prompt = Some(prompt(12_000, Some((part, 5_400))));
+    let mut by_prefix: HashMap<u64, Vec<BackendServerName>> = HashMap::new();
+    for request in 0..prefixes * 20 {
+        let prefix = request % prefixes;
+        let prompt = Some(prompt(12_000, Some((prefix, 5_400))));
         let asking = Asking { prompt, ..Asking::default() };
         let placed = table.place(&asking.ask(), &mut rng, ms(0)).expect("idle servers");
-        let servers = by_part.entry(part).or_default();
+        let servers = by_prefix.entry(prefix).or_default();
         if !servers.contains(&placed.server) {
             servers.push(placed.server);
         }
     }
-    by_part
+    by_prefix
 }
 
 #[test]
-fn a_shared_part_stays_on_one_idle_server_and_parts_spread() {
-    let by_part = servers_by_part(100);
-    assert!(by_part.values().all(|it| it.len() == 1), "{by_part:?}");
-    let mut used: Vec<_> = by_part.values().flatten().collect();
+fn a_shared_prefix_stays_on_one_idle_server_and_prefixes_are_spread() {
+    let by_prefix = servers_by_prefix(100);
+    assert!(by_prefix.values().all(|it| it.len() == 1), "{by_prefix:?}");
+    let mut used: Vec<_> = by_prefix.values().flatten().collect();
     used.sort();
     used.dedup();
     assert_eq!(used.len(), 12);
 }
 
-// A traveller waits though most servers idle: the server that keeps the shared part is overrun. Beyond some
-// hundred milliseconds of queue the part is read again elsewhere.
+// Guards against callers that wait for the overloaded server that has the shared prefix cached while most servers idle.
+// When its queue exceeds a few hundred milliseconds, the prefix is recomputed elsewhere.
 #[test]
-fn a_hot_part_spills_over() {
+fn a_hot_prefix_overflows_to_another_server() {
     let mut table = table(12);
     let prompt = Some(prompt(12_000, Some((7, 5_400))));
     let asking = Asking { prompt, ..Asking::default() };
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn a_paused_server_is_avoided_while_another_is_there() {
+fn does_not_pick_a_paused_server_while_another_is_available() {
     let mut table = table(2);
     table.get_mut(&server(0), START).unwrap().load.record_unreachable(TimePoint::ZERO);
     for seed in 0..20 {
@@ -166,16 +166,16 @@
 }
 
 #[test]
-fn a_paused_server_is_better_than_none() {
+fn picks_a_paused_server_when_there_is_no_other() {
     let mut table = table(1);
     table.get_mut(&server(0), START).unwrap().load.record_unreachable(TimePoint::ZERO);
     assert!(place(&table, &Asking::default()).is_ok());
 }
 
-// A data centre is left alone for a second and a half though it is well: one server there crashed and was tried twice, or
-// two were, long after each other.
+// Guards against pausing a healthy data centre for 1.5 s because one of its servers crashed and was tried twice, or two
+// servers failed long after each other.
 #[test]
-fn one_server_out_of_reach_is_no_data_centre() {
+fn does_not_pause_a_data_centre_for_one_unreachable_server() {
     let mut table = table(16);
     for at in [0, 100] {
         assert_eq!(table.unreachable(&server(1), START, ms(at)), [(server(1), START)]);
@@ -184,10 +184,10 @@
     assert_eq!(table.unreachable(&server(9), START, ms(3_101)).len(), 4, "in time after the last");
 }
 
-// Caller after caller waits for a connection in vain: a data centre is cut off, and its servers are tried one
-// by one. After two of them the others are left alone too, for a while.
+// Guards against callers that wait for connections to a partitioned data centre while its servers are tried one by one.
+// After two unreachable servers, the data centre's other servers are paused too.
 #[test]
-fn a_data_centre_out_of_reach_is_avoided_as_a_whole() {
+fn pauses_all_servers_of_an_unreachable_data_centre() {
     let mut table = table(16);
     assert_eq!(table.unreachable(&server(1), START, ms(0)), [(server(1), START)]);
     let centre = [1, 5, 9, 13].map(|it| (server(it), START));
@@ -199,13 +199,13 @@
     for seed in 0..50 {
         let name = placed(seed).unwrap();
         let at = (0..16).find(|it| server(*it) == name).unwrap();
-        assert_ne!(at % 4, 1, "{name} is in the data centre that is cut off");
+        assert_ne!(at % 4, 1, "{name} is in the unreachable data centre");
     }
     assert!(!table.get(&server(9)).unwrap().load.is_paused(ms(1_700)));
 }
 
 #[test]
-fn pauses_grow_and_end() {
+fn pauses_grow_with_consecutive_failures_and_expire() {
     let mut table = table(1);
     let load = &mut table.get_mut(&server(0), START).unwrap().load;
     load.record_unreachable(ms(0));
@@ -218,7 +218,7 @@
 }
 
 #[test]
-fn a_server_that_fails_lately_is_put_back() {
+fn prefers_a_server_without_recent_failures() {
     let mut table = table(2);
     for _ in 0..10 {
         table.get_mut(&server(0), START).unwrap().load.record_failure();
@@ -227,7 +227,7 @@
 }
 
 #[test]
-fn a_slow_server_is_put_back() {
+fn prefers_a_server_that_is_not_slow() {
     let mut table = table(2);
     for _ in 0..20 {
         table.get_mut(&server(0), START).unwrap().load.record_answer(millis(800), millis(100));
@@ -235,10 +235,10 @@
     assert_eq!(place(&table, &Asking::default()).unwrap().server, server(1));
 }
 
-// Calls of a plain service are lost when data centres are cut off from each other. They stay in theirs while
-// its server has room.
+// Calls of a plain service in flight between data centres fail when the network is partitioned, so they stay in their
+// own data centre while its server has room.
 #[test]
-fn calls_stay_in_their_data_centre_while_there_is_room() {
+fn calls_stay_in_their_data_centre_while_it_has_room() {
     let mut table = ServerTable::default();
     for (at, centre) in ["a", "b"].iter().enumerate() {
         let small = quincevalve_forwarding::servers::ServerEntry { slots: 6, ..entry(centre) };
@@ -250,10 +250,10 @@
     assert_eq!(place(&table, &call).unwrap().server, server(1));
 }
 
-// First tokens come four times later than expected from servers that have just started: they were taken to keep the
-// prompts with affinity to them. A server is taken to have read them with the time in which it had requests.
+// Guards against first tokens that come four times later than predicted from servers that have just started, because they
+// were assumed to have cached the prompts with affinity to them. The estimated cache fill grows with the time in use.
 #[test]
-fn a_server_that_starts_keeps_no_prompts_yet() {
+fn assumes_no_cached_prompts_on_a_server_that_just_started() {
     let mut table = table(1);
     let asking = Asking { prompt: Some(prompt(17_000, Some((7, 13_000)))), ..Asking::default() };
     let predicted = |table: &ServerTable, at| {
--- a/crates/quincevalve_forwarding/tests/routes.rs
+++ b/crates/quincevalve_forwarding/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Which route a request takes, and whose key it carries.
+//! Tests the selection of a request's route and target, and the look-up of accounts by key.
 
 mod support;
 
@@ -7,7 +7,7 @@
 use quincevalve_forwarding::config::Target;
 use support::{config, route};
 
-fn takes(host: &str, path: &str, expected: Option<&str>) {
+fn selects_route(host: &str, path: &str, expected: Option<&str>) {
     let config = config(
         1,
         vec![
@@ -20,17 +20,17 @@
     assert_eq!(config.route(host, path).map(|it| &*it.name), expected);
 }
 
-cases! { takes:
-    the_longest_prefix_wins => "a.example", "/seats/holds/7", Some("holds");
-    a_shorter_prefix_takes_the_rest => "a.example", "/seats/7", Some("seats");
-    a_prefix_ends_at_its_slash => "a.example", "/seatsholds/7", Some("all");
-    hosts_are_apart => "b.example", "/seats/holds/7", Some("other");
-    an_unknown_host_has_no_route => "c.example", "/seats/7", None;
-    a_path_without_a_prefix_has_no_route => "b.example", "/cars/7", None;
+cases! { selects_route:
+    selects_the_longest_matching_prefix => "a.example", "/seats/holds/7", Some("holds");
+    selects_a_shorter_prefix_when_no_longer_one_matches => "a.example", "/seats/7", Some("seats");
+    does_not_match_a_prefix_beyond_its_slash => "a.example", "/seatsholds/7", Some("all");
+    does_not_mix_routes_of_different_hosts => "b.example", "/seats/holds/7", Some("other");
+    returns_no_route_for_an_unknown_host => "c.example", "/seats/7", None;
+    returns_no_route_when_no_prefix_matches => "b.example", "/cars/7", None;
 }
 
 #[test]
-fn a_split_follows_its_weights_and_is_the_same_for_the_same_request() {
+fn target_choice_follows_weights_and_is_deterministic() {
     let mut split = route("split", "a.example", "/");
     split.targets = vec![
         Target { service: "old".into(), weight: 90 },
@@ -46,14 +46,14 @@
 }
 
 #[test]
-fn a_route_without_weight_has_no_target() {
+fn returns_no_target_when_all_weights_are_zero() {
     let mut closed = route("closed", "a.example", "/");
     closed.targets[0].weight = 0;
     assert_eq!(closed.target(7), None);
 }
 
 #[test]
-fn a_key_names_its_account() {
+fn finds_the_account_of_a_key() {
     let config = config(1, Vec::new());
     assert_eq!(config.account_of_key("key-1"), Some(&"desk".into()));
     assert_eq!(config.account_of_key("key-2"), None);
