--- a/crates/quincevalve_forwarding/src/quota.rs
+++ b/crates/quincevalve_forwarding/src/quota.rs
@@ -1,4 +1,4 @@
-//! Quotas that hold over all entry VMs together.
+//! Quotas of accounts over all entry VMs together.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -10,236 +10,266 @@
     sums::Spending,
 };
 
-/// The units that a request counts.
+/// Returns the units that a request costs: the prompt plus the maximum number of generated tokens, for a quota in
+/// tokens.
 pub fn cost(quota: &Quota, tokens: Option<(u32, u32)>) -> f64 {
     match (quota.unit, tokens) {
         (QuotaUnit::Requests, _) => 1.0,
-        (QuotaUnit::Tokens { .. }, Some((prompt, most))) => f64::from(prompt) + f64::from(most),
+        (QuotaUnit::Tokens { .. }, Some((prompt, max_tokens))) => {
+            f64::from(prompt) + f64::from(max_tokens)
+        }
         (QuotaUnit::Tokens { unsized_request }, None) => f64::from(unsized_request),
     }
 }
 
-/// Over the quota: when there will be room again.
+/// Rejection of a request because its account exceeds the quota.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OverQuota {
-    /// The time until the account's bucket is above zero, at its rate.
+    /// Time until the account's bucket has enough units again, at its rate.
     pub retry_after: Duration,
-    /// The units in the bucket.
+    /// Units in the bucket.
     pub level: f64,
-    /// Units a second that others let in, as they told last.
-    pub others: f64,
+    /// Units per second that other VMs admit, according to their latest reports.
+    pub peer_spending: f64,
 }
 
-/// From a request that another VM lets in to its being heard here, in seconds: three digests of a large
-/// system, and the time over which spending is taken.
-const UNHEARD_TIME: f64 = 0.45;
-/// Time over which a VM's own spending is taken before it is told: two digests, so that a lost one changes
-/// little, and short against the windows over which quotas are counted.
-const SPENDING_TIME: Duration = Duration::from_millis(250);
-/// Bursts that an account can owe at most, so that one spell of spending elsewhere doesn't lock it out.
-const MOST_DEBT: f64 = 3.0;
-/// Part of the burst over which requests are let in by chance, the fewer the less is left. With a sharp edge all VMs open
-/// and close together, one digest time late, and let in twice the quota by turns. It lies over the burst alone: over what
-/// is tolerated, too, it would refuse accounts that keep to their quotas.
-const RAMP: f64 = 0.5;
-/// How many times as wide the ramp is for large requests.
+/// Delay from the admission of a request on another VM to its report here, in seconds: three digest intervals of a
+/// large system, plus the averaging time of the rate.
+const REPORT_DELAY_S: f64 = 0.45;
+/// Time constant of a VM's own spending rate. Two digest intervals, so that a lost digest changes little, and short
+/// compared with the windows over which quotas are counted.
+const SPENDING_TIME_CONSTANT: Duration = Duration::from_millis(250);
+/// Maximum debt of an account, in bursts. The bound prevents that a short period of spending on other VMs locks the
+/// account out.
+const MAX_DEBT_BURSTS: f64 = 3.0;
+/// Fraction of the burst over which requests are admitted by chance, with lower probability the less is left.
+///
+/// With a sharp threshold, all VMs would open and close together, one digest interval late, and alternately admit twice
+/// the quota. The ramp covers a fraction of the burst alone: if it also covered the tolerance, it would reject requests
+/// of accounts that keep to their quotas.
+const RAMP_FRACTION: f64 = 0.5;
+/// Factor by which the ramp is wider for large requests.
 ///
-/// Load: an account asks several times its quota for some seconds. One long prompt costs as much as dozens of short calls;
-/// where all are let in by the same chance, most of the account's callers are refused for a few of them. Large requests
-/// are held back first, so that what is left serves the many that cost little; the wider ramp also lets VMs that hear each
-/// other late come to the edge slowly.
-const LARGE_RAMP: f64 = 1.3;
-/// Part of the burst from which on a request counts as large.
-const LARGE_PART: f64 = 0.002;
-/// How many times as wide it is for the most urgent requests, against others of their size.
-const URGENT_RAMP: f64 = 0.5;
-/// Part of the ramp up to which the smallest requests are let in beyond an empty bucket. They cost next to nothing, and
-/// larger ones pay for them.
-const SMALL_DEBT: f64 = 0.5;
+/// If an account exceeds its quota several times over for some seconds and all requests had the same probability, most
+/// of its callers would be rejected because of a few long prompts, each of which costs as much as dozens of short
+/// calls. Large requests are rejected first, so that the remaining units serve the many small ones. The wider ramp also
+/// makes VMs whose reports arrive late approach the threshold slowly.
+const LARGE_RAMP_FACTOR: f64 = 1.3;
+/// Fraction of the burst from which on a request counts as large.
+const LARGE_REQUEST_FRACTION: f64 = 0.002;
+/// Factor on the ramp for the most urgent requests, relative to others of the same size.
+const URGENT_RAMP_FACTOR: f64 = 0.5;
+/// Fraction of the ramp by which the bucket may be below empty when the smallest requests are admitted. They cost next
+/// to nothing, and the larger requests compensate for them.
+const SMALL_REQUEST_DEBT_FRACTION: f64 = 0.5;
 
-/// What a request asks of its account's quota.
+/// A request's demand on its account's quota.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaAsk {
-    /// The units that it counts.
+    /// Units that the request costs.
     pub cost: f64,
-    /// Its urgency, 0 first.
+    /// Urgency; 0 is the most urgent.
     pub urgency: u8,
 }
 
 impl QuotaAsk {
-    /// The levels of a bucket between which the request is let in by chance: never below, always above.
-    fn ramp(self, quota: &Allowance) -> (f64, f64) {
-        let Some(large) = quota.large else { return (0.0, quota.ramp) };
-        let size = (self.cost / large).min(1.0);
-        let urgency = if self.urgency == 0 { URGENT_RAMP } else { 1.0 };
-        let from = -SMALL_DEBT * quota.ramp * (1.0 - size);
-        // A VM that has just started lets in whatever keeps to its quota.
-        let most = (FIRST_PART * quota.burst).max(quota.ramp);
-        (from, (quota.ramp * LARGE_RAMP).min(most) * size * urgency)
+    /// Returns the bucket levels between which the request is admitted by chance: below them never, above them always.
+    fn ramp_bounds(self, quota: &BucketParameters) -> (f64, f64) {
+        let Some(large_cost) = quota.large_cost else { return (0.0, quota.ramp_width) };
+        let size = (self.cost / large_cost).min(1.0);
+        let urgency = if self.urgency == 0 { URGENT_RAMP_FACTOR } else { 1.0 };
+        let bottom = -SMALL_REQUEST_DEBT_FRACTION * quota.ramp_width * (1.0 - size);
+        // A VM that has just started admits any request of an account that keeps to its quota.
+        let max_top = (INITIAL_FRACTION * quota.burst).max(quota.ramp_width);
+        (bottom, (quota.ramp_width * LARGE_RAMP_FACTOR).min(max_top) * size * urgency)
     }
 }
 
-/// Part of the burst with which a VM begins. Failure: many VMs restart, and each has the whole burst to give
-/// out. Symptom: an account that asks many times its quota gets a burst more at each restart. The ramp's
-/// top lets an account that keeps to its quota in at once, and the rate fills the rest.
-const FIRST_PART: f64 = RAMP;
+/// Fraction of the burst with which a VM starts.
+///
+/// If VMs started with the whole burst, an account that exceeds its quota many times over would get an additional burst
+/// at each restart of a VM. The top of the ramp admits accounts that keep to their quota immediately, and the rate
+/// fills the rest.
+const INITIAL_FRACTION: f64 = RAMP_FRACTION;
 
-/// Part of the burst that is given out as a higher rate, spread over the window in which quotas are counted.
+/// Fraction of the burst that is granted as a higher rate, spread over the window in which quotas are counted.
 ///
-/// Failure: an account asks half more than its rate all the time. Symptom: a third of its requests is refused,
-/// though no window holds more than its rate and its burst: a plain bucket gives the burst out once and never
-/// again. Both parts together stay below the burst, so no window holds more than rate and burst allow.
-const SPREAD_PART: f64 = 0.5;
-/// Part of the burst that may still come at once. What is left to the whole covers what is not heard in time.
-const KEPT_PART: f64 = 0.5;
+/// A plain bucket grants the burst only once: of an account that permanently sends half more than its rate, a third of
+/// the requests would be rejected although no window holds more than rate and burst allow. This fraction and
+/// [`INSTANT_BURST_FRACTION`] together don't exceed the burst, so no window holds more than rate and burst allow.
+const SPREAD_FRACTION: f64 = 0.5;
+/// Fraction of the burst that may be used at once. The remainder covers spending that is reported late.
+const INSTANT_BURST_FRACTION: f64 = 0.5;
 
-/// How quotas are counted, over all entry VMs.
+/// How quotas are counted over all entry VMs.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct QuotaLimits {
-    /// The span over which they are counted; zero where only the rate counts.
+    /// Window over which quotas are counted; zero if only the rate counts.
     pub window: Duration,
-    /// Part of what a window allows that may come beyond it.
+    /// Tolerated excess, as a fraction of what a window allows.
     pub overage: f64,
-    /// Units that may come beyond both in a window.
+    /// Tolerated excess per window beyond that, in units.
     pub slack: f64,
 }
 
-/// Part of the tolerance, overage and slack together, that is given out.
+/// Fraction of the tolerance, overage and slack together, that is granted to callers.
 ///
-/// Failure: VMs hear of each other's spending late, and none knows an account's bucket exactly. Symptom: accounts that
-/// keep to their quota are refused in a wave of their callers, by the ramp, while there is something left in the bucket.
-/// The operators tolerate an error; a half of it goes to the callers' side, the rest covers what is not heard in time.
-const TOLERANCE_USED: f64 = 0.5;
+/// Reports of spending arrive late, so no VM knows an account's bucket exactly. Without the tolerance, the ramp would
+/// reject bursts of requests of accounts that keep to their quota while there are units left in the bucket. The other
+/// half covers spending that is reported late.
+const USED_TOLERANCE_FRACTION: f64 = 0.5;
 
-/// The rate and the burst of a bucket that lets in at most what a quota allows in any window.
+/// Rate and burst of a bucket that admits at most what a quota allows in any window.
 #[derive(Clone, Copy, Debug)]
-struct Allowance {
+struct BucketParameters {
     per_second: f64,
     burst: f64,
-    /// The level up to which requests are let in by chance.
-    ramp: f64,
-    /// The cost of a large request; `None` where all cost the same.
-    large: Option<f64>,
+    /// Level up to which requests are admitted by chance.
+    ramp_width: f64,
+    /// Cost of a large request; `None` if all requests cost the same.
+    large_cost: Option<f64>,
 }
 
-impl Allowance {
+impl BucketParameters {
     fn new(quota: &Quota, limits: &QuotaLimits) -> Self {
         let window = limits.window.as_secs_f64();
-        let large = match quota.unit {
+        let large_cost = match quota.unit {
             QuotaUnit::Requests => None,
-            QuotaUnit::Tokens { .. } => Some(LARGE_PART * quota.burst),
+            QuotaUnit::Tokens { .. } => Some(LARGE_REQUEST_FRACTION * quota.burst),
         };
         if limits.window.is_zero() {
-            let ramp = RAMP * quota.burst;
-            return Self { per_second: quota.per_second, burst: quota.burst, ramp, large };
+            let ramp_width = RAMP_FRACTION * quota.burst;
+            return Self {
+                per_second: quota.per_second,
+                burst: quota.burst,
+                ramp_width,
+                large_cost,
+            };
+        }
+        let spread_rate = SPREAD_FRACTION * quota.burst / window;
+        let window_total = quota.per_second * window + quota.burst;
+        let tolerated = USED_TOLERANCE_FRACTION * (limits.overage * window_total + limits.slack);
+        let instant_burst = INSTANT_BURST_FRACTION * quota.burst;
+        let ramp_width = RAMP_FRACTION * instant_burst;
+        Self {
+            per_second: quota.per_second + spread_rate,
+            burst: instant_burst + tolerated,
+            ramp_width,
+            large_cost,
         }
-        let spread = SPREAD_PART * quota.burst / window;
-        let in_a_window = quota.per_second * window + quota.burst;
-        let tolerated = TOLERANCE_USED * (limits.overage * in_a_window + limits.slack);
-        let kept = KEPT_PART * quota.burst;
-        let ramp = RAMP * kept;
-        Self { per_second: quota.per_second + spread, burst: kept + tolerated, ramp, large }
     }
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
     level: f64,
-    at: TimePoint,
-    /// Units that were let in here lately.
-    own: Rate,
-    /// Units a second that others let in, as they told last.
-    others: f64,
-    /// The burst of the quota that the level was reckoned by.
+    updated_at: TimePoint,
+    /// Units that this VM admitted recently.
+    own_rate: Rate,
+    /// Units per second that other VMs admit, according to their latest reports.
+    peer_spending: f64,
+    /// Burst of the quota for which `level` was computed.
     burst: f64,
 }
 
 impl Bucket {
-    fn new(quota: &Allowance, since: TimePoint) -> Self {
+    fn new(quota: &BucketParameters, since: TimePoint) -> Self {
         let burst = quota.burst;
-        let own = Rate::new(SPENDING_TIME, since);
-        Self { level: FIRST_PART * burst, at: since, own, others: 0.0, burst }
+        let own_rate = Rate::new(SPENDING_TIME_CONSTANT, since);
+        Self {
+            level: INITIAL_FRACTION * burst,
+            updated_at: since,
+            own_rate,
+            peer_spending: 0.0,
+            burst,
+        }
     }
 
-    /// Takes over a changed quota: what was spent under the old one is no debt under the new one.
-    fn adapt(&mut self, quota: &Allowance) {
+    /// Applies a changed quota. Spending under the old quota is no debt under the new one.
+    fn apply_quota_change(&mut self, quota: &BucketParameters) {
         if quota.burst.total_cmp(&self.burst).is_ne() {
             self.burst = quota.burst;
             self.level = self.level.clamp(0.0, quota.burst.max(0.0));
         }
     }
 
-    /// Reckons the level at `now`: what the rate brought, less what others spent as far as told.
+    /// Computes the level at `now` from the rate and the reported spending of other VMs.
     ///
-    /// Failure: a collector restarts, and for a second nobody hears what its members spend. Symptom: an account
-    /// gets up to a second of its whole rate more from each VM. What others were spending goes on counting
-    /// until they tell otherwise or are given up, and then only a part of the rate is used.
-    fn reckon(&mut self, quota: &Allowance, reachable_part: f64, now: TimePoint) {
-        let seconds = now.since(self.at).as_secs_f64();
-        let gain = quota.per_second * reachable_part - self.others;
-        let most = quota.burst * reachable_part;
-        // A large request of this VM's own may owe more.
-        let least = self.level.min(-quota.burst * MOST_DEBT);
-        self.level = (self.level + gain * seconds).min(most).max(least);
-        self.at = now;
+    /// When a collector restarts, nobody receives reports of its members' spending for a second, and an account could
+    /// get up to a second of its whole rate more from each VM. The last reported spending therefore counts until a new
+    /// report arrives or its VM is given up; after that, only a fraction of the rate is used.
+    fn refill(&mut self, quota: &BucketParameters, reachable_fraction: f64, now: TimePoint) {
+        let seconds = now.since(self.updated_at).as_secs_f64();
+        let gain = quota.per_second * reachable_fraction - self.peer_spending;
+        let max_level = quota.burst * reachable_fraction;
+        // A large request of this VM may have caused a larger debt.
+        let min_level = self.level.min(-quota.burst * MAX_DEBT_BURSTS);
+        self.level = (self.level + gain * seconds).min(max_level).max(min_level);
+        self.updated_at = now;
     }
 
-    /// Takes the level with which a VM begins once it hears the others, who spend so much at present.
+    /// Raises the level when a VM first receives the reports of the others, which currently spend `peer_spending`.
     ///
-    /// Failure: all VMs restart together, and until they hear of each other each gives out its own part of the quota, which
-    /// its first request uses up. Symptom: accounts well below their quotas are refused for a second. What this start
-    /// could not give out by itself it has once it is one of many; of an account that spends its whole rate already
-    /// there is nothing left.
-    fn heard_first(&mut self, quota: &Allowance, others: f64) {
-        let unspent = (1.0 - others / quota.per_second.max(1.0)).max(0.0);
-        self.level = self.level.max(FIRST_PART * quota.burst * unspent);
+    /// When all VMs restart together, each grants only its own share of the quota until the first reports arrive. The
+    /// first request uses that share up, and accounts well below their quotas would be rejected for a second. The
+    /// initial units that this VM couldn't grant alone are therefore added once it is one of many; for an account that
+    /// already spends its whole rate, none are.
+    fn raise_initial_level(&mut self, quota: &BucketParameters, peer_spending: f64) {
+        let unspent = (1.0 - peer_spending / quota.per_second.max(1.0)).max(0.0);
+        self.level = self.level.max(INITIAL_FRACTION * quota.burst * unspent);
     }
 
-    /// Takes what others spend at present.
+    /// Applies the current spending of the other VMs.
     ///
-    /// Failure: an account begins to ask many times its quota of many VMs. Symptom: all of them let it in until
-    /// they hear of each other, and again whenever the bucket fills. What others spend more than they told
-    /// before they have spent for a while already, unheard.
-    fn told(&mut self, others: f64, most: f64) {
-        self.level = (self.level - (others - self.others) * UNHEARD_TIME).min(most);
-        self.others = others;
+    /// When an account starts to exceed its quota many times over on many VMs, all of them admit its requests until the
+    /// first reports arrive, and again whenever the bucket fills. An increase of the others' spending therefore also
+    /// counts for the time in which it was not yet reported.
+    fn apply_peer_spending(&mut self, peer_spending: f64, max_level: f64) {
+        self.level =
+            (self.level - (peer_spending - self.peer_spending) * REPORT_DELAY_S).min(max_level);
+        self.peer_spending = peer_spending;
     }
 
     fn spend(&mut self, cost: f64, now: TimePoint) {
         self.level -= cost;
-        self.own.add(cost, now);
+        self.own_rate.add(cost, now);
     }
 }
 
-/// One token bucket for each account, drawn on by all entry VMs.
+/// Token buckets of all accounts, shared by all entry VMs.
 ///
-/// Each VM admits against the whole quota less what it and the others spend, as they tell several times a
-/// second. They tell rates, not totals: a rate can be added up over any way that it came, and a digest that
-/// is lost or doubled, or a VM that restarts, leaves no error behind. VMs that are out of reach of each other
-/// each use only the part of the rate that stands for those they hear, so that the sum stays below the quota
-/// on both sides of a partition.
+/// Each VM admits requests against the whole quota, less its own spending and the spending that the others report
+/// several times per second. Reports contain rates instead of totals: rates can be added up on any path of aggregation,
+/// and a lost or duplicated digest or a restart of a VM leaves no lasting error. VMs that can't reach each other each
+/// use only the fraction of the rate for the VMs that they can reach, so the sum stays below the quota on both sides of
+/// a partition.
 #[derive(Clone, Debug)]
 pub struct QuotaBook {
     limits: QuotaLimits,
-    since: TimePoint,
-    reachable_part: f64,
-    /// Whether nearly all others were heard since this VM began.
-    has_heard: bool,
+    started_at: TimePoint,
+    reachable_fraction: f64,
+    /// Whether nearly all other VMs have been in contact since this VM started.
+    has_peer_contact: bool,
     buckets: HashMap<ClientAccountName, Bucket>,
 }
 
 impl QuotaBook {
-    /// A book of a VM that starts at `now`. In any window an account gets at most its rate, its burst and a part of
-    /// what is tolerated beyond them.
+    /// Creates the table of a VM that starts at `now`. In any window, an account gets at most its rate, its burst and a
+    /// fraction of the tolerance.
     pub fn new(limits: QuotaLimits, now: TimePoint) -> Self {
-        Self { limits, since: now, reachable_part: 1.0, has_heard: false, buckets: HashMap::new() }
+        Self {
+            limits,
+            started_at: now,
+            reachable_fraction: 1.0,
+            has_peer_contact: false,
+            buckets: HashMap::new(),
+        }
     }
 
-    /// Takes what a request asks of an account's quota.
+    /// Admits a request and charges its cost to the account's bucket, or rejects it.
     ///
-    /// A request is let in as long as the bucket is above zero, and may take it below: what it took too much is paid
-    /// back by those that follow. Near zero `draw`, a random number from 0 to 1, decides: the larger the request is, and
-    /// the less urgent, the sooner it is held back.
+    /// A request is admitted while the bucket is above zero and may make it negative; later requests pay the debt back.
+    /// Near zero, `draw`, a random number from 0 to 1, decides: larger and less urgent requests are rejected earlier.
     pub fn take(
         &mut self,
         account: &ClientAccountName,
@@ -248,72 +278,74 @@
         draw: f64,
         now: TimePoint,
     ) -> Result<(), OverQuota> {
-        let reachable_part = self.reachable_part;
-        let quota = &Allowance::new(quota, &self.limits);
-        let since = self.since;
+        let reachable_fraction = self.reachable_fraction;
+        let quota = &BucketParameters::new(quota, &self.limits);
+        let since = self.started_at;
         let bucket = self.buckets.entry(account.clone()).or_insert(Bucket::new(quota, since));
-        bucket.adapt(quota);
-        // Failure: VMs that are cut off each let in the whole burst. Symptom: an account that asks many times its
-        // quota gets most of it there. The burst is shared out like the rate.
-        bucket.reckon(quota, reachable_part, now);
+        bucket.apply_quota_change(quota);
+        // The burst is divided like the rate: if each side of a partition granted the whole burst, an account that
+        // exceeds its quota many times over would get most of it there.
+        bucket.refill(quota, reachable_fraction, now);
         let level = bucket.level;
-        let (from, to) = ask.ramp(quota);
-        if level <= (from + draw * (to - from)) * reachable_part {
-            let rate = quota.per_second * reachable_part;
-            let seconds = (to - level) / rate.max(1.0);
+        let (bottom, top) = ask.ramp_bounds(quota);
+        if level <= (bottom + draw * (top - bottom)) * reachable_fraction {
+            let rate = quota.per_second * reachable_fraction;
+            let seconds = (top - level) / rate.max(1.0);
             let retry_after = Duration::from_secs_f64(seconds.clamp(0.05, 10.0));
-            return Err(OverQuota { retry_after, level, others: bucket.others });
+            return Err(OverQuota { retry_after, level, peer_spending: bucket.peer_spending });
         }
         bucket.spend(ask.cost, now);
         Ok(())
     }
 
-    /// Gives back what a request took that was refused later and has not run.
+    /// Refunds the cost of a request that was rejected later and has not run.
     pub fn give_back(&mut self, account: &ClientAccountName, cost: f64, now: TimePoint) {
         if let Some(bucket) = self.buckets.get_mut(account) {
             bucket.spend(-cost, now);
         }
     }
 
-    /// Units a second that this VM lets in, by account, for its peers.
+    /// Returns the units per second that this VM admits, by account, to report them to its peers.
     pub fn spending(&self, now: TimePoint) -> impl Iterator<Item = (ClientAccountName, f64)> {
-        let own = move |it: &Bucket| it.own.per_second(now);
-        let all = self.buckets.iter().map(move |(account, it)| (account.clone(), own(it)));
-        all.filter(|(_, spending)| spending.abs() >= LEAST_TOLD)
+        let own_rate = move |it: &Bucket| it.own_rate.per_second(now);
+        let all = self.buckets.iter().map(move |(account, it)| (account.clone(), own_rate(it)));
+        all.filter(|(_, spending)| spending.abs() >= MIN_REPORTED_SPENDING)
     }
 
-    /// Takes what all other VMs let in at present, in units a second. `reachable_part` is the part of the entry
-    /// VMs for which that stands, this one included.
+    /// Applies the current spending of all other VMs, in units per second. `reachable_fraction` is the fraction of the
+    /// entry VMs that the report covers, including this one.
     pub fn set_others(
         &mut self,
         spending: &Spending,
-        reachable_part: f64,
+        reachable_fraction: f64,
         config: &ForwardingConfig,
         now: TimePoint,
     ) {
-        let hears_first = !self.has_heard && reachable_part >= NEARLY_ALL;
-        self.has_heard |= hears_first;
+        let is_first_contact = !self.has_peer_contact && reachable_fraction >= MIN_CONTACT_FRACTION;
+        self.has_peer_contact |= is_first_contact;
         for (account, it) in &config.accounts {
             let Some(quota) = it.quota else { continue };
-            let quota = Allowance::new(&quota, &self.limits);
-            let others = spending.get(account).copied().unwrap_or_default().max(0.0);
-            if others > 0.0 && !self.buckets.contains_key(account) {
-                self.buckets.insert(account.clone(), Bucket::new(&quota, self.since));
+            let quota = BucketParameters::new(&quota, &self.limits);
+            let peer_spending = spending.get(account).copied().unwrap_or_default().max(0.0);
+            if peer_spending > 0.0 && !self.buckets.contains_key(account) {
+                self.buckets.insert(account.clone(), Bucket::new(&quota, self.started_at));
             }
             let Some(bucket) = self.buckets.get_mut(account) else { continue };
-            bucket.adapt(&quota);
-            bucket.reckon(&quota, self.reachable_part, now);
-            if hears_first {
-                bucket.heard_first(&quota, others);
+            bucket.apply_quota_change(&quota);
+            bucket.refill(&quota, self.reachable_fraction, now);
+            if is_first_contact {
+                bucket.raise_initial_level(&quota, peer_spending);
             }
-            let most = quota.burst * if hears_first { reachable_part } else { self.reachable_part };
-            bucket.told(others, most);
+            let max_level = quota.burst
+                * if is_first_contact { reachable_fraction } else { self.reachable_fraction };
+            bucket.apply_peer_spending(peer_spending, max_level);
         }
-        self.reachable_part = reachable_part;
+        self.reachable_fraction = reachable_fraction;
     }
 }
 
-/// The part of the entry VMs that a VM must hear to begin as one of many: those that it lacks have the rest.
-const NEARLY_ALL: f64 = 0.8;
-/// Units a second below which an account's spending isn't told: it changes nobody's decision.
-const LEAST_TOLD: f64 = 0.05;
+/// Fraction of the entry VMs with which a VM must be in contact to start as one of many. The VMs without contact hold
+/// the remainder.
+const MIN_CONTACT_FRACTION: f64 = 0.8;
+/// Minimum spending of an account that is reported, in units per second. Less has no influence on any decision.
+const MIN_REPORTED_SPENDING: f64 = 0.05;
--- a/crates/quincevalve_forwarding/src/rate.rs
+++ b/crates/quincevalve_forwarding/src/rate.rs
@@ -1,13 +1,13 @@
-//! Amounts a second, measured as they come.
+//! Exponentially decaying rates.
 
 use std::time::Duration;
 
 use quincevalve_names::TimePoint;
 
-/// The rate at which something happens lately: each amount counts less the longer ago it was.
+/// A rate with exponential decay: an amount counts less the longer ago it was.
 ///
-/// Rates of many VMs can be added up whichever way they came. Totals can't: who hears a VM for the first time
-/// can't tell what of its total is new.
+/// Rates of many VMs can be added up on any path of aggregation. Totals can't: on the first report of a VM, it is
+/// unknown how much of its total is new.
 ///
 /// # Examples
 ///
@@ -24,24 +24,25 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rate {
     per_second: f64,
-    at: TimePoint,
-    over: Duration,
+    updated_at: TimePoint,
+    time_constant: Duration,
 }
 
 impl Rate {
-    /// A rate of zero, which will be taken over about the time `over`.
-    pub const fn new(over: Duration, now: TimePoint) -> Self {
-        Self { per_second: 0.0, at: now, over }
+    /// Creates a rate of zero with an exponential time constant.
+    pub const fn new(time_constant: Duration, now: TimePoint) -> Self {
+        Self { per_second: 0.0, updated_at: now, time_constant }
     }
 
-    /// Takes an amount that came now; one below zero takes back what was counted before.
+    /// Adds an amount at `now`. A negative amount reverses an earlier one.
     pub fn add(&mut self, amount: f64, now: TimePoint) {
-        self.per_second = self.per_second(now) + amount / self.over.as_secs_f64();
-        self.at = now;
+        self.per_second = self.per_second(now) + amount / self.time_constant.as_secs_f64();
+        self.updated_at = now;
     }
 
-    /// The amount a second, as of now.
+    /// Returns the amount per second at `now`.
     pub fn per_second(&self, now: TimePoint) -> f64 {
-        self.per_second * (-now.since(self.at).as_secs_f64() / self.over.as_secs_f64()).exp()
+        self.per_second
+            * (-now.since(self.updated_at).as_secs_f64() / self.time_constant.as_secs_f64()).exp()
     }
 }
--- a/crates/quincevalve_forwarding/src/server_signals.rs
+++ b/crates/quincevalve_forwarding/src/server_signals.rs
@@ -1,10 +1,10 @@
-//! What a server says of itself in its answers.
+//! Signals about itself that a server sends in its answers.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// Requests a second.
+/// Requests per second.
 ///
 /// # Examples
 ///
@@ -18,54 +18,54 @@
 #[serde(transparent)]
 pub struct RequestRate(f64);
 
-/// Requests a second beyond which a rate isn't one of a server.
+/// Maximum plausible rate of a server, in requests per second.
 const MAX_PER_SECOND: f64 = 1e6;
 
 impl RequestRate {
-    /// A rate, unless it is negative, not a number or beyond what any server takes.
+    /// Creates a rate. Returns `None` if it is negative, not a number or beyond what any server can process.
     pub fn new(per_second: f64) -> Option<Self> {
         (0.0..=MAX_PER_SECOND).contains(&per_second).then_some(Self(per_second))
     }
 
-    /// Requests a second.
+    /// Returns the requests per second.
     pub const fn per_second(self) -> f64 {
         self.0
     }
 }
 
-/// What a server says of itself in an answer.
+/// Signals in one answer of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServerSignals {
-    /// What it takes from all entry VMs together, where it names a limit.
+    /// Rate limit over all entry VMs, if the server states one.
     pub limit: Option<RequestRate>,
-    /// Whether it leaves.
+    /// Whether the server leaves.
     pub leaving: bool,
-    /// For how long it wants nothing from the VM that it turns away, where it says so.
+    /// How long the server wants no requests from the VM whose request it rejects, if it asks for rest.
     pub rest: Option<Duration>,
 }
 
-/// What a server said of itself to another VM.
+/// A server's signals as another VM reports them.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ToldSignals {
-    /// What it takes from all entry VMs together, where it names a limit.
+    /// Rate limit over all entry VMs, if the server states one.
     pub limit: Option<RequestRate>,
-    /// How long ago it said so.
+    /// Time since the server stated the limit.
     pub age: Duration,
-    /// Whether it leaves.
+    /// Whether the server leaves.
     pub leaving: bool,
 }
 
-/// What of a server's signals wasn't known before.
+/// Which of a server's signals differ from what was known before.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SignalNews {
-    /// It names another limit, or none any more.
+    /// The server states a different limit, or no longer any.
     pub limit: bool,
-    /// It leaves.
+    /// The server now leaves.
     pub leaving: bool,
 }
 
 impl SignalNews {
-    /// Whether all of it was known.
+    /// Returns whether nothing changed.
     pub const fn is_none(self) -> bool {
         !self.limit && !self.leaving
     }
--- a/crates/quincevalve_forwarding/src/servers.rs
+++ b/crates/quincevalve_forwarding/src/servers.rs
@@ -1,4 +1,4 @@
-//! The backend servers that are known, and which of them may get new work.
+//! Known backend servers and their eligibility for new requests.
 
 use std::{collections::VecDeque, net::SocketAddr, time::Duration};
 
@@ -17,105 +17,106 @@
     sums::Works,
 };
 
-/// When a server's process started, in Unix milliseconds by its own clock: tells starts under one name apart.
+/// Start time of a server's process, in Unix milliseconds by its own clock. Distinguishes successive starts under the
+/// same name.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct ServerStart(pub u64);
 
-/// What a server says of itself in the platform's list.
+/// A server's own entry in the platform's server list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServerEntry {
-    /// Which start of the server says it.
+    /// Start of the process that wrote the entry.
     pub start: ServerStart,
-    /// The service that it belongs to.
+    /// Service that the server belongs to.
     pub service: ServiceName,
-    /// Where it listens.
+    /// Address on which the server listens.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// Data centre in which the server runs.
     pub data_centre: DataCentreName,
-    /// The version of its software.
+    /// Software version of the server.
     pub version: ServerVersion,
-    /// Requests that it runs at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Whether it says that it is still slow after its start.
+    /// Whether the server reports that it is still warming up after its start.
     pub is_cold: bool,
-    /// Whether it says that it leaves.
+    /// Whether the server announces that it leaves.
     pub draining: bool,
-    /// Whether the platform may take it back at any time.
+    /// Whether the platform may reclaim the server at any time.
     pub reclaimable: bool,
-    /// The time that it has left, where it says so.
+    /// Time until the server's end, if it states one.
     pub leaves_in: Option<Duration>,
 }
 
-/// Why a server gets no new work any more.
+/// Reason why a server no longer gets new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Leaving {
-    /// It announced that it leaves.
+    /// The server announced that it leaves.
     Announced,
-    /// Another server answered at its address.
+    /// A different server answered at its address.
     Replaced,
 }
 
-/// Why a server gets nothing from this VM for a while.
+/// Reason why a server temporarily gets no requests from this VM.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Restraint {
-    /// It turned this VM away and wants rest.
+    /// The server rejected a request of this VM and asked for a rest period.
     Resting {
-        /// For so long.
+        /// Remaining rest period.
         left: Duration,
     },
-    /// It names a limit, of which this VM has used its part.
+    /// The server states a rate limit, and this VM has used up its share.
     Limited {
-        /// The limit.
+        /// Rate limit over all VMs.
         limit: RequestRate,
     },
 }
 
-/// What the removal of a server's entry is taken for.
+/// Interpretation of the removal of a server's entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Removal {
     /// The server leaves.
     Leaving,
-    /// Its entry may have lapsed in an outage of the store while it lives.
+    /// The entry may have expired in an outage of the store while the server is still running.
     MayHaveLapsed,
 }
 
-/// Where a server stands in the list.
+/// State of a server's entry in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Listing {
     Listed,
-    /// What stands under its name can't be read.
+    /// The value stored under the server's name can't be decoded.
     Unreadable,
-    /// The entry was removed at that time.
+    /// The entry was removed at this time.
     Removed(TimePoint),
 }
 
-/// A server and what is known of it.
+/// A backend server and what this VM knows about it.
 #[derive(Clone, Debug)]
 pub struct Server {
-    /// Its newest entry.
+    /// Newest entry.
     pub entry: ServerEntry,
-    /// The work that it has.
+    /// Load of the server.
     pub load: ServerLoad,
     listing: Listing,
     leaving: Option<Leaving>,
     limit: Option<RequestRate>,
-    /// When the answer came that names the limit, or none.
-    limit_named_at: Option<TimePoint>,
+    /// When the server last stated its limit or the absence of one.
+    limit_stated_at: Option<TimePoint>,
     allowance: Allowance,
-    /// Until when it wants nothing from this VM.
-    rests_until: TimePoint,
-    /// When it will be gone, as far as known.
+    /// End of the rest period that the server asked of this VM.
+    rest_until: TimePoint,
+    /// Expected end of the server.
     goes_at: Option<TimePoint>,
-    /// When it was first seen.
+    /// Time of the first observation of this start.
     pub since: TimePoint,
-    /// Stands for this start, the same on all entry VMs: [`start_hash`], kept as it is needed for each placement.
+    /// Hash of this start, equal on all entry VMs: [`start_hash`], cached because each placement needs it.
     pub hash: u64,
 }
 
 impl Server {
-    /// For how long its entry has been missing; `None` while there is one.
+    /// Returns how long the entry has been missing, or `None` while there is one.
     pub fn unlisted_for(&self, now: TimePoint) -> Option<Duration> {
         match self.listing {
             Listing::Removed(at) => Some(now.since(at)),
@@ -123,92 +124,99 @@
         }
     }
 
-    /// Whether it leaves or its entry is gone, so that its end is expected.
+    /// Returns whether the server's end is expected: it leaves, or its entry was removed.
     pub fn is_going(&self) -> bool {
         self.leaving.is_some() || matches!(self.listing, Listing::Removed(_))
     }
 
-    /// The requests that it takes from all entry VMs together, where it names a limit.
+    /// Returns the rate limit over all entry VMs, if the server states one.
     pub fn limit(&self) -> Option<RequestRate> {
         self.limit
     }
 
-    /// Takes what its answer says of it, and returns what of that is news.
+    /// Applies the signals of an answer and returns which of them changed.
     pub fn signalled(&mut self, signals: &ServerSignals, now: TimePoint) -> SignalNews {
-        let leaving = self.take_leaving(signals.leaving);
-        SignalNews { leaving, limit: self.take_limit(signals.limit, now) }
+        let leaving = self.update_leaving(signals.leaving);
+        SignalNews { leaving, limit: self.update_limit(signals.limit, now) }
     }
 
-    /// What it said of itself, for other VMs.
+    /// Returns the server's signals to report to other VMs, or `None` if no answer has carried any.
     pub fn to_tell(&self, now: TimePoint) -> Option<ToldSignals> {
-        let age = now.since(self.limit_named_at?);
+        let age = now.since(self.limit_stated_at?);
         let leaving = self.leaving == Some(Leaving::Announced);
         Some(ToldSignals { limit: self.limit, age, leaving })
     }
 
-    /// Takes what it said to another VM, and returns what of that is news. Of two limits the newer one holds.
+    /// Applies signals that another VM reports and returns which of them changed. Of two limits, the one stated later
+    /// wins.
     pub fn told(&mut self, told: &ToldSignals, now: TimePoint) -> SignalNews {
-        let leaving = self.take_leaving(told.leaving);
-        let is_older = |at: TimePoint| now.since(at) <= told.age;
-        let limit = !self.limit_named_at.is_some_and(is_older)
-            && self.take_limit(told.limit, now.earlier_by(told.age));
+        let leaving = self.update_leaving(told.leaving);
+        let report_is_older = |at: TimePoint| now.since(at) <= told.age;
+        let limit = !self.limit_stated_at.is_some_and(report_is_older)
+            && self.update_limit(told.limit, now.earlier_by(told.age));
         SignalNews { limit, leaving }
     }
 
-    fn take_limit(&mut self, limit: Option<RequestRate>, named_at: TimePoint) -> bool {
-        self.limit_named_at = Some(named_at);
+    fn update_limit(&mut self, limit: Option<RequestRate>, stated_at: TimePoint) -> bool {
+        self.limit_stated_at = Some(stated_at);
         std::mem::replace(&mut self.limit, limit) != limit
     }
 
-    /// Takes it that it turned a request away and wants nothing from this VM for a while. Where it said so before, the
-    /// later end holds.
+    /// Starts or extends the rest period after the server rejected a request and asked for rest. Of two rest periods,
+    /// the one that ends later wins.
     pub fn rests(&mut self, rest: Duration, now: TimePoint) {
-        self.rests_until = self.rests_until.max(now + rest);
+        self.rest_until = self.rest_until.max(now + rest);
     }
 
-    /// Whether it wants nothing from this VM at present.
+    /// Returns whether the server is in a rest period.
     pub fn is_resting(&self, now: TimePoint) -> bool {
-        now < self.rests_until
+        now < self.rest_until
     }
 
-    /// That a server leaves is never taken back: an entry or an answer that says nothing of it may be older.
-    fn take_leaving(&mut self, leaving: bool) -> bool {
-        let is_news = leaving && self.leaving.is_none();
-        if is_news {
+    /// Marks the server as leaving and returns whether that is new.
+    ///
+    /// Leaving is never revoked: an entry or answer without the announcement may be older.
+    fn update_leaving(&mut self, leaving: bool) -> bool {
+        let is_new = leaving && self.leaving.is_none();
+        if is_new {
             self.leaving = Some(Leaving::Announced);
         }
-        is_news
+        is_new
     }
 
-    /// Expects the end of a server whose entry is gone without an announcement.
-    fn leaves_silently(&mut self, now: TimePoint) {
-        let left = if self.entry.reclaimable { SILENT_LEAVE } else { USUAL_LEAVE };
-        let goes_at = now + left;
+    /// Sets the expected end of a server whose entry was removed without an announcement.
+    fn expect_silent_end(&mut self, now: TimePoint) {
+        let time_left =
+            if self.entry.reclaimable { SILENT_TIME_TO_END } else { DEFAULT_TIME_TO_END };
+        let goes_at = now + time_left;
         self.goes_at = Some(self.goes_at.map_or(goes_at, |it| it.min(goes_at)));
     }
 }
 
-/// Time from the announcement to the end of a server that doesn't say it: as long as it has to be served
-/// without new work, and a little.
-const USUAL_LEAVE: Duration = Duration::from_millis(2_600);
+/// Time from the announcement to the end of a server that states no time: the period for which a server must be served
+/// without new requests, plus a margin.
+const DEFAULT_TIME_TO_END: Duration = Duration::from_millis(2_600);
 
-/// Time from the removal of a reclaimable server's entry to its end. Some servers say nothing before they are
-/// taken back; one second passes at least from the notice to the end, part of it on the entry's way here.
-const SILENT_LEAVE: Duration = Duration::from_millis(900);
+/// Time from the removal of a reclaimable server's entry to its end.
+///
+/// Some servers announce nothing before they are reclaimed. At least one second passes between the reclaim notice and
+/// the end, part of which is spent on the propagation of the removal.
+const SILENT_TIME_TO_END: Duration = Duration::from_millis(900);
 
-/// How long an entry that lapsed in an outage of the store may be missing after the store's return.
+/// How long an entry that expired in a store outage may be missing after the store's return.
 ///
-/// Servers that live put their entries back within two seconds; one that is still missing then is gone.
-const RETURN_TIME: Duration = Duration::from_millis(2_300);
+/// Running servers restore their entries within two seconds; a server whose entry is still missing after that is gone.
+const REREGISTRATION_WINDOW: Duration = Duration::from_millis(2_300);
 
-/// How long after the store's return an outage isn't believed in yet, so that others who had answers all the while have
-/// told so: twice the time between two such digests, and their way.
-const DOUBT_TIME: Duration = Duration::from_millis(600);
+/// Delay after the store's return before an outage counts as confirmed.
+///
+/// Twice the digest interval plus the delivery time, so that VMs that could read the store throughout have reported it.
+const OUTAGE_CONFIRMATION_DELAY: Duration = Duration::from_millis(600);
 
-/// How long a server without an entry is remembered, so that running requests keep their load entry.
-const FORGET_AFTER: Duration = Duration::from_secs(60);
+/// How long a server without an entry is kept, so that running requests keep their load entry.
+const REMOVED_SERVER_TTL: Duration = Duration::from_secs(60);
 
-/// A time in which the store answered nobody.
+/// A period in which the store answered no VM.
 #[derive(Clone, Copy, Debug)]
 struct Outage {
     from: TimePoint,
@@ -216,58 +224,61 @@
 }
 
 impl Outage {
-    /// Whether entries that lapsed in it may still be missing.
+    /// Returns whether entries that expired in the outage may still be missing.
     fn is_recent(&self, now: TimePoint) -> bool {
-        self.to.since(self.from) >= LAPSE_AFTER && now.since(self.to) < RETURN_TIME
+        self.to.since(self.from) >= LAPSE_AFTER && now.since(self.to) < REREGISTRATION_WINDOW
     }
 
-    /// Whether it was long enough ago that others would have denied it.
-    fn is_believed(&self, now: TimePoint) -> bool {
-        now.since(self.to) >= DOUBT_TIME
+    /// Returns whether enough time has passed for other VMs to have contradicted the outage.
+    fn is_confirmed(&self, now: TimePoint) -> bool {
+        now.since(self.to) >= OUTAGE_CONFIRMATION_DELAY
     }
 }
 
-/// All servers, by name. A server that starts again may keep its name; it then has none of the work, the memory
-/// and the record of its earlier start.
+/// All known servers, by name.
+///
+/// A server may keep its name when it restarts; the new start inherits no load, signals or statistics from the earlier
+/// one.
 #[derive(Clone, Debug, Default)]
 pub struct ServerTable {
     servers: IndexMap<BackendServerName, Server>,
-    /// Servers whose entries were removed, and when, oldest first.
-    gone: VecDeque<(TimePoint, BackendServerName)>,
-    /// Since when the store answers nobody.
-    store_away: Option<TimePoint>,
-    /// The last time that it was away.
-    outage: Option<Outage>,
-    /// This VM's place among all VMs, by which limits that servers name are divided.
-    seat: Seat,
-    /// Milliseconds of true time at the origin of this VM's clock.
-    true_origin_ms: i64,
-    /// Servers that could not be reached lately, by data centre.
-    unreached: IndexMap<DataCentreName, Vec<(TimePoint, BackendServerName)>>,
+    /// Servers whose entries were removed, with the time of removal, oldest first.
+    removed_servers: VecDeque<(TimePoint, BackendServerName)>,
+    /// Start of the current outage of the store.
+    store_unreachable_since: Option<TimePoint>,
+    /// The most recent outage that has ended.
+    last_outage: Option<Outage>,
+    /// This VM's rank, by which rate limits of servers are divided.
+    rank: Seat,
+    /// Wall-clock time at the origin of this VM's clock, in Unix milliseconds.
+    wall_clock_origin_ms: i64,
+    /// Servers to which connections failed recently, by data centre.
+    recently_unreachable: IndexMap<DataCentreName, Vec<(TimePoint, BackendServerName)>>,
 }
 
-/// Different servers of a data centre that have to be out of reach for the whole data centre to count so.
-const UNREACHED_SERVERS: usize = 2;
-/// Time within which they have to be.
-const UNREACHED_WITHIN: Duration = Duration::from_millis(1_500);
-/// How long a data centre that is out of reach is left alone before a request tries it again.
-const CENTRE_PAUSE: Duration = Duration::from_millis(1_500);
+/// Number of different unreachable servers of a data centre from which on the whole data centre counts as unreachable.
+const MIN_UNREACHABLE_SERVERS: usize = 2;
+/// Window in which these servers have to be found unreachable.
+const UNREACHABLE_WINDOW: Duration = Duration::from_millis(1_500);
+/// How long an unreachable data centre gets no requests before it is tried again.
+const CENTRE_RETRY_INTERVAL: Duration = Duration::from_millis(1_500);
 
 fn millis(at: TimePoint) -> i64 {
     (at.as_micros() / 1_000).cast_signed()
 }
 
-/// Stands for one start of a server, the same on all entry VMs.
+/// Returns a hash of one start of a server, equal on all entry VMs.
 pub fn start_hash(name: &BackendServerName, start: ServerStart) -> u64 {
     mix(hash_text(name.as_str()), start.0)
 }
 
 impl ServerTable {
-    /// Takes an entry of the list; `true` if the server, or this start of it, wasn't listed before.
+    /// Adds or updates a server from its entry. Returns `true` if the server, or this start of it, wasn't listed
+    /// before.
     ///
-    /// Failure: a server crashes and starts again under its name. Symptom: it gets nothing until it is forgotten,
-    /// for its earlier start had announced that it leaves, or it gets too little, for what that start was running
-    /// still counts. A new start begins with an empty record, and what an earlier one says late changes nothing.
+    /// A newer start replaces the earlier one with an empty record: if a crashed server restarts under its name and
+    /// inherited the record, its earlier announcement to leave would exclude it until the record expires, and requests
+    /// of the earlier start would still count as its load. Entries of an earlier start are ignored.
     pub fn listed(&mut self, name: &BackendServerName, entry: ServerEntry, now: TimePoint) -> bool {
         match self.servers.get(name).map(|it| it.entry.start) {
             Some(known) if entry.start < known => return false,
@@ -283,8 +294,8 @@
             listing: Listing::Listed,
             leaving: None,
             limit: None,
-            limit_named_at: None,
-            rests_until: TimePoint::ZERO,
+            limit_stated_at: None,
+            rest_until: TimePoint::ZERO,
             allowance: Allowance::default(),
             goes_at: None,
             since: now,
@@ -298,72 +309,74 @@
         server.listing = Listing::Listed;
         if draining {
             server.leaving.get_or_insert(Leaving::Announced);
-            let left = server.entry.leaves_in.unwrap_or(USUAL_LEAVE);
-            let goes_at = now + left;
+            let time_left = server.entry.leaves_in.unwrap_or(DEFAULT_TIME_TO_END);
+            let goes_at = now + time_left;
             server.goes_at = Some(server.goes_at.map_or(goes_at, |it| it.min(goes_at)));
         }
         !was_listed
     }
 
-    /// Notes that an entry was removed, and says what that is taken for; `None` where it is known or the server isn't.
+    /// Records the removal of an entry and returns its interpretation, or `None` if the server is unknown or its
+    /// removal is already recorded.
     ///
-    /// Failure: a reclaimed server's entry is removed without an announcement. Symptom: a second later all its
-    /// streams are cut, though there was time to move them. Unless the entry may have lapsed in an outage of
-    /// the store, the server is taken for one that goes.
+    /// Unless the entry may have expired in a store outage, the server is expected to end soon. The entry of a
+    /// reclaimed server can be removed without an announcement; without this rule, its streams would be cut a second
+    /// later although there was time to migrate them.
     pub fn removed(&mut self, name: &BackendServerName, now: TimePoint) -> Option<Removal> {
-        let may_have_lapsed = self.may_lapse(now, now);
+        let may_have_expired = self.may_have_expired_in_outage(now, now);
         let server = self.servers.get_mut(name)?;
         if matches!(server.listing, Listing::Removed(_)) {
             return None;
         }
         server.listing = Listing::Removed(now);
-        let removal = if may_have_lapsed {
+        let removal = if may_have_expired {
             Removal::MayHaveLapsed
         } else {
-            server.leaves_silently(now);
+            server.expect_silent_end(now);
             Removal::Leaving
         };
-        self.gone.push_back((now, name.clone()));
-        self.forget_gone(now);
+        self.removed_servers.push_back((now, name.clone()));
+        self.evict_removed(now);
         Some(removal)
     }
 
-    /// Forgets servers whose entries were removed long ago.
-    fn forget_gone(&mut self, now: TimePoint) {
-        while let Some((at, _)) = self.gone.front()
-            && now.since(*at) >= FORGET_AFTER
+    /// Drops servers whose entries were removed longer than [`REMOVED_SERVER_TTL`] ago.
+    fn evict_removed(&mut self, now: TimePoint) {
+        while let Some((at, _)) = self.removed_servers.front()
+            && now.since(*at) >= REMOVED_SERVER_TTL
         {
-            let Some((at, name)) = self.gone.pop_front() else { return };
+            let Some((at, name)) = self.removed_servers.pop_front() else { return };
             if self.servers.get(&name).is_some_and(|it| it.listing == Listing::Removed(at)) {
                 self.servers.swap_remove(&name);
             }
         }
     }
 
-    /// Notes that what stands under a server's name can't be read: another writer's, or spoiled. The server gets
-    /// nothing new until it says again what it is; what it runs goes on.
+    /// Marks a server whose stored entry can't be decoded, because another writer overwrote or corrupted it.
+    ///
+    /// The server gets no new requests until a valid entry appears; its running requests continue.
     pub fn unreadable(&mut self, name: &BackendServerName) {
         if let Some(server) = self.servers.get_mut(name) {
             server.listing = Listing::Unreadable;
         }
     }
 
-    /// Whether an entry that went missing at `removed` may have lapsed in an outage of the store, so that it may still be
-    /// put back.
+    /// Returns whether an entry that went missing at `removed` may have expired in a store outage and may still be
+    /// restored.
     ///
-    /// Failure: all that is removed counts as lapsed once the store is back. Symptom: requests reach servers that left
-    /// before the outage, or whose removal was read while the store answered. Only what went missing since the
-    /// store answered last, and until living servers had time to return, may have lapsed.
-    fn may_lapse(&self, removed: TimePoint, now: TimePoint) -> bool {
-        if let Some(from) = self.store_away {
+    /// This holds only for entries that went missing since the store last answered, and only until running servers have
+    /// had time to restore them. If every missing entry counted as expired after an outage, requests would reach
+    /// servers that left before it, or whose removal was read while the store answered.
+    fn may_have_expired_in_outage(&self, removed: TimePoint, now: TimePoint) -> bool {
+        if let Some(from) = self.store_unreachable_since {
             return removed >= from && now.since(from) >= LAPSE_AFTER;
         }
-        let outage = self.outage.filter(|it| it.is_recent(now));
-        outage.is_some_and(|it| removed >= it.from)
+        let last_outage = self.last_outage.filter(|it| it.is_recent(now));
+        last_outage.is_some_and(|it| removed >= it.from)
     }
 
-    /// Takes a whole list: what isn't in it was removed, and is returned. Entries under the `unreadable` names stand
-    /// there, but say nothing.
+    /// Replaces the whole list and returns the servers whose entries were removed. Entries under the names in
+    /// `unreadable` exist but can't be decoded.
     pub fn replace_all(
         &mut self,
         entries: Vec<(BackendServerName, ServerEntry)>,
@@ -384,26 +397,25 @@
         for (name, entry) in entries {
             self.listed(&name, entry, now);
         }
-        self.forget_gone(now);
+        self.evict_removed(now);
         missing
     }
 
-    /// Takes evidence from a request that a server leaves.
+    /// Records that a request showed that a server leaves.
     ///
-    /// Leaving is never taken back: entries lag behind answers, and an old `ready` would bring back a
-    /// server that is about to go.
+    /// Leaving is never revoked: entries lag behind answers, and an old `ready` entry would bring back a server that is
+    /// about to end.
     pub fn leaves(&mut self, name: &BackendServerName, start: ServerStart, why: Leaving) {
         if let Some(server) = self.get_mut(name, start) {
             server.leaving.get_or_insert(why);
         }
     }
 
-    /// Notes that a server could not be reached from here, and returns those that are out of reach by that: it alone, or
-    /// all of its data centre.
+    /// Records that a connection to a server failed, and returns the servers that now count as unreachable: the server
+    /// alone, or all servers of its data centre.
     ///
-    /// Failure: a data centre is cut off, and each of its servers has to be tried to be known for out of
-    /// reach. Symptom: a caller for each of them waits for a connection in vain. After two different servers
-    /// the whole data centre is left alone for a while.
+    /// After two different servers, the whole data centre is paused. Otherwise, when a data
+    /// centre is cut off, one caller per server would wait for a connection in vain.
     pub fn unreachable(
         &mut self,
         name: &BackendServerName,
@@ -413,102 +425,104 @@
         let Some(server) = self.get_mut(name, start) else { return Vec::new() };
         server.load.unreachable(now);
         let centre = server.entry.data_centre.clone();
-        let lately = self.unreached.entry(centre.clone()).or_default();
-        lately.retain(|(at, it)| now.since(*at) <= UNREACHED_WITHIN && it != name);
-        lately.push((now, name.clone()));
-        if lately.len() < UNREACHED_SERVERS {
+        let recent = self.recently_unreachable.entry(centre.clone()).or_default();
+        recent.retain(|(at, it)| now.since(*at) <= UNREACHABLE_WINDOW && it != name);
+        recent.push((now, name.clone()));
+        if recent.len() < MIN_UNREACHABLE_SERVERS {
             return vec![(name.clone(), start)];
         }
-        let mut out_of_reach = Vec::new();
+        let mut affected = Vec::new();
         for (name, server) in &mut self.servers {
             if server.entry.data_centre == centre {
-                server.load.full(CENTRE_PAUSE, now);
-                out_of_reach.push((name.clone(), server.entry.start));
+                server.load.full(CENTRE_RETRY_INTERVAL, now);
+                affected.push((name.clone(), server.entry.start));
             }
         }
-        out_of_reach
+        affected
     }
 
-    /// Notes that the store has answered nobody since that moment. Where it was back for less time than entries need to
-    /// return, it is the same outage.
+    /// Starts an outage of the store, which has answered no VM since `since`. If the previous outage ended so recently
+    /// that entries may still be missing, the outage continues it.
     pub fn store_lost(&mut self, since: TimePoint) {
-        let before = self.outage.take().filter(|it| it.is_recent(since));
-        self.store_away.get_or_insert(before.map_or(since, |it| it.from));
+        let before = self.last_outage.take().filter(|it| it.is_recent(since));
+        self.store_unreachable_since.get_or_insert(before.map_or(since, |it| it.from));
     }
 
-    /// Whether the store is taken for away.
+    /// Returns whether the store is considered unreachable.
     pub fn is_store_away(&self) -> bool {
-        self.store_away.is_some()
+        self.store_unreachable_since.is_some()
     }
 
-    /// Notes that the store answers again.
+    /// Ends the current outage: the store answers again.
     pub fn store_found(&mut self, now: TimePoint) {
-        if let Some(from) = self.store_away.take() {
-            self.outage = Some(Outage { from, to: now });
+        if let Some(from) = self.store_unreachable_since.take() {
+            self.last_outage = Some(Outage { from, to: now });
         }
     }
 
-    /// Notes that the store had answered others while it answered nobody who was heard: what was removed has not
-    /// lapsed, and its servers leave.
+    /// Cancels the current and the previous outage, because another VM reports that the store answered throughout.
+    /// Removed entries did not expire, so their servers are expected to end.
     pub fn store_never_away(&mut self, now: TimePoint) {
-        self.store_away = None;
-        self.outage = None;
+        self.store_unreachable_since = None;
+        self.last_outage = None;
         let removed = |it: &&mut Server| matches!(it.listing, Listing::Removed(_));
         for server in self.servers.values_mut().filter(removed) {
-            server.leaves_silently(now);
+            server.expect_silent_end(now);
         }
     }
 
-    /// Takes this VM's place among all VMs, and true time. Without them a VM keeps a server's limit as if it were alone.
-    pub fn set_seat(&mut self, seat: Seat, true_ms: i64, now: TimePoint) {
-        self.seat = seat;
-        self.true_origin_ms = true_ms - millis(now);
+    /// Sets this VM's rank and the wall-clock time. Until then, the VM keeps to rate limits as if it were the only one.
+    pub fn set_seat(&mut self, rank: Seat, wall_clock_ms: i64, now: TimePoint) {
+        self.rank = rank;
+        self.wall_clock_origin_ms = wall_clock_ms - millis(now);
     }
 
-    /// Why a server gets nothing from this VM at present though it may get new work, for what it said of itself.
+    /// Returns why a server that is otherwise usable currently gets no requests from this VM, according to its own
+    /// signals.
     pub fn restraint(&self, server: &Server, now: TimePoint) -> Option<Restraint> {
         if server.is_resting(now) {
-            return Some(Restraint::Resting { left: server.rests_until.since(now) });
+            return Some(Restraint::Resting { left: server.rest_until.since(now) });
         }
         let limit = server.limit?;
-        let (seat, true_ms) = (self.seat, self.true_ms(now));
-        let has_left = server.allowance.has_left(limit, server.hash, seat, true_ms);
-        (!has_left).then_some(Restraint::Limited { limit })
+        let (rank, wall_clock_ms) = (self.rank, self.wall_clock_ms(now));
+        let is_allowed = server.allowance.has_left(limit, server.hash, rank, wall_clock_ms);
+        (!is_allowed).then_some(Restraint::Limited { limit })
     }
 
-    /// Takes one request out of what a server's limit leaves to this VM.
+    /// Takes one request from this VM's share of a server's rate limit. Returns `false` if the share is used up or this
+    /// start is unknown.
     pub fn spend_allowance(
         &mut self,
         name: &BackendServerName,
         start: ServerStart,
         now: TimePoint,
     ) -> bool {
-        let (seat, true_ms) = (self.seat, self.true_ms(now));
+        let (rank, wall_clock_ms) = (self.rank, self.wall_clock_ms(now));
         let Some(server) = self.get_mut(name, start) else { return false };
         let Some(limit) = server.limit else { return true };
-        server.allowance.spend(limit, server.hash, seat, true_ms)
+        server.allowance.spend(limit, server.hash, rank, wall_clock_ms)
     }
 
-    /// Until servers of these limits leave room for this VM's next request, on average.
+    /// Returns the mean time until servers with these limits allow this VM's next request.
     pub(crate) fn wait_for_allowance(&self, limits: &[RequestRate]) -> Duration {
         let per_second: f64 = limits.iter().map(|it| it.per_second()).sum();
-        let seconds = self.seat.of as f64 / per_second;
+        let seconds = self.rank.of as f64 / per_second;
         Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX)
     }
 
-    fn true_ms(&self, now: TimePoint) -> i64 {
-        self.true_origin_ms + millis(now)
+    fn wall_clock_ms(&self, now: TimePoint) -> i64 {
+        self.wall_clock_origin_ms + millis(now)
     }
 
-    /// Whether a server may get new work.
+    /// Returns whether a server may get new requests.
     ///
-    /// Failure: the store was away, entries lapsed meanwhile, and all servers look gone at its return.
-    /// Symptom: every request is refused for two seconds. Entries that went missing around an outage
-    /// therefore count until the time has passed in which living servers put theirs back.
+    /// If the store is unreachable, entries expire, and all servers look removed when it returns; every request would
+    /// be refused for two seconds. Entries that went missing around an outage therefore count until running servers
+    /// have had time to restore them.
     ///
-    /// Failure: a VM gets no processor time for two seconds, and its first answer of the store looks like the end of an
-    /// outage. Symptom: until others have told it otherwise, requests reach servers that left meanwhile. At first
-    /// what is missing is a last resort only.
+    /// If a VM gets no processor time for two seconds, its first answer of the store looks like the end of an outage.
+    /// So that requests don't reach servers that left meanwhile, missing entries are only a last resort until the
+    /// outage is confirmed.
     pub fn is_usable(&self, server: &Server, now: TimePoint) -> bool {
         if server.leaving.is_some() {
             return false;
@@ -517,37 +531,38 @@
             Listing::Listed => true,
             Listing::Unreadable => false,
             Listing::Removed(at) => {
-                let is_believed = self.outage.is_some_and(|it| it.is_believed(now));
-                is_believed && self.may_lapse(at, now)
+                let is_confirmed = self.last_outage.is_some_and(|it| it.is_confirmed(now));
+                is_confirmed && self.may_have_expired_in_outage(at, now)
             }
         }
     }
 
-    /// Whether the list may lack servers that live: their entries lapse in an outage of the store, and are back some
+    /// Returns whether entries of running servers may be missing: they expire in a store outage and are restored some
     /// time after it.
     pub fn may_lack_entries(&self, now: TimePoint) -> bool {
-        match self.store_away {
+        match self.store_unreachable_since {
             Some(since) => now.since(since) >= LAPSE_AFTER,
-            None => self.outage.is_some_and(|it| it.is_recent(now)),
+            None => self.last_outage.is_some_and(|it| it.is_recent(now)),
         }
     }
 
-    /// Whether a server's entry may have lapsed while it lives, so lately that it isn't back yet.
-    fn may_have_lapsed(&self, server: &Server, now: TimePoint) -> bool {
+    /// Returns whether the server may still be running although its entry expired, and has had no time to restore the
+    /// entry.
+    fn may_have_expired(&self, server: &Server, now: TimePoint) -> bool {
         let Listing::Removed(at) = server.listing else { return false };
-        let is_late = now.since(at) >= RETURN_TIME;
-        server.leaving.is_none() && !is_late && self.may_lapse(at, now)
+        let is_overdue = now.since(at) >= REREGISTRATION_WINDOW;
+        server.leaving.is_none() && !is_overdue && self.may_have_expired_in_outage(at, now)
     }
 
-    /// Whether a server may get a request: it is usable, or no other of its service is and its entry may only have
-    /// lapsed.
+    /// Returns whether a server may get a request: it is usable, or no server of its service is and its entry may
+    /// merely have expired.
     ///
-    /// Failure: all entries lapse in an outage, and a VM that can't read the store yet is told so. Symptom: it refuses
-    /// every request for two seconds. A server that was removed is a last resort only: where others are
-    /// listed, a single removal means that it leaves.
+    /// If all entries expire in an outage and a VM that can't read the store yet learns of their removal, it would
+    /// otherwise refuse every request for two seconds. A removed server is only a last resort: where others are listed,
+    /// a single removal means that the server leaves.
     pub fn may_take(&self, server: &Server, now: TimePoint) -> bool {
         self.is_usable(server, now)
-            || (self.may_have_lapsed(server, now) && !self.has_usable(&server.entry.service, now))
+            || (self.may_have_expired(server, now) && !self.has_usable(&server.entry.service, now))
     }
 
     fn has_usable(&self, service: &ServiceName, now: TimePoint) -> bool {
@@ -555,26 +570,26 @@
         of_service.any(|it| self.is_usable(it, now))
     }
 
-    /// When that start of a server will be gone, if it leaves, as far as known.
+    /// Returns when this start of a server is expected to end, if that is known.
     pub fn goes_at(&self, name: &BackendServerName, start: ServerStart) -> Option<TimePoint> {
         self.servers.get(name).filter(|it| it.entry.start == start)?.goes_at
     }
 
-    /// A server by name.
+    /// Returns a server by name.
     pub fn get(&self, name: &BackendServerName) -> Option<&Server> {
         self.servers.get(name)
     }
 
-    /// A server by name, to change its load, if it hasn't started again since `start`.
+    /// Returns a server by name, mutably, unless it has restarted since `start`.
     ///
-    /// Failure: a request that an earlier start ran ends after the new one was listed. Symptom: its work is taken
-    /// off the new start, which looks idle and is sent too much.
+    /// A request of an earlier start may end after the new start was listed. If its work were subtracted from the new
+    /// start, that would look idle and get too many requests.
     pub fn get_mut(&mut self, name: &BackendServerName, start: ServerStart) -> Option<&mut Server> {
         self.servers.get_mut(name).filter(|it| it.entry.start == start)
     }
 
-    /// The entries that stand in the list, as other VMs should know them: a server may have said that it leaves before
-    /// its entry does.
+    /// Returns the listed entries for other VMs. They include announcements to leave from answers, which precede those
+    /// in entries.
     pub fn listed_entries(&self) -> impl Iterator<Item = (BackendServerName, ServerEntry)> {
         let listed = self.servers.iter().filter(|(_, it)| it.listing == Listing::Listed);
         listed.map(|(name, it)| {
@@ -583,24 +598,24 @@
         })
     }
 
-    /// All servers that are remembered.
+    /// Iterates over all servers that are kept.
     pub fn all(&self) -> impl Iterator<Item = (&BackendServerName, &Server)> {
         self.servers.iter()
     }
 
-    /// All servers that are remembered, to change their load.
+    /// Iterates mutably over all servers that are kept.
     pub fn all_mut(&mut self) -> impl Iterator<Item = (&BackendServerName, &mut Server)> {
         self.servers.iter_mut()
     }
 
-    /// This VM's own work at servers, for its peers.
+    /// Returns this VM's own work at each server, for its peers.
     pub fn own_work(&self, now: TimePoint) -> Works {
         let busy = self.servers.values().filter(|it| it.load.has_work());
         let work = busy.map(|it| (it.hash, it.load.own(now)));
         work.filter(|(_, it)| it.matters()).collect()
     }
 
-    /// Takes the work of all other VMs; servers that aren't named have none that matters.
+    /// Sets the work of all other VMs. Servers that `works` doesn't contain have no significant work.
     pub fn set_others(&mut self, works: &Works, now: TimePoint) {
         for server in self.servers.values_mut() {
             let work = works.get(&server.hash).copied().unwrap_or_default();
@@ -608,7 +623,8 @@
         }
     }
 
-    /// The servers of a service that may get new work.
+    /// Iterates over the servers of a service that may get new requests. If none is usable, these are the servers whose
+    /// entries may merely have expired.
     pub fn usable<'a>(
         &'a self,
         service: &'a ServiceName,
@@ -617,7 +633,7 @@
         let has_usable = self.has_usable(service, now);
         let of_service = self.servers.iter().filter(move |(_, it)| it.entry.service == *service);
         of_service.filter(move |(_, it)| {
-            self.is_usable(it, now) || (!has_usable && self.may_have_lapsed(it, now))
+            self.is_usable(it, now) || (!has_usable && self.may_have_expired(it, now))
         })
     }
 }
--- a/crates/quincevalve_forwarding/src/shared_limit.rs
+++ b/crates/quincevalve_forwarding/src/shared_limit.rs
@@ -1,9 +1,9 @@
-//! A bound over all entry VMs that each keeps for itself.
+//! Limits over all entry VMs that each VM enforces by itself.
 
-/// What all entry VMs together may do: so much for each request, and so much beyond.
+/// A limit on the sum over all entry VMs: a ratio of all requests, plus a constant slack.
 ///
-/// Each VM spends a ratio of its own requests and its part of the slack, so the sum stays below the limit without
-/// the VMs having to agree.
+/// Each VM spends a ratio of its own requests and its share of the slack, so the sum stays below the limit without
+/// coordination between the VMs.
 ///
 /// # Examples
 ///
@@ -15,35 +15,35 @@
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SharedLimit {
-    /// Allowed for each request.
+    /// Units allowed per request.
     pub ratio: f64,
-    /// Allowed beyond that, over all entry VMs.
+    /// Units allowed beyond that, over all entry VMs.
     pub slack: f64,
 }
 
 impl SharedLimit {
-    /// The part of one of `vms` entry VMs that has had so many requests.
-    pub fn part(&self, requests: u64, vms: usize) -> f64 {
-        self.ratio_part(requests) + self.slack_part(vms)
+    /// Returns the share of one of `vm_count` entry VMs that has received `requests` requests.
+    pub fn part(&self, requests: u64, vm_count: usize) -> f64 {
+        self.ratio_part(requests) + self.slack_part(vm_count)
     }
 
-    /// What requests alone allow.
+    /// Returns the share that is earned by requests.
     pub fn ratio_part(&self, requests: u64) -> f64 {
         self.ratio * requests as f64
     }
 
-    /// What one of `vms` entry VMs may do beyond it.
-    pub fn slack_part(&self, vms: usize) -> f64 {
-        self.slack / vms.max(1) as f64
+    /// Returns the share of the slack of one of `vm_count` entry VMs.
+    pub fn slack_part(&self, vm_count: usize) -> f64 {
+        self.slack / vm_count.max(1) as f64
     }
 }
 
-/// This VM's place among all VMs, in the same order everywhere.
+/// Rank of this VM among all VMs, in an order that is the same on every VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Seat {
-    /// From 0.
+    /// Rank, from 0.
     pub rank: usize,
-    /// All VMs.
+    /// Number of all VMs.
     pub of: usize,
 }
 
@@ -54,29 +54,29 @@
 }
 
 impl Seat {
-    /// That of a VM that knows no other.
+    /// Rank of a VM that knows no other.
     pub const ALONE: Self = Self { rank: 0, of: 1 };
 
-    /// This VM's part of a whole number of requests; the parts of all VMs add up to it. What can't be divided evenly
-    /// goes to other VMs with each `turn`.
+    /// Returns this VM's share of a whole number of requests; the shares of all VMs add up to it. `rotation` determines
+    /// which VMs get the remainder.
     ///
     /// # Examples
     ///
     /// ```
     /// use quincevalve_forwarding::shared_limit::Seat;
-    /// let parts = |turn| (0..3).map(move |rank| Seat { rank, of: 3 }.part_of(7, turn));
-    /// assert_eq!(parts(0).collect::<Vec<_>>(), [3, 2, 2]);
-    /// assert_eq!(parts(u64::MAX / 2).collect::<Vec<_>>(), [2, 2, 3]);
+    /// let shares = |rotation| (0..3).map(move |rank| Seat { rank, of: 3 }.part_of(7, rotation));
+    /// assert_eq!(shares(0).collect::<Vec<_>>(), [3, 2, 2]);
+    /// assert_eq!(shares(u64::MAX / 2).collect::<Vec<_>>(), [2, 2, 3]);
     /// ```
-    pub fn part_of(self, requests: u64, turn: u64) -> u64 {
+    pub fn part_of(self, requests: u64, rotation: u64) -> u64 {
         let of = self.of.max(1) as u64;
-        requests / of + u64::from(self.place(turn) < requests % of)
+        requests / of + u64::from(self.rotated_rank(rotation) < requests % of)
     }
 
-    /// This VM's place where the order begins with another VM each `turn`.
-    fn place(self, turn: u64) -> u64 {
+    /// Returns this VM's rank after the order was rotated by `rotation`, a fraction of a full turn in units of 2⁻⁶⁴.
+    fn rotated_rank(self, rotation: u64) -> u64 {
         let of = self.of.max(1) as u64;
-        let first = ((u128::from(turn) * u128::from(of)) >> u64::BITS) as u64;
+        let first = ((u128::from(rotation) * u128::from(of)) >> u64::BITS) as u64;
         (self.rank as u64 + first) % of
     }
 }
--- a/crates/quincevalve_forwarding/src/signal_outbox.rs
+++ b/crates/quincevalve_forwarding/src/signal_outbox.rs
@@ -1,33 +1,33 @@
-//! What servers said of themselves that other VMs haven't been told yet.
+//! Outbox of server signals that are still to be reported to other VMs.
 
 use indexmap::IndexMap;
 use quincevalve_names::BackendServerName;
 
 use crate::servers::ServerStart;
 
-/// One start of a server.
+/// Name and start of a server.
 pub type ServerKey = (BackendServerName, ServerStart);
 
-/// From whom a VM knows what a server said.
+/// Origin of a server's signals.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// The server's answer.
+    /// An answer of the server itself.
     Server,
-    /// A VM that tells this one, its collector, what it does.
+    /// A member of the group whose collector this VM is.
     Member,
-    /// Another collector.
+    /// The collector of another group.
     Collector,
-    /// The collector of this VM.
+    /// The collector of this VM's group.
     OwnCollector,
 }
 
-/// Datagrams that tell the same news to the same VM: one or two may be lost.
-const TELLINGS: u8 = 3;
+/// Number of datagrams to the same VM that carry an update, because one or two may be lost.
+const SENDS_PER_UPDATE: u8 = 3;
 
-/// News of servers that are still to be told, and to whom.
+/// Servers whose signals are still to be reported, by recipients.
 ///
-/// News goes the way that loads go: from a VM to its collector, from there to the other collectors and to all members.
-/// Each hop passes it on once, so that it ends.
+/// Reports take the same path as load digests: from a VM to its collector, and from there to the other collectors and
+/// to all members. Each hop forwards an update once, so that its propagation ends.
 ///
 /// # Examples
 ///
@@ -45,36 +45,38 @@
 }
 
 impl SignalOutbox {
-    /// Notes news of a server.
+    /// Queues an update of a server's signals for the recipients that its origin implies.
     pub fn push(&mut self, server: ServerKey, from: Source) {
         match from {
             Source::Server | Source::Member => {
-                self.collectors.insert(server.clone(), TELLINGS);
-                self.members.insert(server, TELLINGS);
+                self.collectors.insert(server.clone(), SENDS_PER_UPDATE);
+                self.members.insert(server, SENDS_PER_UPDATE);
             }
             Source::Collector => {
-                self.members.insert(server, TELLINGS);
+                self.members.insert(server, SENDS_PER_UPDATE);
             }
             Source::OwnCollector => {}
         }
     }
 
-    /// The servers of which this VM tells its collector, or as a collector the others, in this period.
+    /// Returns the servers to report in this period to the collector or, if this VM is a collector, to the other
+    /// collectors.
     pub fn for_collectors(&mut self) -> Vec<ServerKey> {
-        take_turn(&mut self.collectors)
+        take_due(&mut self.collectors)
     }
 
-    /// The servers of which this VM tells those whose collector it is, in this period.
+    /// Returns the servers that this VM, as a collector, reports to its members in this period.
     pub fn for_members(&mut self) -> Vec<ServerKey> {
-        take_turn(&mut self.members)
+        take_due(&mut self.members)
     }
 }
 
-fn take_turn(news: &mut IndexMap<ServerKey, u8>) -> Vec<ServerKey> {
-    let due = news.keys().cloned().collect();
-    news.retain(|_, left| {
-        *left -= 1;
-        *left > 0
+/// Returns all pending servers, counts this send and removes those that were sent often enough.
+fn take_due(pending: &mut IndexMap<ServerKey, u8>) -> Vec<ServerKey> {
+    let due = pending.keys().cloned().collect();
+    pending.retain(|_, sends_left| {
+        *sends_left -= 1;
+        *sends_left > 0
     });
     due
 }
--- a/crates/quincevalve_node/src/request/front.rs
+++ b/crates/quincevalve_node/src/request/front.rs
@@ -232,7 +232,7 @@
             let part = node.peers.borrow().reachable_part();
             log::info!(
                 id = req.id, account = account.as_str(), cost, level = over.level,
-                others = over.others, per_second = quota.per_second, burst = quota.burst, part,
+                others = over.peer_spending, per_second = quota.per_second, burst = quota.burst, part,
                 version = req.config.version;
                 "over-quota"
             );
