--- a/crates/quincevalve_forwarding/src/allowance.rs
+++ b/crates/quincevalve_forwarding/src/allowance.rs
@@ -2,7 +2,7 @@
 
 use quincevalve_names::mix;
 
-use crate::{server_signals::RequestRate, shared_limit::Seat};
+use crate::{server_signals::RequestRate, shared_limit::VmRank};
 
 /// Length of a frame of wall-clock time, in milliseconds.
 const FRAME_MS: i64 = 250;
@@ -30,13 +30,13 @@
 ///
 /// ```
 /// use quincevalve_forwarding::{
-///     allowance::Allowance, server_signals::RequestRate, shared_limit::Seat,
+///     allowance::Allowance, server_signals::RequestRate, shared_limit::VmRank,
 /// };
 /// let limit = RequestRate::new(8.0).expect("a rate");
 /// let mut sent = 0;
 /// for rank in 0..4 {
-///     let (vm_rank, mut allowance) = (Seat { rank, of: 4 }, Allowance::default());
-///     sent += (0..100).filter(|_| allowance.spend(limit, 7, vm_rank, 10_000)).count();
+///     let (vm_rank, mut allowance) = (VmRank { rank, vm_count: 4 }, Allowance::default());
+///     sent += (0..100).filter(|_| allowance.try_spend(limit, 7, vm_rank, 10_000)).count();
 /// }
 /// // Together, the four VMs send what the limit allows in a second.
 /// assert_eq!(sent, 8);
@@ -48,22 +48,22 @@
 
 impl Allowance {
     /// Returns whether one more request may be sent to `server`, the hash of its start, at a wall-clock time.
-    pub fn has_left(
+    pub fn has_remaining(
         &self,
         limit: RequestRate,
         server: u64,
-        rank: Seat,
+        rank: VmRank,
         wall_clock_ms: i64,
     ) -> bool {
         self.oldest_frame_with_remaining(limit, server, rank, wall_clock_ms).is_some()
     }
 
     /// Takes one request from the allowance; returns `false` if nothing remains.
-    pub fn spend(
+    pub fn try_spend(
         &mut self,
         limit: RequestRate,
         server: u64,
-        rank: Seat,
+        rank: VmRank,
         wall_clock_ms: i64,
     ) -> bool {
         let Some(frame) = self.oldest_frame_with_remaining(limit, server, rank, wall_clock_ms)
@@ -80,14 +80,15 @@
         &self,
         limit: RequestRate,
         server: u64,
-        rank: Seat,
+        rank: VmRank,
         wall_clock_ms: i64,
     ) -> Option<i64> {
         let newest = wall_clock_ms.div_euclid(FRAME_MS);
         let mut frames = newest - (SPENDABLE_FRAMES - 1)..=newest;
         frames.find(|frame| {
             let rotation = mix(server, frame.cast_unsigned());
-            self.requests_spent(*frame) < rank.part_of(requests_in(limit, server, *frame), rotation)
+            self.requests_spent(*frame)
+                < rank.share_of(requests_in(limit, server, *frame), rotation)
         })
     }
 
--- a/crates/quincevalve_forwarding/src/lib.rs
+++ b/crates/quincevalve_forwarding/src/lib.rs
@@ -21,7 +21,7 @@
 pub mod quota;
 pub mod rate;
 pub mod request_digest;
-pub mod retry_window;
+pub mod retry_budget;
 pub mod rollout;
 pub mod server_signals;
 pub mod servers;
--- a/crates/quincevalve_forwarding/src/peer_book.rs
+++ b/crates/quincevalve_forwarding/src/peer_book.rs
@@ -14,7 +14,7 @@
 use serde::{Deserialize, Serialize};
 
 use self::ranking::{Rank, Ranking};
-use crate::{shared_limit::Seat, store_pacing::ReadingPart};
+use crate::{shared_limit::VmRank, store_pacing::ReadingPart};
 
 /// Up to this many VMs everyone tells everyone: a dozen datagrams a period are cheap, and there is no
 /// collector to lose.
@@ -206,13 +206,13 @@
     }
 
     /// This VM's place among all that are listed, in an order of `key`'s own.
-    pub fn seat(&self, key: u64) -> Seat {
+    pub fn seat(&self, key: u64) -> VmRank {
         let me = rendezvous_score(key, self.me_hash);
         let listed = self.peers.values().filter(|it| it.listed);
         let (before, others) = listed.fold((0, 0), |(before, others), it| {
             (before + usize::from(rendezvous_score(key, it.hash) > me), others + 1)
         });
-        Seat { rank: before, of: others + 1 }
+        VmRank { rank: before, vm_count: others + 1 }
     }
 
     /// The other VMs that may still have something to tell.
--- a/crates/quincevalve_forwarding/src/placement.rs
+++ b/crates/quincevalve_forwarding/src/placement.rs
@@ -190,13 +190,13 @@
         for restraint in restraints {
             match restraint {
                 Restraint::Limited { limit } => limits.push(limit),
-                Restraint::Resting { left } => rest = rest.min(left),
+                Restraint::Resting { remaining } => rest = rest.min(remaining),
             }
         }
         if limits.is_empty() {
             NoPlace::Resting { wait: rest }
         } else {
-            NoPlace::Limited { wait: self.wait_for_allowance(&limits) }
+            NoPlace::Limited { wait: self.expected_allowance_wait(&limits) }
         }
     }
 }
--- a/crates/quincevalve_forwarding/src/quota.rs
+++ b/crates/quincevalve_forwarding/src/quota.rs
@@ -65,14 +65,14 @@
 
 /// A request's demand on its account's quota.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct QuotaAsk {
+pub struct QuotaRequest {
     /// Units that the request costs.
     pub cost: f64,
     /// Urgency; 0 is the most urgent.
     pub urgency: u8,
 }
 
-impl QuotaAsk {
+impl QuotaRequest {
     /// Returns the bucket levels between which the request is admitted by chance: below them never, above them always.
     fn ramp_bounds(self, quota: &BucketParameters) -> (f64, f64) {
         let Some(large_cost) = quota.large_cost else { return (0.0, quota.ramp_width) };
@@ -244,7 +244,7 @@
 /// use only the fraction of the rate for the VMs that they can reach, so the sum stays below the quota on both sides of
 /// a partition.
 #[derive(Clone, Debug)]
-pub struct QuotaBook {
+pub struct QuotaTable {
     limits: QuotaLimits,
     started_at: TimePoint,
     reachable_fraction: f64,
@@ -253,7 +253,7 @@
     buckets: HashMap<ClientAccountName, Bucket>,
 }
 
-impl QuotaBook {
+impl QuotaTable {
     /// Creates the table of a VM that starts at `now`. In any window, an account gets at most its rate, its burst and a
     /// fraction of the tolerance.
     pub fn new(limits: QuotaLimits, now: TimePoint) -> Self {
@@ -270,11 +270,11 @@
     ///
     /// A request is admitted while the bucket is above zero and may make it negative; later requests pay the debt back.
     /// Near zero, `draw`, a random number from 0 to 1, decides: larger and less urgent requests are rejected earlier.
-    pub fn take(
+    pub fn try_spend(
         &mut self,
         account: &ClientAccountName,
         quota: &Quota,
-        ask: QuotaAsk,
+        ask: QuotaRequest,
         draw: f64,
         now: TimePoint,
     ) -> Result<(), OverQuota> {
@@ -299,7 +299,7 @@
     }
 
     /// Refunds the cost of a request that was rejected later and has not run.
-    pub fn give_back(&mut self, account: &ClientAccountName, cost: f64, now: TimePoint) {
+    pub fn refund(&mut self, account: &ClientAccountName, cost: f64, now: TimePoint) {
         if let Some(bucket) = self.buckets.get_mut(account) {
             bucket.spend(-cost, now);
         }
@@ -314,7 +314,7 @@
 
     /// Applies the current spending of all other VMs, in units per second. `reachable_fraction` is the fraction of the
     /// entry VMs that the report covers, including this one.
-    pub fn set_others(
+    pub fn set_peer_spending(
         &mut self,
         spending: &Spending,
         reachable_fraction: f64,
--- a/crates/quincevalve_forwarding/src/retry_window.rs
+++ b/crates/quincevalve_forwarding/src/retry_budget.rs
@@ -36,30 +36,30 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use quincevalve_forwarding::retry_window::{RetryLimits, RetryWindow};
+/// use quincevalve_forwarding::retry_budget::{RetryLimits, RetryBudget};
 /// use quincevalve_names::TimePoint;
 /// let limits = RetryLimits { ratio: 0.2, slack: 20.0, window: Duration::from_secs(10) };
-/// let mut window = RetryWindow::default();
+/// let mut budget = RetryBudget::default();
 /// // One of two VMs: 0.7 × 20 / 2 = 7 retries without any request.
-/// let taken = (0..10).filter(|_| window.spend(&limits, 2, TimePoint::ZERO)).count();
+/// let taken = (0..10).filter(|_| budget.try_spend(&limits, 2, TimePoint::ZERO)).count();
 /// assert_eq!(taken, 7);
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct RetryWindow {
+pub struct RetryBudget {
     requests: VecDeque<TimePoint>,
     retries: VecDeque<TimePoint>,
 }
 
-impl RetryWindow {
+impl RetryBudget {
     /// Records the first attempt of a request.
-    pub fn request(&mut self, now: TimePoint) {
+    pub fn record_request(&mut self, now: TimePoint) {
         self.requests.push_back(now);
     }
 
     /// Takes one retry from the budget of `vm_count` entry VMs; returns `false` if none remains.
-    pub fn spend(&mut self, limits: &RetryLimits, vm_count: usize, now: TimePoint) -> bool {
+    pub fn try_spend(&mut self, limits: &RetryLimits, vm_count: usize, now: TimePoint) -> bool {
         self.evict_expired(limits.window, now);
-        let allowed = USED_SHARE * limits.shared().part(self.requests.len() as u64, vm_count);
+        let allowed = USED_SHARE * limits.shared().share(self.requests.len() as u64, vm_count);
         if (self.retries.len() + 1) as f64 > allowed {
             return false;
         }
--- a/crates/quincevalve_forwarding/src/rollout/exposure.rs
+++ b/crates/quincevalve_forwarding/src/rollout/exposure.rs
@@ -1,6 +1,6 @@
 //! Limits the requests that this VM sends to a version that isn't known to be good.
 
-use crate::shared_limit::{Seat, SharedLimit};
+use crate::shared_limit::{SharedLimit, VmRank};
 
 /// Fraction of the promised limit that is used. The rest covers VMs that don't know each other yet, streams that are
 /// migrated, and faults that show only during the promotion.
@@ -17,11 +17,11 @@
 /// # Examples
 ///
 /// ```
-/// use quincevalve_forwarding::{rollout::exposure::Exposure, shared_limit::{Seat, SharedLimit}};
+/// use quincevalve_forwarding::{rollout::exposure::Exposure, shared_limit::{VmRank, SharedLimit}};
 /// let limit = SharedLimit { ratio: 0.1, slack: 0.0 };
 /// let mut exposure = Exposure::new(true);
 /// (0..100).for_each(|_| exposure.record_request());
-/// let vm_rank = Seat { rank: 0, of: 1 };
+/// let vm_rank = VmRank { rank: 0, vm_count: 1 };
 /// let sent = (0..20).filter(|_| exposure.may_send(&limit, vm_rank, 1.0) && exposure.record_sent() > 0);
 /// assert_eq!(sent.count(), 9);
 /// ```
@@ -50,10 +50,11 @@
     }
 
     /// Returns whether one more request may be sent to the new version, where `fraction` of the limit may be used so far.
-    pub fn may_send(&self, limit: &SharedLimit, vm_rank: Seat, fraction: f64) -> bool {
-        let slack = if self.has_slack { limit.slack_part(vm_rank.of) } else { 0.0 };
-        let allowed = USED_FRACTION * fraction * (limit.ratio_part(self.requests) + slack);
-        let rounded = (allowed + (vm_rank.rank as f64 + 0.5) / vm_rank.of.max(1) as f64).floor();
+    pub fn may_send(&self, limit: &SharedLimit, vm_rank: VmRank, fraction: f64) -> bool {
+        let slack = if self.has_slack { limit.slack_share(vm_rank.vm_count) } else { 0.0 };
+        let allowed = USED_FRACTION * fraction * (limit.ratio_share(self.requests) + slack);
+        let rounded =
+            (allowed + (vm_rank.rank as f64 + 0.5) / vm_rank.vm_count.max(1) as f64).floor();
         (self.sent + 1) as f64 <= rounded
     }
 
--- a/crates/quincevalve_forwarding/src/rollout/table.rs
+++ b/crates/quincevalve_forwarding/src/rollout/table.rs
@@ -23,7 +23,7 @@
         verdict::{Judgement, Verdict},
     },
     servers::ServerTable,
-    shared_limit::{Seat, SharedLimit},
+    shared_limit::{SharedLimit, VmRank},
 };
 
 /// Where a request may go.
@@ -45,7 +45,7 @@
     /// Whether the service's servers are model engines.
     pub has_engines: bool,
     /// This VM's place among all VMs.
-    pub vm_rank: Seat,
+    pub vm_rank: VmRank,
     /// Whether what is known of the store is new, and most VMs are heard.
     pub is_connected: bool,
 }
--- a/crates/quincevalve_forwarding/src/rollout/table/state.rs
+++ b/crates/quincevalve_forwarding/src/rollout/table/state.rs
@@ -19,7 +19,7 @@
         verdict::{Judgement, Verdict, judge},
     },
     servers::{Server, ServerTable, start_hash},
-    shared_limit::{Seat, SharedLimit},
+    shared_limit::{SharedLimit, VmRank},
 };
 
 /// The part of what the limit allows that may be used when the first server of the new version is there; it rises to
@@ -92,7 +92,7 @@
     new_since: Option<TimePoint>,
     /// The part of what the limit allows that may be used by now.
     part: f64,
-    seat: Option<Seat>,
+    seat: Option<VmRank>,
     is_in_touch: bool,
     has_engines: bool,
     canaries: Option<Arc<VersionScope>>,
--- a/crates/quincevalve_forwarding/src/server_signals.rs
+++ b/crates/quincevalve_forwarding/src/server_signals.rs
@@ -46,7 +46,7 @@
 
 /// A server's signals as another VM reports them.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ToldSignals {
+pub struct ReportedSignals {
     /// Rate limit over all entry VMs, if the server states one.
     pub limit: Option<RequestRate>,
     /// Time since the server stated the limit.
@@ -57,16 +57,16 @@
 
 /// Which of a server's signals differ from what was known before.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct SignalNews {
+pub struct SignalUpdate {
     /// The server states a different limit, or no longer any.
     pub limit: bool,
     /// The server now leaves.
     pub leaving: bool,
 }
 
-impl SignalNews {
+impl SignalUpdate {
     /// Returns whether nothing changed.
-    pub const fn is_none(self) -> bool {
+    pub const fn is_empty(self) -> bool {
         !self.limit && !self.leaving
     }
 }
--- a/crates/quincevalve_forwarding/src/servers.rs
+++ b/crates/quincevalve_forwarding/src/servers.rs
@@ -11,8 +11,8 @@
 use crate::{
     allowance::Allowance,
     load::ServerLoad,
-    server_signals::{RequestRate, ServerSignals, SignalNews, ToldSignals},
-    shared_limit::Seat,
+    server_signals::{ReportedSignals, RequestRate, ServerSignals, SignalUpdate},
+    shared_limit::VmRank,
     store_contact::LAPSE_AFTER,
     sums::Works,
 };
@@ -51,7 +51,7 @@
 
 /// Reason why a server no longer gets new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Leaving {
+pub enum LeaveReason {
     /// The server announced that it leaves.
     Announced,
     /// A different server answered at its address.
@@ -64,7 +64,7 @@
     /// The server rejected a request of this VM and asked for a rest period.
     Resting {
         /// Remaining rest period.
-        left: Duration,
+        remaining: Duration,
     },
     /// The server states a rate limit, and this VM has used up its share.
     Limited {
@@ -79,7 +79,7 @@
     /// The server leaves.
     Leaving,
     /// The entry may have expired in an outage of the store while the server is still running.
-    MayHaveLapsed,
+    MayHaveExpired,
 }
 
 /// State of a server's entry in the list.
@@ -100,7 +100,7 @@
     /// Load of the server.
     pub load: ServerLoad,
     listing: Listing,
-    leaving: Option<Leaving>,
+    leaving: Option<LeaveReason>,
     limit: Option<RequestRate>,
     /// When the server last stated its limit or the absence of one.
     limit_stated_at: Option<TimePoint>,
@@ -108,9 +108,9 @@
     /// End of the rest period that the server asked of this VM.
     rest_until: TimePoint,
     /// Expected end of the server.
-    goes_at: Option<TimePoint>,
+    expected_stop: Option<TimePoint>,
     /// Time of the first observation of this start.
-    pub since: TimePoint,
+    pub known_since: TimePoint,
     /// Hash of this start, equal on all entry VMs: [`start_hash`], cached because each placement needs it.
     pub hash: u64,
 }
@@ -125,7 +125,7 @@
     }
 
     /// Returns whether the server's end is expected: it leaves, or its entry was removed.
-    pub fn is_going(&self) -> bool {
+    pub fn is_departing(&self) -> bool {
         self.leaving.is_some() || matches!(self.listing, Listing::Removed(_))
     }
 
@@ -135,26 +135,26 @@
     }
 
     /// Applies the signals of an answer and returns which of them changed.
-    pub fn signalled(&mut self, signals: &ServerSignals, now: TimePoint) -> SignalNews {
+    pub fn apply_signals(&mut self, signals: &ServerSignals, now: TimePoint) -> SignalUpdate {
         let leaving = self.update_leaving(signals.leaving);
-        SignalNews { leaving, limit: self.update_limit(signals.limit, now) }
+        SignalUpdate { leaving, limit: self.update_limit(signals.limit, now) }
     }
 
     /// Returns the server's signals to report to other VMs, or `None` if no answer has carried any.
-    pub fn to_tell(&self, now: TimePoint) -> Option<ToldSignals> {
+    pub fn signals_to_report(&self, now: TimePoint) -> Option<ReportedSignals> {
         let age = now.since(self.limit_stated_at?);
-        let leaving = self.leaving == Some(Leaving::Announced);
-        Some(ToldSignals { limit: self.limit, age, leaving })
+        let leaving = self.leaving == Some(LeaveReason::Announced);
+        Some(ReportedSignals { limit: self.limit, age, leaving })
     }
 
     /// Applies signals that another VM reports and returns which of them changed. Of two limits, the one stated later
     /// wins.
-    pub fn told(&mut self, told: &ToldSignals, now: TimePoint) -> SignalNews {
-        let leaving = self.update_leaving(told.leaving);
-        let report_is_older = |at: TimePoint| now.since(at) <= told.age;
+    pub fn apply_report(&mut self, report: &ReportedSignals, now: TimePoint) -> SignalUpdate {
+        let leaving = self.update_leaving(report.leaving);
+        let report_is_older = |at: TimePoint| now.since(at) <= report.age;
         let limit = !self.limit_stated_at.is_some_and(report_is_older)
-            && self.update_limit(told.limit, now.earlier_by(told.age));
-        SignalNews { limit, leaving }
+            && self.update_limit(report.limit, now.earlier_by(report.age));
+        SignalUpdate { limit, leaving }
     }
 
     fn update_limit(&mut self, limit: Option<RequestRate>, stated_at: TimePoint) -> bool {
@@ -164,7 +164,7 @@
 
     /// Starts or extends the rest period after the server rejected a request and asked for rest. Of two rest periods,
     /// the one that ends later wins.
-    pub fn rests(&mut self, rest: Duration, now: TimePoint) {
+    pub fn extend_rest(&mut self, rest: Duration, now: TimePoint) {
         self.rest_until = self.rest_until.max(now + rest);
     }
 
@@ -179,7 +179,7 @@
     fn update_leaving(&mut self, leaving: bool) -> bool {
         let is_new = leaving && self.leaving.is_none();
         if is_new {
-            self.leaving = Some(Leaving::Announced);
+            self.leaving = Some(LeaveReason::Announced);
         }
         is_new
     }
@@ -188,8 +188,9 @@
     fn expect_silent_end(&mut self, now: TimePoint) {
         let time_left =
             if self.entry.reclaimable { SILENT_TIME_TO_END } else { DEFAULT_TIME_TO_END };
-        let goes_at = now + time_left;
-        self.goes_at = Some(self.goes_at.map_or(goes_at, |it| it.min(goes_at)));
+        let expected_stop = now + time_left;
+        self.expected_stop =
+            Some(self.expected_stop.map_or(expected_stop, |it| it.min(expected_stop)));
     }
 }
 
@@ -249,7 +250,7 @@
     /// The most recent outage that has ended.
     last_outage: Option<Outage>,
     /// This VM's rank, by which rate limits of servers are divided.
-    rank: Seat,
+    rank: VmRank,
     /// Wall-clock time at the origin of this VM's clock, in Unix milliseconds.
     wall_clock_origin_ms: i64,
     /// Servers to which connections failed recently, by data centre.
@@ -279,7 +280,12 @@
     /// A newer start replaces the earlier one with an empty record: if a crashed server restarts under its name and
     /// inherited the record, its earlier announcement to leave would exclude it until the record expires, and requests
     /// of the earlier start would still count as its load. Entries of an earlier start are ignored.
-    pub fn listed(&mut self, name: &BackendServerName, entry: ServerEntry, now: TimePoint) -> bool {
+    pub fn apply_entry(
+        &mut self,
+        name: &BackendServerName,
+        entry: ServerEntry,
+        now: TimePoint,
+    ) -> bool {
         match self.servers.get(name).map(|it| it.entry.start) {
             Some(known) if entry.start < known => return false,
             Some(known) if entry.start > known => {
@@ -297,21 +303,22 @@
             limit_stated_at: None,
             rest_until: TimePoint::ZERO,
             allowance: Allowance::default(),
-            goes_at: None,
-            since: now,
+            expected_stop: None,
+            known_since: now,
             hash: start_hash(name, entry.start),
             entry: entry.clone(),
         });
         server.entry = entry;
         if server.listing != Listing::Listed && server.leaving.is_none() {
-            server.goes_at = None;
+            server.expected_stop = None;
         }
         server.listing = Listing::Listed;
         if draining {
-            server.leaving.get_or_insert(Leaving::Announced);
+            server.leaving.get_or_insert(LeaveReason::Announced);
             let time_left = server.entry.leaves_in.unwrap_or(DEFAULT_TIME_TO_END);
-            let goes_at = now + time_left;
-            server.goes_at = Some(server.goes_at.map_or(goes_at, |it| it.min(goes_at)));
+            let expected_stop = now + time_left;
+            server.expected_stop =
+                Some(server.expected_stop.map_or(expected_stop, |it| it.min(expected_stop)));
         }
         !was_listed
     }
@@ -322,7 +329,7 @@
     /// Unless the entry may have expired in a store outage, the server is expected to end soon. The entry of a
     /// reclaimed server can be removed without an announcement; without this rule, its streams would be cut a second
     /// later although there was time to migrate them.
-    pub fn removed(&mut self, name: &BackendServerName, now: TimePoint) -> Option<Removal> {
+    pub fn remove_entry(&mut self, name: &BackendServerName, now: TimePoint) -> Option<Removal> {
         let may_have_expired = self.may_have_expired_in_outage(now, now);
         let server = self.servers.get_mut(name)?;
         if matches!(server.listing, Listing::Removed(_)) {
@@ -330,7 +337,7 @@
         }
         server.listing = Listing::Removed(now);
         let removal = if may_have_expired {
-            Removal::MayHaveLapsed
+            Removal::MayHaveExpired
         } else {
             server.expect_silent_end(now);
             Removal::Leaving
@@ -355,7 +362,7 @@
     /// Marks a server whose stored entry can't be decoded, because another writer overwrote or corrupted it.
     ///
     /// The server gets no new requests until a valid entry appears; its running requests continue.
-    pub fn unreadable(&mut self, name: &BackendServerName) {
+    pub fn mark_unreadable(&mut self, name: &BackendServerName) {
         if let Some(server) = self.servers.get_mut(name) {
             server.listing = Listing::Unreadable;
         }
@@ -389,13 +396,13 @@
         let mut missing = Vec::new();
         for name in names {
             if unreadable.contains(&name) {
-                self.unreadable(&name);
+                self.mark_unreadable(&name);
             } else if !listed.contains(&name) {
-                missing.extend(self.removed(&name, now).map(|it| (name, it)));
+                missing.extend(self.remove_entry(&name, now).map(|it| (name, it)));
             }
         }
         for (name, entry) in entries {
-            self.listed(&name, entry, now);
+            self.apply_entry(&name, entry, now);
         }
         self.evict_removed(now);
         missing
@@ -405,7 +412,7 @@
     ///
     /// Leaving is never revoked: entries lag behind answers, and an old `ready` entry would bring back a server that is
     /// about to end.
-    pub fn leaves(&mut self, name: &BackendServerName, start: ServerStart, why: Leaving) {
+    pub fn mark_leaving(&mut self, name: &BackendServerName, start: ServerStart, why: LeaveReason) {
         if let Some(server) = self.get_mut(name, start) {
             server.leaving.get_or_insert(why);
         }
@@ -416,7 +423,7 @@
     ///
     /// After two different servers, the whole data centre is paused. Otherwise, when a data
     /// centre is cut off, one caller per server would wait for a connection in vain.
-    pub fn unreachable(
+    pub fn mark_unreachable(
         &mut self,
         name: &BackendServerName,
         start: ServerStart,
@@ -443,18 +450,18 @@
 
     /// Starts an outage of the store, which has answered no VM since `since`. If the previous outage ended so recently
     /// that entries may still be missing, the outage continues it.
-    pub fn store_lost(&mut self, since: TimePoint) {
+    pub fn begin_store_outage(&mut self, since: TimePoint) {
         let before = self.last_outage.take().filter(|it| it.is_recent(since));
         self.store_unreachable_since.get_or_insert(before.map_or(since, |it| it.from));
     }
 
     /// Returns whether the store is considered unreachable.
-    pub fn is_store_away(&self) -> bool {
+    pub fn is_store_unreachable(&self) -> bool {
         self.store_unreachable_since.is_some()
     }
 
     /// Ends the current outage: the store answers again.
-    pub fn store_found(&mut self, now: TimePoint) {
+    pub fn end_store_outage(&mut self, now: TimePoint) {
         if let Some(from) = self.store_unreachable_since.take() {
             self.last_outage = Some(Outage { from, to: now });
         }
@@ -462,7 +469,7 @@
 
     /// Cancels the current and the previous outage, because another VM reports that the store answered throughout.
     /// Removed entries did not expire, so their servers are expected to end.
-    pub fn store_never_away(&mut self, now: TimePoint) {
+    pub fn cancel_store_outage(&mut self, now: TimePoint) {
         self.store_unreachable_since = None;
         self.last_outage = None;
         let removed = |it: &&mut Server| matches!(it.listing, Listing::Removed(_));
@@ -472,7 +479,7 @@
     }
 
     /// Sets this VM's rank and the wall-clock time. Until then, the VM keeps to rate limits as if it were the only one.
-    pub fn set_seat(&mut self, rank: Seat, wall_clock_ms: i64, now: TimePoint) {
+    pub fn set_rank(&mut self, rank: VmRank, wall_clock_ms: i64, now: TimePoint) {
         self.rank = rank;
         self.wall_clock_origin_ms = wall_clock_ms - millis(now);
     }
@@ -481,11 +488,11 @@
     /// signals.
     pub fn restraint(&self, server: &Server, now: TimePoint) -> Option<Restraint> {
         if server.is_resting(now) {
-            return Some(Restraint::Resting { left: server.rest_until.since(now) });
+            return Some(Restraint::Resting { remaining: server.rest_until.since(now) });
         }
         let limit = server.limit?;
         let (rank, wall_clock_ms) = (self.rank, self.wall_clock_ms(now));
-        let is_allowed = server.allowance.has_left(limit, server.hash, rank, wall_clock_ms);
+        let is_allowed = server.allowance.has_remaining(limit, server.hash, rank, wall_clock_ms);
         (!is_allowed).then_some(Restraint::Limited { limit })
     }
 
@@ -500,13 +507,13 @@
         let (rank, wall_clock_ms) = (self.rank, self.wall_clock_ms(now));
         let Some(server) = self.get_mut(name, start) else { return false };
         let Some(limit) = server.limit else { return true };
-        server.allowance.spend(limit, server.hash, rank, wall_clock_ms)
+        server.allowance.try_spend(limit, server.hash, rank, wall_clock_ms)
     }
 
     /// Returns the mean time until servers with these limits allow this VM's next request.
-    pub(crate) fn wait_for_allowance(&self, limits: &[RequestRate]) -> Duration {
+    pub(crate) fn expected_allowance_wait(&self, limits: &[RequestRate]) -> Duration {
         let per_second: f64 = limits.iter().map(|it| it.per_second()).sum();
-        let seconds = self.rank.of as f64 / per_second;
+        let seconds = self.rank.vm_count as f64 / per_second;
         Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX)
     }
 
@@ -539,7 +546,7 @@
 
     /// Returns whether entries of running servers may be missing: they expire in a store outage and are restored some
     /// time after it.
-    pub fn may_lack_entries(&self, now: TimePoint) -> bool {
+    pub fn may_be_incomplete(&self, now: TimePoint) -> bool {
         match self.store_unreachable_since {
             Some(since) => now.since(since) >= LAPSE_AFTER,
             None => self.last_outage.is_some_and(|it| it.is_recent(now)),
@@ -560,7 +567,7 @@
     /// If all entries expire in an outage and a VM that can't read the store yet learns of their removal, it would
     /// otherwise refuse every request for two seconds. A removed server is only a last resort: where others are listed,
     /// a single removal means that the server leaves.
-    pub fn may_take(&self, server: &Server, now: TimePoint) -> bool {
+    pub fn is_eligible(&self, server: &Server, now: TimePoint) -> bool {
         self.is_usable(server, now)
             || (self.may_have_expired(server, now) && !self.has_usable(&server.entry.service, now))
     }
@@ -571,8 +578,8 @@
     }
 
     /// Returns when this start of a server is expected to end, if that is known.
-    pub fn goes_at(&self, name: &BackendServerName, start: ServerStart) -> Option<TimePoint> {
-        self.servers.get(name).filter(|it| it.entry.start == start)?.goes_at
+    pub fn expected_stop(&self, name: &BackendServerName, start: ServerStart) -> Option<TimePoint> {
+        self.servers.get(name).filter(|it| it.entry.start == start)?.expected_stop
     }
 
     /// Returns a server by name.
@@ -593,7 +600,7 @@
     pub fn listed_entries(&self) -> impl Iterator<Item = (BackendServerName, ServerEntry)> {
         let listed = self.servers.iter().filter(|(_, it)| it.listing == Listing::Listed);
         listed.map(|(name, it)| {
-            let draining = it.entry.draining || it.leaving == Some(Leaving::Announced);
+            let draining = it.entry.draining || it.leaving == Some(LeaveReason::Announced);
             (name.clone(), ServerEntry { draining, ..it.entry.clone() })
         })
     }
@@ -616,7 +623,7 @@
     }
 
     /// Sets the work of all other VMs. Servers that `works` doesn't contain have no significant work.
-    pub fn set_others(&mut self, works: &Works, now: TimePoint) {
+    pub fn set_peer_work(&mut self, works: &Works, now: TimePoint) {
         for server in self.servers.values_mut() {
             let work = works.get(&server.hash).copied().unwrap_or_default();
             server.load.set_others(work, now);
--- a/crates/quincevalve_forwarding/src/signal_outbox.rs
+++ b/crates/quincevalve_forwarding/src/signal_outbox.rs
@@ -10,7 +10,7 @@
 
 /// Origin of a server's signals.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Source {
+pub enum SignalSource {
     /// An answer of the server itself.
     Server,
     /// A member of the group whose collector this VM is.
@@ -32,11 +32,11 @@
 /// # Examples
 ///
 /// ```
-/// use quincevalve_forwarding::{servers::ServerStart, signal_outbox::{SignalOutbox, Source}};
+/// use quincevalve_forwarding::{servers::ServerStart, signal_outbox::{SignalOutbox, SignalSource}};
 /// let mut outbox = SignalOutbox::default();
-/// outbox.push(("engine-1".into(), ServerStart(1)), Source::Collector);
-/// assert!(outbox.for_collectors().is_empty());
-/// assert_eq!(outbox.for_members().len(), 1);
+/// outbox.push(("engine-1".into(), ServerStart(1)), SignalSource::Collector);
+/// assert!(outbox.take_for_collectors().is_empty());
+/// assert_eq!(outbox.take_for_members().len(), 1);
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct SignalOutbox {
@@ -46,27 +46,27 @@
 
 impl SignalOutbox {
     /// Queues an update of a server's signals for the recipients that its origin implies.
-    pub fn push(&mut self, server: ServerKey, from: Source) {
+    pub fn push(&mut self, server: ServerKey, from: SignalSource) {
         match from {
-            Source::Server | Source::Member => {
+            SignalSource::Server | SignalSource::Member => {
                 self.collectors.insert(server.clone(), SENDS_PER_UPDATE);
                 self.members.insert(server, SENDS_PER_UPDATE);
             }
-            Source::Collector => {
+            SignalSource::Collector => {
                 self.members.insert(server, SENDS_PER_UPDATE);
             }
-            Source::OwnCollector => {}
+            SignalSource::OwnCollector => {}
         }
     }
 
     /// Returns the servers to report in this period to the collector or, if this VM is a collector, to the other
     /// collectors.
-    pub fn for_collectors(&mut self) -> Vec<ServerKey> {
+    pub fn take_for_collectors(&mut self) -> Vec<ServerKey> {
         take_due(&mut self.collectors)
     }
 
     /// Returns the servers that this VM, as a collector, reports to its members in this period.
-    pub fn for_members(&mut self) -> Vec<ServerKey> {
+    pub fn take_for_members(&mut self) -> Vec<ServerKey> {
         take_due(&mut self.members)
     }
 }
--- a/crates/quincevalve_forwarding/tests/leaving.rs
+++ b/crates/quincevalve_forwarding/tests/leaving.rs
@@ -5,8 +5,8 @@
 use proptest::prelude::*;
 use quincevalve_forwarding::{
     load::Work,
-    server_signals::{ServerSignals, ToldSignals},
-    servers::{Leaving, ServerEntry, ServerStart, ServerTable, start_hash},
+    server_signals::{ReportedSignals, ServerSignals},
+    servers::{LeaveReason, ServerEntry, ServerStart, ServerTable, start_hash},
 };
 use quincevalve_names::TimePoint;
 use support::{START, draining, entry, millis, ms, server, table};
@@ -20,9 +20,9 @@
 #[test]
 fn an_old_entry_does_not_bring_a_leaving_server_back() {
     let mut table = ServerTable::default();
-    table.listed(&server(0), entry("a"), ms(0));
-    table.listed(&server(0), draining("a"), ms(100));
-    table.listed(&server(0), entry("a"), ms(200));
+    table.apply_entry(&server(0), entry("a"), ms(0));
+    table.apply_entry(&server(0), draining("a"), ms(100));
+    table.apply_entry(&server(0), entry("a"), ms(200));
     assert!(!usable(&table, ms(200)));
 }
 
@@ -32,7 +32,7 @@
 fn leaves_by_answer() -> ServerTable {
     let mut table = table(1);
     let server = table.get_mut(&server(0), START).expect("listed");
-    assert!(server.signalled(&LEAVES, ms(100)).leaving);
+    assert!(server.apply_signals(&LEAVES, ms(100)).leaving);
     table
 }
 
@@ -46,47 +46,47 @@
                 let later: fn(&mut ServerTable) = $later;
                 later(&mut table);
                 assert!(!usable(&table, ms(10_000)));
-                assert!(!table.may_take(table.get(&server(0)).expect("known"), ms(10_000)));
+                assert!(!table.is_eligible(table.get(&server(0)).expect("known"), ms(10_000)));
             }
         )+
     };
 }
 
 not_taken_back! {
-    an_entry_does_not_take_a_servers_own_word_back: |it| { it.listed(&server(0), entry("a"), ms(200)); };
+    an_entry_does_not_take_a_servers_own_word_back: |it| { it.apply_entry(&server(0), entry("a"), ms(200)); };
     a_whole_list_does_not_take_a_servers_own_word_back: |it| {
         it.replace_all(vec![(server(0), entry("a"))], &[], ms(200));
     };
     an_answer_that_says_nothing_does_not_take_it_back: |it| {
-        it.get_mut(&server(0), START).expect("known").signalled(&ServerSignals::default(), ms(200));
+        it.get_mut(&server(0), START).expect("known").apply_signals(&ServerSignals::default(), ms(200));
     };
     another_vm_that_knows_less_does_not_take_it_back: |it| {
-        let told = ToldSignals { limit: None, age: millis(0), leaving: false };
-        it.get_mut(&server(0), START).expect("known").told(&told, ms(200));
+        let told = ReportedSignals { limit: None, age: millis(0), leaving: false };
+        it.get_mut(&server(0), START).expect("known").apply_report(&told, ms(200));
     };
     an_entry_that_lapses_and_returns_does_not_take_it_back: |it| {
-        it.store_lost(ms(200));
-        it.removed(&server(0), ms(2_000));
-        it.store_found(ms(9_000));
-        it.listed(&server(0), entry("a"), ms(9_500));
+        it.begin_store_outage(ms(200));
+        it.remove_entry(&server(0), ms(2_000));
+        it.end_store_outage(ms(9_000));
+        it.apply_entry(&server(0), entry("a"), ms(9_500));
     };
     an_outage_of_the_store_does_not_take_it_back: |it| {
-        it.store_lost(ms(200));
-        it.removed(&server(0), ms(2_000));
-        it.store_found(ms(9_000));
+        it.begin_store_outage(ms(200));
+        it.remove_entry(&server(0), ms(2_000));
+        it.end_store_outage(ms(9_000));
     };
     an_unreadable_entry_does_not_take_it_back: |it| {
-        it.unreadable(&server(0));
-        it.listed(&server(0), entry("a"), ms(300));
+        it.mark_unreadable(&server(0));
+        it.apply_entry(&server(0), entry("a"), ms(300));
     };
 }
 
 #[test]
 fn a_vm_that_is_told_knows_that_a_server_leaves() {
-    let told = leaves_by_answer().get(&server(0)).and_then(|it| it.to_tell(ms(150)));
+    let told = leaves_by_answer().get(&server(0)).and_then(|it| it.signals_to_report(ms(150)));
     let mut table = table(1);
     let server_0 = table.get_mut(&server(0), START).expect("listed");
-    assert!(server_0.told(&told.expect("something to tell"), ms(200)).leaving);
+    assert!(server_0.apply_report(&told.expect("something to tell"), ms(200)).leaving);
     assert!(!usable(&table, ms(200)));
 }
 
@@ -100,7 +100,7 @@
 #[test]
 fn another_start_of_a_server_that_left_is_used() {
     let mut table = leaves_by_answer();
-    table.listed(&server(0), started_again("a", 2), ms(200));
+    table.apply_entry(&server(0), started_again("a", 2), ms(200));
     assert!(usable(&table, ms(200)));
 }
 
@@ -109,24 +109,24 @@
 #[test]
 fn a_server_whose_address_another_has_gets_nothing_more() {
     let mut table = ServerTable::default();
-    table.listed(&server(0), entry("a"), ms(0));
-    table.leaves(&server(0), START, Leaving::Replaced);
-    table.listed(&server(0), entry("a"), ms(100));
+    table.apply_entry(&server(0), entry("a"), ms(0));
+    table.mark_leaving(&server(0), START, LeaveReason::Replaced);
+    table.apply_entry(&server(0), entry("a"), ms(100));
     assert!(!usable(&table, ms(100)));
 }
 
 #[test]
 fn a_removed_server_gets_nothing_more() {
     let mut table = ServerTable::default();
-    table.listed(&server(0), entry("a"), ms(0));
-    table.removed(&server(0), ms(100));
+    table.apply_entry(&server(0), entry("a"), ms(0));
+    table.remove_entry(&server(0), ms(100));
     assert!(!usable(&table, ms(100)));
 }
 
 #[test]
 fn a_server_that_a_whole_list_lacks_was_removed() {
     let mut table = ServerTable::default();
-    table.listed(&server(0), entry("a"), ms(0));
+    table.apply_entry(&server(0), entry("a"), ms(0));
     table.replace_all(vec![(server(1), entry("a"))], &[], ms(100));
     assert!(!usable(&table, ms(100)));
 }
@@ -136,13 +136,13 @@
 #[test]
 fn the_end_of_a_leaving_server_is_not_forgotten() {
     let mut table = ServerTable::default();
-    table.listed(&server(0), draining("a"), ms(0));
-    let goes_at = table.goes_at(&server(0), START);
+    table.apply_entry(&server(0), draining("a"), ms(0));
+    let goes_at = table.expected_stop(&server(0), START);
     assert!(goes_at.is_some());
-    table.removed(&server(0), ms(100));
-    assert!(table.listed(&server(0), entry("a"), ms(200)), "it was not listed");
-    assert!(!table.listed(&server(0), entry("a"), ms(300)), "it was");
-    assert_eq!(table.goes_at(&server(0), START), goes_at);
+    table.remove_entry(&server(0), ms(100));
+    assert!(table.apply_entry(&server(0), entry("a"), ms(200)), "it was not listed");
+    assert!(!table.apply_entry(&server(0), entry("a"), ms(300)), "it was");
+    assert_eq!(table.expected_stop(&server(0), START), goes_at);
 }
 
 // Every caller is refused for two seconds after the store was away: all entries lapsed meanwhile, though the
@@ -150,34 +150,34 @@
 #[test]
 fn entries_that_lapsed_while_the_store_was_away_count_for_two_seconds() {
     let mut table = ServerTable::default();
-    table.listed(&server(0), entry("a"), ms(0));
-    table.store_lost(ms(1_000));
-    table.store_found(ms(6_000));
-    table.removed(&server(0), ms(6_100));
+    table.apply_entry(&server(0), entry("a"), ms(0));
+    table.begin_store_outage(ms(1_000));
+    table.end_store_outage(ms(6_000));
+    table.remove_entry(&server(0), ms(6_100));
     assert!(usable(&table, ms(6_100)));
     assert!(usable(&table, ms(8_000)));
     assert!(!usable(&table, ms(8_400)));
-    table.listed(&server(0), entry("a"), ms(9_000));
+    table.apply_entry(&server(0), entry("a"), ms(9_000));
     assert!(usable(&table, ms(9_000)));
 }
 
 #[test]
 fn a_removal_long_after_an_outage_counts_at_once() {
     let mut table = ServerTable::default();
-    table.listed(&server(0), entry("a"), ms(0));
-    table.store_lost(ms(1_000));
-    table.store_found(ms(2_000));
-    table.removed(&server(0), ms(9_000));
+    table.apply_entry(&server(0), entry("a"), ms(0));
+    table.begin_store_outage(ms(1_000));
+    table.end_store_outage(ms(2_000));
+    table.remove_entry(&server(0), ms(9_000));
     assert!(!usable(&table, ms(9_000)));
 }
 
 #[test]
 fn an_outage_does_not_bring_a_leaving_server_back() {
     let mut table = ServerTable::default();
-    table.listed(&server(0), draining("a"), ms(0));
-    table.store_lost(ms(1_000));
-    table.store_found(ms(2_000));
-    table.removed(&server(0), ms(2_100));
+    table.apply_entry(&server(0), draining("a"), ms(0));
+    table.begin_store_outage(ms(1_000));
+    table.end_store_outage(ms(2_000));
+    table.remove_entry(&server(0), ms(2_100));
     assert!(!usable(&table, ms(2_100)));
 }
 
@@ -186,27 +186,27 @@
 #[test]
 fn a_reclaimable_server_that_is_removed_goes_within_a_second() {
     let mut table = ServerTable::default();
-    table.listed(&server(0), reclaimable("a"), ms(0));
-    assert_eq!(table.goes_at(&server(0), START), None);
-    table.removed(&server(0), ms(100));
-    let goes_at = table.goes_at(&server(0), START).unwrap();
+    table.apply_entry(&server(0), reclaimable("a"), ms(0));
+    assert_eq!(table.expected_stop(&server(0), START), None);
+    table.remove_entry(&server(0), ms(100));
+    let goes_at = table.expected_stop(&server(0), START).unwrap();
     assert!(goes_at > ms(100) && goes_at <= ms(1_100), "{goes_at:?}");
-    table.listed(&server(0), reclaimable("a"), ms(400));
-    assert_eq!(table.goes_at(&server(0), START), None);
+    table.apply_entry(&server(0), reclaimable("a"), ms(400));
+    assert_eq!(table.expected_stop(&server(0), START), None);
 }
 
 // All streams are moved at once though every server lives: the store was away, and all entries lapsed.
 #[test]
 fn an_entry_that_may_have_lapsed_moves_nothing() {
     let mut table = ServerTable::default();
-    table.listed(&server(0), reclaimable("a"), ms(0));
-    table.store_lost(ms(1_000));
-    table.removed(&server(0), ms(5_000));
-    assert_eq!(table.goes_at(&server(0), START), None);
-    table.listed(&server(0), reclaimable("a"), ms(5_500));
-    table.store_found(ms(6_000));
-    table.removed(&server(0), ms(6_100));
-    assert_eq!(table.goes_at(&server(0), START), None);
+    table.apply_entry(&server(0), reclaimable("a"), ms(0));
+    table.begin_store_outage(ms(1_000));
+    table.remove_entry(&server(0), ms(5_000));
+    assert_eq!(table.expected_stop(&server(0), START), None);
+    table.apply_entry(&server(0), reclaimable("a"), ms(5_500));
+    table.end_store_outage(ms(6_000));
+    table.remove_entry(&server(0), ms(6_100));
+    assert_eq!(table.expected_stop(&server(0), START), None);
 }
 
 fn reclaimable(centre: &str) -> ServerEntry {
@@ -218,17 +218,17 @@
 #[test]
 fn servers_that_all_lapse_are_used_until_they_are_back() {
     let mut table = table(4);
-    table.store_lost(ms(1_000));
+    table.begin_store_outage(ms(1_000));
     for at in 0..4 {
-        table.removed(&server(at), ms(7_000));
+        table.remove_entry(&server(at), ms(7_000));
     }
-    assert!(table.may_lack_entries(ms(7_000)));
+    assert!(table.may_be_incomplete(ms(7_000)));
     assert_eq!(table.usable(&"engines".into(), ms(7_100)).count(), 4);
-    assert!(table.may_take(table.get(&server(0)).unwrap(), ms(7_100)));
+    assert!(table.is_eligible(table.get(&server(0)).unwrap(), ms(7_100)));
     assert_eq!(table.usable(&"engines".into(), ms(9_400)).count(), 0, "they had their time");
-    table.listed(&server(2), entry("c"), ms(8_000));
+    table.apply_entry(&server(2), entry("c"), ms(8_000));
     assert_eq!(table.usable(&"engines".into(), ms(8_100)).count(), 1, "others are there again");
-    assert!(!table.may_take(table.get(&server(0)).unwrap(), ms(8_100)));
+    assert!(!table.is_eligible(table.get(&server(0)).unwrap(), ms(8_100)));
 }
 
 // A request reaches a server that had left: the store turned only this VM away, and it was told that one entry was
@@ -236,10 +236,10 @@
 #[test]
 fn one_server_that_is_removed_while_the_store_is_away_is_not_used() {
     let mut table = table(4);
-    table.store_lost(ms(1_000));
-    table.removed(&server(0), ms(2_000));
+    table.begin_store_outage(ms(1_000));
+    table.remove_entry(&server(0), ms(2_000));
     assert!(!usable(&table, ms(2_100)));
-    assert!(!table.may_take(table.get(&server(0)).unwrap(), ms(2_100)));
+    assert!(!table.is_eligible(table.get(&server(0)).unwrap(), ms(2_100)));
 }
 
 // Half of a fleet is given back: entries lapsed in an outage, and a new holder ordered by the few that were listed. The
@@ -247,15 +247,15 @@
 #[test]
 fn a_list_may_lack_entries_until_servers_had_time_to_return() {
     let mut table = table(4);
-    assert!(!table.may_lack_entries(ms(500)));
-    table.store_lost(ms(1_000));
-    assert!(table.may_lack_entries(ms(6_000)));
-    table.store_found(ms(7_000));
-    assert!(table.may_lack_entries(ms(9_200)));
-    assert!(!table.may_lack_entries(ms(9_400)));
-    table.store_lost(ms(20_000));
-    table.store_found(ms(20_500));
-    assert!(!table.may_lack_entries(ms(20_600)), "nothing lapses in a call that failed");
+    assert!(!table.may_be_incomplete(ms(500)));
+    table.begin_store_outage(ms(1_000));
+    assert!(table.may_be_incomplete(ms(6_000)));
+    table.end_store_outage(ms(7_000));
+    assert!(table.may_be_incomplete(ms(9_200)));
+    assert!(!table.may_be_incomplete(ms(9_400)));
+    table.begin_store_outage(ms(20_000));
+    table.end_store_outage(ms(20_500));
+    assert!(!table.may_be_incomplete(ms(20_600)), "nothing lapses in a call that failed");
 }
 
 // Callers wait for a server that was gone long before the store fell silent, and a request reaches one that had just
@@ -264,11 +264,11 @@
 #[test]
 fn a_server_that_was_gone_before_an_outage_stays_gone() {
     let mut table = table(4);
-    table.removed(&server(0), ms(500));
-    table.store_lost(ms(1_000));
-    table.store_found(ms(10_000));
+    table.remove_entry(&server(0), ms(500));
+    table.begin_store_outage(ms(1_000));
+    table.end_store_outage(ms(10_000));
     assert!(!usable(&table, ms(10_100)));
-    assert!(!table.may_take(table.get(&server(0)).unwrap(), ms(10_100)));
+    assert!(!table.is_eligible(table.get(&server(0)).unwrap(), ms(10_100)));
 }
 
 fn started_again(centre: &str, start: u64) -> ServerEntry {
@@ -284,10 +284,10 @@
 #[test]
 fn a_server_that_starts_again_is_usable() {
     let mut table = ServerTable::default();
-    table.listed(&server(0), draining("a"), ms(0));
-    assert!(table.listed(&server(0), started_again("a", 2), ms(100)), "it is new");
+    table.apply_entry(&server(0), draining("a"), ms(0));
+    assert!(table.apply_entry(&server(0), started_again("a", 2), ms(100)), "it is new");
     assert!(usable(&table, ms(100)));
-    assert_eq!(table.goes_at(&server(0), ServerStart(2)), None);
+    assert_eq!(table.expected_stop(&server(0), ServerStart(2)), None);
 }
 
 // What an earlier start said comes late: that it leaves, that it is ready, or an answer of its own that another
@@ -295,11 +295,11 @@
 #[test]
 fn a_late_word_of_an_earlier_start_changes_nothing() {
     let mut table = ServerTable::default();
-    table.listed(&server(0), entry("a"), ms(0));
-    table.listed(&server(0), started_again("a", 2), ms(100));
-    assert!(!table.listed(&server(0), draining("a"), ms(200)));
-    table.leaves(&server(0), START, Leaving::Replaced);
-    table.unreachable(&server(0), START, ms(200));
+    table.apply_entry(&server(0), entry("a"), ms(0));
+    table.apply_entry(&server(0), started_again("a", 2), ms(100));
+    assert!(!table.apply_entry(&server(0), draining("a"), ms(200)));
+    table.mark_leaving(&server(0), START, LeaveReason::Replaced);
+    table.mark_unreachable(&server(0), START, ms(200));
     assert!(usable(&table, ms(200)));
     assert_eq!(table.get(&server(0)).map(|it| it.entry.start), Some(ServerStart(2)));
     assert!(!table.get(&server(0)).unwrap().load.is_paused(ms(200)));
@@ -310,9 +310,9 @@
 #[test]
 fn work_of_an_earlier_start_is_not_taken_off_the_new_one() {
     let mut table = ServerTable::default();
-    table.listed(&server(0), entry("a"), ms(0));
+    table.apply_entry(&server(0), entry("a"), ms(0));
     table.get_mut(&server(0), START).unwrap().load.begin(work(), ms(0));
-    table.listed(&server(0), started_again("a", 2), ms(100));
+    table.apply_entry(&server(0), started_again("a", 2), ms(100));
     assert_eq!(table.get(&server(0)).unwrap().load.total(ms(100)).requests, 0);
     table.get_mut(&server(0), ServerStart(2)).unwrap().load.begin(work(), ms(100));
     assert!(table.get_mut(&server(0), START).is_none());
@@ -324,15 +324,15 @@
 #[test]
 fn a_server_whose_entry_is_spoiled_rests_until_it_speaks() {
     let mut table = ServerTable::default();
-    table.listed(&server(0), reclaimable("a"), ms(0));
-    table.unreadable(&server(0));
+    table.apply_entry(&server(0), reclaimable("a"), ms(0));
+    table.mark_unreadable(&server(0));
     assert!(!usable(&table, ms(100)));
-    assert_eq!(table.goes_at(&server(0), START), None);
-    table.listed(&server(0), reclaimable("a"), ms(200));
+    assert_eq!(table.expected_stop(&server(0), START), None);
+    table.apply_entry(&server(0), reclaimable("a"), ms(200));
     assert!(usable(&table, ms(200)));
     table.replace_all(vec![(server(1), entry("a"))], &[server(0)], ms(300));
     assert!(!usable(&table, ms(300)));
-    assert_eq!(table.goes_at(&server(0), START), None);
+    assert_eq!(table.expected_stop(&server(0), START), None);
     assert!(table.get(&server(1)).is_some_and(|it| table.is_usable(it, ms(300))));
 }
 
@@ -379,11 +379,11 @@
         for (at, event) in events.into_iter().enumerate() {
             let now = ms(at as u64 * 300);
             match event {
-                Event::Listed => { table.listed(&server(0), entry("a"), now); }
-                Event::Draining => { table.listed(&server(0), draining("a"), now); left = true; }
-                Event::Removed => { table.removed(&server(0), now); }
-                Event::Lost => table.store_lost(now),
-                Event::Found => table.store_found(now),
+                Event::Listed => { table.apply_entry(&server(0), entry("a"), now); }
+                Event::Draining => { table.apply_entry(&server(0), draining("a"), now); left = true; }
+                Event::Removed => { table.remove_entry(&server(0), now); }
+                Event::Lost => table.begin_store_outage(now),
+                Event::Found => table.end_store_outage(now),
             }
             prop_assert!(!(left && usable(&table, now)));
         }
--- a/crates/quincevalve_forwarding/tests/limits.rs
+++ b/crates/quincevalve_forwarding/tests/limits.rs
@@ -7,8 +7,8 @@
 use proptest::prelude::*;
 use quincevalve_forwarding::{
     line_budget::LineBudget,
-    quota::{QuotaAsk, QuotaBook, QuotaLimits, cost},
-    retry_window::{RetryLimits, RetryWindow},
+    quota::{QuotaLimits, QuotaRequest, QuotaTable, cost},
+    retry_budget::{RetryBudget, RetryLimits},
     sums::{Share, Spending, Sums},
 };
 use quincevalve_names::ClientAccountName;
@@ -22,8 +22,8 @@
 const PLAIN: QuotaLimits = QuotaLimits { window: Duration::ZERO, overage: 0.0, slack: 0.0 };
 
 /// What a request of that cost asks.
-fn of(cost: f64) -> QuotaAsk {
-    QuotaAsk { cost, urgency: 1 }
+fn of(cost: f64) -> QuotaRequest {
+    QuotaRequest { cost, urgency: 1 }
 }
 
 fn desk() -> ClientAccountName {
@@ -38,12 +38,12 @@
 
 #[test]
 fn what_was_refused_later_is_given_back() {
-    let mut book = QuotaBook::new(PLAIN, ms(0));
+    let mut table = QuotaTable::new(PLAIN, ms(0));
     let limit = quota(0.001, 100.0);
-    assert!(book.take(&desk(), &limit, of(51.0), DRAW, ms(0)).is_ok());
-    assert!(book.take(&desk(), &limit, of(51.0), DRAW, ms(1)).is_err());
-    book.give_back(&desk(), 51.0, ms(1));
-    assert!(book.take(&desk(), &limit, of(10.0), DRAW, ms(2)).is_ok());
+    assert!(table.try_spend(&desk(), &limit, of(51.0), DRAW, ms(0)).is_ok());
+    assert!(table.try_spend(&desk(), &limit, of(51.0), DRAW, ms(1)).is_err());
+    table.refund(&desk(), 51.0, ms(1));
+    assert!(table.try_spend(&desk(), &limit, of(10.0), DRAW, ms(2)).is_ok());
 }
 
 // An account gets a burst more at each restart of a VM: each start begins with a whole bucket. It begins with a
@@ -52,8 +52,10 @@
 fn a_vm_that_starts_has_only_a_part_of_the_burst() {
     let limit = quota(100.0, 100.0);
     let let_in = |start: u64, now: u64| {
-        let mut book = QuotaBook::new(PLAIN, ms(start));
-        (0..1_000).filter(|_| book.take(&desk(), &limit, of(1.0), DRAW, ms(now)).is_ok()).count()
+        let mut table = QuotaTable::new(PLAIN, ms(start));
+        (0..1_000)
+            .filter(|_| table.try_spend(&desk(), &limit, of(1.0), DRAW, ms(now)).is_ok())
+            .count()
     };
     assert!((45..=51).contains(&let_in(0, 0)), "{}", let_in(0, 0));
     assert!((95..=101).contains(&let_in(0, 2_000)), "{}", let_in(0, 2_000));
@@ -65,12 +67,12 @@
 fn what_others_no_longer_spend_fills_a_part_of_the_bucket_only() {
     let config = config(1, Vec::new());
     let limit = quota(1_000.0, 1_000.0);
-    let mut book = QuotaBook::new(PLAIN, ms(0));
-    book.set_others(&[(desk(), 900.0)].into_iter().collect(), 0.5, &config, ms(0));
-    book.set_others(&[(desk(), 900.0)].into_iter().collect(), 0.5, &config, ms(5_000));
-    book.set_others(&Spending::new(), 0.5, &config, ms(20_000));
+    let mut table = QuotaTable::new(PLAIN, ms(0));
+    table.set_peer_spending(&[(desk(), 900.0)].into_iter().collect(), 0.5, &config, ms(0));
+    table.set_peer_spending(&[(desk(), 900.0)].into_iter().collect(), 0.5, &config, ms(5_000));
+    table.set_peer_spending(&Spending::new(), 0.5, &config, ms(20_000));
     let let_in =
-        (0..5_000).filter(|_| book.take(&desk(), &limit, of(1.0), DRAW, ms(20_000)).is_ok());
+        (0..5_000).filter(|_| table.try_spend(&desk(), &limit, of(1.0), DRAW, ms(20_000)).is_ok());
     let let_in = let_in.count();
     assert!(let_in <= 501, "{let_in}");
 }
@@ -81,8 +83,8 @@
 fn what_is_tolerated_is_not_let_in_by_chance() {
     let limits = QuotaLimits { window: Duration::from_secs(8), overage: 0.1, slack: 100_000.0 };
     let limit = quota(1_000.0, 1_000.0);
-    let mut book = QuotaBook::new(limits, ms(0));
-    let mut take = || book.take(&desk(), &limit, of(100.0), 0.99, ms(0)).is_ok();
+    let mut table = QuotaTable::new(limits, ms(0));
+    let mut take = || table.try_spend(&desk(), &limit, of(100.0), 0.99, ms(0)).is_ok();
     // A VM begins with half of 500 units of the burst and 50,450 that are tolerated.
     let let_in = (0..1_000).filter(|_| take()).count();
     assert!((250..=255).contains(&let_in), "{let_in}");
@@ -91,9 +93,9 @@
 /// Units that one VM lets in each 10 ms, of an account that asks `asked` times its rate for so long.
 fn let_in_each_step(limits: QuotaLimits, asked: f64, seconds: usize) -> Vec<f64> {
     let limit = quota(1_000.0, 2_000.0);
-    let mut book = QuotaBook::new(limits, ms(0));
+    let mut table = QuotaTable::new(limits, ms(0));
     let take = |step: usize| {
-        let taken = book.take(&desk(), &limit, of(asked * 10.0), DRAW, ms(step as u64 * 10));
+        let taken = table.try_spend(&desk(), &limit, of(asked * 10.0), DRAW, ms(step as u64 * 10));
         if taken.is_ok() { asked * 10.0 } else { 0.0 }
     };
     (0..seconds * 100).map(take).collect()
@@ -124,11 +126,11 @@
     // Half of the time 0.6 of the rate, half of the time 1.6: on the whole a tenth above it.
     let wave = |limits: QuotaLimits| {
         let limit = quota(1_000.0, 1_000.0);
-        let mut book = QuotaBook::new(limits, ms(0));
+        let mut table = QuotaTable::new(limits, ms(0));
         let taken = (0..4_000_u64).filter(|step| {
             let cost = if step / 400 % 2 == 0 { 6.0 } else { 16.0 };
             let draw = (step * 7 % 10) as f64 / 10.0;
-            book.take(&desk(), &limit, of(cost), draw, ms(step * 10)).is_ok()
+            table.try_spend(&desk(), &limit, of(cost), draw, ms(step * 10)).is_ok()
         });
         taken.count()
     };
@@ -147,9 +149,10 @@
 fn half_of_the_tolerance_is_kept() {
     let limits = QuotaLimits { window: Duration::from_secs(8), overage: 0.1, slack: 1_000.0 };
     let limit = quota(1_000.0, 2_000.0);
-    let mut book = QuotaBook::new(limits, ms(0));
-    let taken = (0..800_u64)
-        .filter(|step| book.take(&desk(), &limit, of(60.0), DRAW, ms(60_000 + step * 10)).is_ok());
+    let mut table = QuotaTable::new(limits, ms(0));
+    let taken = (0..800_u64).filter(|step| {
+        table.try_spend(&desk(), &limit, of(60.0), DRAW, ms(60_000 + step * 10)).is_ok()
+    });
     let let_in = 60.0 * taken.count() as f64;
     let most = 10_000.0 + 0.5 * (0.1 * 10_000.0 + 1_000.0);
     assert!(let_in <= most + 60.0, "{let_in}");
@@ -160,39 +163,40 @@
 // the burst and of the rate that stands for those it hears.
 #[test]
 fn a_cut_off_vm_uses_its_part() {
-    let mut book = QuotaBook::new(PLAIN, ms(0));
+    let mut table = QuotaTable::new(PLAIN, ms(0));
     let limit = quota(100.0, 100.0);
-    book.set_others(&Spending::new(), 0.5, &config(1, Vec::new()), ms(0));
+    table.set_peer_spending(&Spending::new(), 0.5, &config(1, Vec::new()), ms(0));
     let mut taken = 0;
     for step in 0..1_000 {
-        taken += usize::from(book.take(&desk(), &limit, of(1.0), DRAW, ms(step * 10)).is_ok());
+        taken +=
+            usize::from(table.try_spend(&desk(), &limit, of(1.0), DRAW, ms(step * 10)).is_ok());
     }
     assert!((500..=551).contains(&taken), "{taken}");
 }
 
 #[test]
 fn who_is_over_its_quota_is_told_when_there_is_room() {
-    let mut book = QuotaBook::new(PLAIN, ms(0));
+    let mut table = QuotaTable::new(PLAIN, ms(0));
     let limit = quota(100.0, 10.0);
-    book.take(&desk(), &limit, of(53.0), DRAW, ms(0)).unwrap();
-    let over = book.take(&desk(), &limit, of(1.0), DRAW, ms(0)).unwrap_err();
+    table.try_spend(&desk(), &limit, of(53.0), DRAW, ms(0)).unwrap();
+    let over = table.try_spend(&desk(), &limit, of(1.0), DRAW, ms(0)).unwrap_err();
     assert!((400..=600).contains(&over.retry_after.as_millis()), "{over:?}");
     let later = ms(over.retry_after.as_millis() as u64 + 20);
-    assert!(book.take(&desk(), &limit, of(1.0), DRAW, later).is_ok());
+    assert!(table.try_spend(&desk(), &limit, of(1.0), DRAW, later).is_ok());
 }
 
 // An account gets many times its quota: several VMs each let it in as if they were alone. What others spend
 // leaves the bucket here.
 #[test]
 fn what_others_spend_counts_here() {
-    let mut book = QuotaBook::new(PLAIN, ms(0));
+    let mut table = QuotaTable::new(PLAIN, ms(0));
     let limit = quota(1_000.0, 1_000.0);
     let config = config(1, Vec::new());
-    assert!(book.take(&desk(), &limit, of(1.0), DRAW, ms(2_000)).is_ok());
-    book.set_others(&[(desk(), 3_000.0)].into_iter().collect(), 1.0, &config, ms(2_000));
-    assert!(book.take(&desk(), &limit, of(1.0), DRAW, ms(3_000)).is_err());
-    book.set_others(&[(desk(), 0.0)].into_iter().collect(), 1.0, &config, ms(3_000));
-    assert!(book.take(&desk(), &limit, of(1.0), DRAW, ms(5_500)).is_ok());
+    assert!(table.try_spend(&desk(), &limit, of(1.0), DRAW, ms(2_000)).is_ok());
+    table.set_peer_spending(&[(desk(), 3_000.0)].into_iter().collect(), 1.0, &config, ms(2_000));
+    assert!(table.try_spend(&desk(), &limit, of(1.0), DRAW, ms(3_000)).is_err());
+    table.set_peer_spending(&[(desk(), 0.0)].into_iter().collect(), 1.0, &config, ms(3_000));
+    assert!(table.try_spend(&desk(), &limit, of(1.0), DRAW, ms(5_500)).is_ok());
 }
 
 /// What forty VMs let in that hear of each other 400 ms late, of callers who ask for six times the quota.
@@ -213,27 +217,27 @@
         support::limits(),
     );
     let mut rng = rand_pcg::Pcg64Mcg::seed_from_u64(3);
-    let mut books = vec![QuotaBook::new(PLAIN, ms(0)); VMS];
+    let mut tables = vec![QuotaTable::new(PLAIN, ms(0)); VMS];
     let mut told_at: Vec<Vec<f64>> = Vec::new();
     let mut total = 0.0;
     for step in 0..seconds as usize * 100 {
         let now = ms(step as u64 * 10);
-        for book in &mut books {
+        for table in &mut tables {
             // 60 units each 10 ms and VM are 240,000 a second.
-            if book.take(&desk(), &limit, of(60.0), rng.random(), now).is_ok() {
+            if table.try_spend(&desk(), &limit, of(60.0), rng.random(), now).is_ok() {
                 total += 60.0;
             }
         }
-        let spending = |it: &QuotaBook| it.spending(now).map(|(_, it)| it).sum();
-        told_at.push(books.iter().map(spending).collect());
+        let spending = |it: &QuotaTable| it.spending(now).map(|(_, it)| it).sum();
+        told_at.push(tables.iter().map(spending).collect());
         if step < LATE_STEPS {
             continue;
         }
         let heard = &told_at[step - LATE_STEPS];
         let all: f64 = heard.iter().sum();
-        for (at, book) in books.iter_mut().enumerate() {
+        for (at, table) in tables.iter_mut().enumerate() {
             let others = [(desk(), all - heard[at])].into_iter().collect();
-            book.set_others(&others, 1.0, &config, now);
+            table.set_peer_spending(&others, 1.0, &config, now);
         }
     }
     total
@@ -272,7 +276,7 @@
     let account = config.accounts.get_mut(&desk()).expect("an account");
     account.quota = Some(limit);
     let mut rng = rand_pcg::Pcg64Mcg::seed_from_u64(7);
-    let mut books = vec![QuotaBook::new(limits, ms(0)); VMS];
+    let mut tables = vec![QuotaTable::new(limits, ms(0)); VMS];
     let mut told_at: Vec<Vec<f64>> = Vec::new();
     let mut asked = vec![0.0; kinds.len()];
     let mut taken = vec![0.0; kinds.len()];
@@ -287,9 +291,9 @@
             while left > 0.0 {
                 if rng.random::<f64>() < left {
                     asked[at] += 1.0;
-                    let ask = QuotaAsk { cost: kind.cost, urgency: kind.urgency };
+                    let ask = QuotaRequest { cost: kind.cost, urgency: kind.urgency };
                     let vm = rng.random_range(0..VMS);
-                    if books[vm].take(&desk(), &limit, ask, rng.random(), now).is_ok() {
+                    if tables[vm].try_spend(&desk(), &limit, ask, rng.random(), now).is_ok() {
                         taken[at] += 1.0;
                         of_step += kind.cost;
                     }
@@ -298,13 +302,13 @@
             }
         }
         units.push(of_step);
-        let spending = |it: &QuotaBook| it.spending(now).map(|(_, it)| it).sum();
-        told_at.push(books.iter().map(spending).collect());
+        let spending = |it: &QuotaTable| it.spending(now).map(|(_, it)| it).sum();
+        told_at.push(tables.iter().map(spending).collect());
         let Some(heard) = step.checked_sub(LATE_STEPS).map(|it| &told_at[it]) else { continue };
         let all: f64 = heard.iter().sum();
-        for (at, book) in books.iter_mut().enumerate() {
+        for (at, table) in tables.iter_mut().enumerate() {
             let others = [(desk(), all - heard[at])].into_iter().collect();
-            book.set_others(&others, 1.0, &config, now);
+            table.set_peer_spending(&others, 1.0, &config, now);
         }
     }
     let most = units.windows(800).map(|it| it.iter().sum::<f64>()).fold(0.0, f64::max);
@@ -337,9 +341,9 @@
 // as debt under the new.
 #[test]
 fn a_lowered_quota_starts_without_debt() {
-    let mut book = QuotaBook::new(PLAIN, ms(0));
-    book.take(&desk(), &quota(1_000.0, 1_000.0), of(5_000.0), DRAW, ms(0)).unwrap();
-    assert!(book.take(&desk(), &quota(100.0, 100.0), of(10.0), DRAW, ms(100)).is_ok());
+    let mut table = QuotaTable::new(PLAIN, ms(0));
+    table.try_spend(&desk(), &quota(1_000.0, 1_000.0), of(5_000.0), DRAW, ms(0)).unwrap();
+    assert!(table.try_spend(&desk(), &quota(100.0, 100.0), of(10.0), DRAW, ms(100)).is_ok());
 }
 
 /// Two VMs that tell each other every 150 ms, or don't, with callers who ask for far more than the quota.
@@ -347,28 +351,28 @@
     let limit = quota(1_000.0, 1_000.0);
     let config = config(1, Vec::new());
     let mut rng = rand_pcg::Pcg64Mcg::seed_from_u64(3);
-    let mut books = [QuotaBook::new(PLAIN, ms(0)), QuotaBook::new(PLAIN, ms(0))];
+    let mut tables = [QuotaTable::new(PLAIN, ms(0)), QuotaTable::new(PLAIN, ms(0))];
     let mut sums = [Sums::default(), Sums::default()];
     let mut total = 0.0;
     if !hear_each_other {
-        for book in &mut books {
-            book.set_others(&Spending::new(), 0.5, &config, ms(0));
+        for table in &mut tables {
+            table.set_peer_spending(&Spending::new(), 0.5, &config, ms(0));
         }
     }
     for step in 0..seconds * 100 {
         let now = ms(step * 10);
-        for book in &mut books {
-            if book.take(&desk(), &limit, of(50.0), rng.random(), now).is_ok() {
+        for table in &mut tables {
+            if table.try_spend(&desk(), &limit, of(50.0), rng.random(), now).is_ok() {
                 total += 50.0;
             }
         }
         if hear_each_other && step % 15 == 0 {
             for at in 0..2 {
-                let spending = books[1 - at].spending(now).collect();
+                let spending = tables[1 - at].spending(now).collect();
                 sums[at].take("other", Share { vms: 1, spending, ..Share::default() }, now);
                 let mut others = Share::default();
                 sums[at].add_to(&mut others, None, now);
-                books[at].set_others(&others.spending, 1.0, &config, now);
+                tables[at].set_peer_spending(&others.spending, 1.0, &config, now);
             }
         }
     }
@@ -393,31 +397,31 @@
 
 #[test]
 fn an_empty_budget_refuses() {
-    let mut window = RetryWindow::default();
+    let mut window = RetryBudget::default();
     let none = RetryLimits { slack: 0.0, ..LIMITS };
-    assert!(!window.spend(&none, 1, ms(0)));
+    assert!(!window.try_spend(&none, 1, ms(0)));
 }
 
 // Requests that fail are given up though there is budget: only the slack was used, and each VM's part of it is small.
 // Requests earn repeats, too, for as long as the window lasts.
 #[test]
 fn requests_earn_repeats() {
-    let mut window = RetryWindow::default();
+    let mut window = RetryBudget::default();
     let none = RetryLimits { slack: 0.0, ..LIMITS };
     for _ in 0..20 {
-        window.request(ms(0));
+        window.record_request(ms(0));
     }
     // 0.7 of a fifth of twenty.
-    assert_eq!((0..20).filter(|_| window.spend(&none, 1, ms(1_000))).count(), 2);
-    assert!(!window.spend(&none, 1, ms(10_001)));
+    assert_eq!((0..20).filter(|_| window.try_spend(&none, 1, ms(1_000))).count(), 2);
+    assert!(!window.try_spend(&none, 1, ms(10_001)));
 }
 
 #[test]
 fn repeats_of_long_ago_do_not_count() {
-    let mut window = RetryWindow::default();
-    while window.spend(&LIMITS, 1, ms(0)) {}
-    assert!(!window.spend(&LIMITS, 1, ms(9_000)));
-    assert!(window.spend(&LIMITS, 1, ms(10_001)));
+    let mut window = RetryBudget::default();
+    while window.try_spend(&LIMITS, 1, ms(0)) {}
+    assert!(!window.try_spend(&LIMITS, 1, ms(9_000)));
+    assert!(window.try_spend(&LIMITS, 1, ms(10_001)));
 }
 
 // A VM writes more lines than it serves requests: callers that are refused come back at once. Lines of refusals
@@ -446,7 +450,7 @@
         vms in 1..12_usize,
         steps in prop::collection::vec((0..12_usize, any::<bool>(), 0..400_u64), 1..600),
     ) {
-        let mut windows = vec![RetryWindow::default(); vms];
+        let mut windows = vec![RetryBudget::default(); vms];
         let mut requests = Vec::new();
         let mut repeats = Vec::new();
         let mut now = 0;
@@ -454,9 +458,9 @@
             now += pause;
             let window = &mut windows[vm % vms];
             if is_request {
-                window.request(ms(now));
+                window.record_request(ms(now));
                 requests.push(now);
-            } else if window.spend(&LIMITS, vms, ms(now)) {
+            } else if window.try_spend(&LIMITS, vms, ms(now)) {
                 repeats.push(now);
             }
             let within = |times: &[u64]| times.iter().filter(|it| now - **it <= 10_000).count();
--- a/crates/quincevalve_forwarding/tests/peer_ranking.rs
+++ b/crates/quincevalve_forwarding/tests/peer_ranking.rs
@@ -110,7 +110,7 @@
             let listed = known.iter().filter(|it| it.listed);
             let before = listed.clone().filter(|it| score(&it.card) > score(&me)).count();
             let seat = book.seat(7);
-            prop_assert_eq!((seat.rank, seat.of), (before, listed.count() + 1));
+            prop_assert_eq!((seat.rank, seat.vm_count), (before, listed.count() + 1));
         }
     }
 }
--- a/crates/quincevalve_forwarding/tests/placement.rs
+++ b/crates/quincevalve_forwarding/tests/placement.rs
@@ -12,13 +12,13 @@
 use quincevalve_names::{BackendServerName, TimePoint};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
-use support::{Asking, START, entry, millis, ms, prompt, server, table};
+use support::{START, TestRequest, entry, millis, ms, prompt, server, table};
 
 fn rng() -> Pcg64Mcg {
     Pcg64Mcg::seed_from_u64(1)
 }
 
-fn place(table: &ServerTable, asking: &Asking) -> Result<Placement, NoPlace> {
+fn place(table: &ServerTable, asking: &TestRequest) -> Result<Placement, NoPlace> {
     table.place(&asking.ask(), &mut rng(), ms(0))
 }
 
@@ -31,12 +31,12 @@
 
 #[test]
 fn without_servers_there_is_no_place() {
-    assert_eq!(place(&ServerTable::default(), &Asking::default()), Err(NoPlace::NoServer));
+    assert_eq!(place(&ServerTable::default(), &TestRequest::default()), Err(NoPlace::NoServer));
 }
 
 #[test]
 fn a_server_that_had_the_request_does_not_get_it_again() {
-    let asking = Asking { had: vec![server(0)], ..Asking::default() };
+    let asking = TestRequest { had: vec![server(0)], ..TestRequest::default() };
     assert_eq!(place(&table(1), &asking), Err(NoPlace::NoServer));
     assert_eq!(place(&table(2), &asking).unwrap().server, server(1));
 }
@@ -45,7 +45,7 @@
 fn the_server_with_the_shorter_queue_is_chosen() {
     let mut table = table(2);
     load(&mut table, 0, 10_000, 3);
-    assert_eq!(place(&table, &Asking::default()).unwrap().server, server(1));
+    assert_eq!(place(&table, &TestRequest::default()).unwrap().server, server(1));
 }
 
 // A request is taken and answered late: it was sent where a queue of prompts stands before it. Where no
@@ -54,7 +54,7 @@
 fn a_request_that_cannot_be_in_time_is_refused() {
     let mut table = table(1);
     load(&mut table, 0, 12_000, 5);
-    let asking = Asking { within: millis(300), ..Asking::default() };
+    let asking = TestRequest { within: millis(300), ..TestRequest::default() };
     let Err(NoPlace::Busy { predicted }) = place(&table, &asking) else { panic!("a place") };
     assert!(predicted > millis(500), "{predicted:?}");
 }
@@ -64,15 +64,15 @@
     let mut table = table(2);
     let others = WorkSum { requests: 9, prefill: 60_000, recent: 60_000, ..WorkSum::default() };
     table.get_mut(&server(0), START).unwrap().load.set_others(others, ms(0));
-    assert_eq!(place(&table, &Asking::default()).unwrap().server, server(1));
+    assert_eq!(place(&table, &TestRequest::default()).unwrap().server, server(1));
 }
 
 #[test]
 fn urgent_prompts_wait_for_urgent_ones_only() {
     let mut table = table(1);
     load(&mut table, 0, 9_000, 6);
-    let urgent = Asking { urgency: 0, within: millis(400), ..Asking::default() };
-    let other = Asking { urgency: 1, within: millis(400), ..Asking::default() };
+    let urgent = TestRequest { urgency: 0, within: millis(400), ..TestRequest::default() };
+    let other = TestRequest { urgency: 1, within: millis(400), ..TestRequest::default() };
     assert!(place(&table, &urgent).is_ok());
     assert!(matches!(place(&table, &other), Err(NoPlace::Busy { .. })));
 }
@@ -89,9 +89,9 @@
         server.load.begin(work, ms(0));
         server.load.prefilled(work);
     }
-    assert!(matches!(place(&table, &Asking::default()), Err(NoPlace::Busy { .. })));
+    assert!(matches!(place(&table, &TestRequest::default()), Err(NoPlace::Busy { .. })));
     let later = ms(1_000);
-    let placed = table.place(&Asking::default().ask(), &mut rng(), later);
+    let placed = table.place(&TestRequest::default().ask(), &mut rng(), later);
     assert!(placed.is_ok());
 }
 
@@ -99,7 +99,7 @@
 fn an_engine_without_free_slots_gets_nothing() {
     let mut table = table(1);
     load(&mut table, 0, 1, 122);
-    assert!(matches!(place(&table, &Asking::default()), Err(NoPlace::Busy { .. })));
+    assert!(matches!(place(&table, &TestRequest::default()), Err(NoPlace::Busy { .. })));
 }
 
 #[test]
@@ -109,7 +109,7 @@
     let work = Work { prefill: 0, memory: 340_000, output: 100, urgency: 1 };
     server.load.begin(work, ms(0));
     server.load.begin(work, ms(0));
-    assert!(matches!(place(&table, &Asking::default()), Err(NoPlace::Busy { .. })));
+    assert!(matches!(place(&table, &TestRequest::default()), Err(NoPlace::Busy { .. })));
 }
 
 /// Places requests about `subjects` shared parts on 12 idle servers, and counts servers by part.
@@ -120,7 +120,7 @@
     for request in 0..subjects * 20 {
         let part = request % subjects;
         let prompt = Some(prompt(12_000, Some((part, 5_400))));
-        let asking = Asking { prompt, ..Asking::default() };
+        let asking = TestRequest { prompt, ..TestRequest::default() };
         let placed = table.place(&asking.ask(), &mut rng, ms(0)).expect("idle servers");
         let servers = by_part.entry(part).or_default();
         if !servers.contains(&placed.server) {
@@ -146,7 +146,7 @@
 fn a_hot_part_spills_over() {
     let mut table = table(12);
     let prompt = Some(prompt(12_000, Some((7, 5_400))));
-    let asking = Asking { prompt, ..Asking::default() };
+    let asking = TestRequest { prompt, ..TestRequest::default() };
     let first = place(&table, &asking).unwrap().server;
     let at = (0..12).find(|it| server(*it) == first).unwrap();
     load(&mut table, at, 7_000, 7);
@@ -159,7 +159,7 @@
     table.get_mut(&server(0), START).unwrap().load.unreachable(TimePoint::ZERO);
     for seed in 0..20 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let placed = table.place(&Asking::default().ask(), &mut rng, ms(0)).unwrap();
+        let placed = table.place(&TestRequest::default().ask(), &mut rng, ms(0)).unwrap();
         assert_eq!(placed.server, server(1));
     }
 }
@@ -168,7 +168,7 @@
 fn a_paused_server_is_better_than_none() {
     let mut table = table(1);
     table.get_mut(&server(0), START).unwrap().load.unreachable(TimePoint::ZERO);
-    assert!(place(&table, &Asking::default()).is_ok());
+    assert!(place(&table, &TestRequest::default()).is_ok());
 }
 
 // A data centre is left alone for a second and a half though it is well: one server there crashed and was tried twice, or
@@ -177,10 +177,14 @@
 fn one_server_out_of_reach_is_no_data_centre() {
     let mut table = table(16);
     for at in [0, 100] {
-        assert_eq!(table.unreachable(&server(1), START, ms(at)), [(server(1), START)]);
+        assert_eq!(table.mark_unreachable(&server(1), START, ms(at)), [(server(1), START)]);
     }
-    assert_eq!(table.unreachable(&server(5), START, ms(1_601)), [(server(5), START)]);
-    assert_eq!(table.unreachable(&server(9), START, ms(3_101)).len(), 4, "in time after the last");
+    assert_eq!(table.mark_unreachable(&server(5), START, ms(1_601)), [(server(5), START)]);
+    assert_eq!(
+        table.mark_unreachable(&server(9), START, ms(3_101)).len(),
+        4,
+        "in time after the last"
+    );
 }
 
 // Caller after caller waits for a connection in vain: a data centre is cut off, and its servers are tried one
@@ -188,12 +192,12 @@
 #[test]
 fn a_data_centre_out_of_reach_is_avoided_as_a_whole() {
     let mut table = table(16);
-    assert_eq!(table.unreachable(&server(1), START, ms(0)), [(server(1), START)]);
+    assert_eq!(table.mark_unreachable(&server(1), START, ms(0)), [(server(1), START)]);
     let centre = [1, 5, 9, 13].map(|it| (server(it), START));
-    assert_eq!(table.unreachable(&server(5), START, ms(100)), centre);
+    assert_eq!(table.mark_unreachable(&server(5), START, ms(100)), centre);
     let placed = |seed| {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        table.place(&Asking::default().ask(), &mut rng, ms(200)).map(|it| it.server)
+        table.place(&TestRequest::default().ask(), &mut rng, ms(200)).map(|it| it.server)
     };
     for seed in 0..50 {
         let name = placed(seed).unwrap();
@@ -222,7 +226,7 @@
     for _ in 0..10 {
         table.get_mut(&server(0), START).unwrap().load.failed();
     }
-    assert_eq!(place(&table, &Asking::default()).unwrap().server, server(1));
+    assert_eq!(place(&table, &TestRequest::default()).unwrap().server, server(1));
 }
 
 #[test]
@@ -231,7 +235,7 @@
     for _ in 0..20 {
         table.get_mut(&server(0), START).unwrap().load.answered(millis(800), millis(100));
     }
-    assert_eq!(place(&table, &Asking::default()).unwrap().server, server(1));
+    assert_eq!(place(&table, &TestRequest::default()).unwrap().server, server(1));
 }
 
 // Calls of a plain service are lost when data centres are cut off from each other. They stay in theirs while
@@ -241,9 +245,9 @@
     let mut table = ServerTable::default();
     for (at, centre) in ["a", "b"].iter().enumerate() {
         let small = quincevalve_forwarding::servers::ServerEntry { slots: 6, ..entry(centre) };
-        table.listed(&server(at), small, ms(0));
+        table.apply_entry(&server(at), small, ms(0));
     }
-    let call = Asking { prompt: None, ..Asking::default() };
+    let call = TestRequest { prompt: None, ..TestRequest::default() };
     assert_eq!(place(&table, &call).unwrap().server, server(0));
     load(&mut table, 0, 0, 12);
     assert_eq!(place(&table, &call).unwrap().server, server(1));
@@ -254,7 +258,8 @@
 #[test]
 fn a_server_that_starts_keeps_no_prompts_yet() {
     let mut table = table(1);
-    let asking = Asking { prompt: Some(prompt(17_000, Some((7, 13_000)))), ..Asking::default() };
+    let asking =
+        TestRequest { prompt: Some(prompt(17_000, Some((7, 13_000)))), ..TestRequest::default() };
     let predicted = |table: &ServerTable, at| {
         let place = table.place(&asking.ask(), &mut rng(), at).expect("room");
         (place.predicted.as_millis(), place.work.prefill)
--- a/crates/quincevalve_forwarding/tests/quota_restarts.rs
+++ b/crates/quincevalve_forwarding/tests/quota_restarts.rs
@@ -7,7 +7,7 @@
 use indexmap::IndexMap;
 use quincevalve_forwarding::{
     config::{Account, ForwardingConfig, Quota},
-    quota::{QuotaAsk, QuotaBook, QuotaLimits},
+    quota::{QuotaLimits, QuotaRequest, QuotaTable},
     sums::{Share, Sums},
 };
 use quincevalve_names::{ClientAccountName, TimePoint};
@@ -35,8 +35,8 @@
 const TOKENS: f64 = 3_000.0;
 
 /// What a request of that cost asks.
-fn of(cost: f64) -> QuotaAsk {
-    QuotaAsk { cost, urgency: 1 }
+fn of(cost: f64) -> QuotaRequest {
+    QuotaRequest { cost, urgency: 1 }
 }
 
 fn desk() -> ClientAccountName {
@@ -59,7 +59,7 @@
 }
 
 struct Vm {
-    book: QuotaBook,
+    book: QuotaTable,
     members: Sums,
     collectors: Sums,
     rest: Sums,
@@ -70,7 +70,7 @@
 impl Vm {
     fn new(starts: u64, limits: QuotaLimits, now: TimePoint) -> Self {
         Self {
-            book: QuotaBook::new(limits, now),
+            book: QuotaTable::new(limits, now),
             members: Sums::default(),
             collectors: Sums::default(),
             rest: Sums::default(),
@@ -152,7 +152,7 @@
             vm.rest.add_to(&mut others, None, now);
         }
         let part = (f64::from(others.vms + 1) / VMS as f64).min(1.0);
-        vm.book.set_others(&others.spending, part, &self.config, now);
+        vm.book.set_peer_spending(&others.spending, part, &self.config, now);
     }
 
     /// Tokens let in at each step, of callers who ask for 3.6 times the quota; `restarts` VMs go each 1.3 s.
@@ -191,7 +191,7 @@
                 if self.rng.random::<f64>() < chance {
                     let draw = self.rng.random();
                     let book = &mut self.vms[at].book;
-                    let taken = book.take(&desk(), &limit(), of(TOKENS), draw, now);
+                    let taken = book.try_spend(&desk(), &limit(), of(TOKENS), draw, now);
                     asked += TOKENS;
                     let_in += if taken.is_ok() { TOKENS } else { 0.0 };
                 }
--- a/crates/quincevalve_forwarding/tests/restraints.rs
+++ b/crates/quincevalve_forwarding/tests/restraints.rs
@@ -8,12 +8,12 @@
     placement::NoPlace,
     server_signals::{RequestRate, ServerSignals},
     servers::{Server, ServerTable},
-    shared_limit::Seat,
+    shared_limit::VmRank,
 };
 use quincevalve_names::TimePoint;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
-use support::{Asking, START, entry, millis, ms, server, table};
+use support::{START, TestRequest, entry, millis, ms, server, table};
 
 /// Milliseconds over which a server counts what it gets, and what it bears beyond its limit: a factor and a number.
 const SPAN_MS: i64 = 4_000;
@@ -33,8 +33,12 @@
         let mut allowance = Allowance::default();
         let wrong = clocks[rank % clocks.len()];
         for now in (0..length_ms).step_by(STEP_MS) {
-            while allowance.spend(rate(limit), 77, Seat { rank, of: vms }, 1_000_000 + now + wrong)
-            {
+            while allowance.try_spend(
+                rate(limit),
+                77,
+                VmRank { rank, vm_count: vms },
+                1_000_000 + now + wrong,
+            ) {
                 times.push(now);
             }
         }
@@ -66,7 +70,7 @@
 
     #[test]
     fn parts_of_all_vms_add_up(requests in 0_u64..5_000, of in 1_usize..400, turn: u64) {
-        let sum: u64 = (0..of).map(|rank| Seat { rank, of }.part_of(requests, turn)).sum();
+        let sum: u64 = (0..of).map(|rank| VmRank { rank, vm_count: of }.share_of(requests, turn)).sum();
         prop_assert_eq!(sum, requests);
     }
 }
@@ -74,8 +78,8 @@
 #[test]
 fn what_a_vm_has_not_sent_is_lost_after_a_second() {
     let mut allowance = Allowance::default();
-    let seat = Seat { rank: 0, of: 1 };
-    let sent = (0..100).filter(|_| allowance.spend(rate(4.0), 7, seat, 60_000)).count();
+    let seat = VmRank { rank: 0, vm_count: 1 };
+    let sent = (0..100).filter(|_| allowance.try_spend(rate(4.0), 7, seat, 60_000)).count();
     assert_eq!(sent, 4);
 }
 
@@ -90,7 +94,7 @@
 }
 
 fn server_0_names(table: &mut ServerTable, limit: Option<f64>) {
-    table.get_mut(&server(0), START).expect("listed").signalled(&named(limit), ms(0));
+    table.get_mut(&server(0), START).expect("listed").apply_signals(&named(limit), ms(0));
 }
 
 /// Requests of those that server 0 gets.
@@ -98,7 +102,7 @@
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let mut placed = 0;
     for _ in 0..requests {
-        if let Ok(place) = table.place(&Asking::default().ask(), &mut rng, now) {
+        if let Ok(place) = table.place(&TestRequest::default().ask(), &mut rng, now) {
             table.spend_allowance(&place.server, place.start, now);
             placed += usize::from(place.server == server(0));
         }
@@ -109,7 +113,7 @@
 #[test]
 fn requests_beyond_a_limit_go_to_other_servers() {
     let mut table = table(2);
-    table.set_seat(Seat::ALONE, 1_000_000, ms(0));
+    table.set_rank(VmRank::ALONE, 1_000_000, ms(0));
     server_0_names(&mut table, Some(4.0));
     let placed = placed_on_0(&mut table, 100, ms(0));
     assert!((1..=4).contains(&placed), "{placed}");
@@ -120,10 +124,11 @@
 #[test]
 fn requests_that_no_limit_leaves_room_for_are_refused_at_once() {
     let mut table = table(1);
-    table.set_seat(Seat { rank: 0, of: 2 }, 1_000_000, ms(0));
+    table.set_rank(VmRank { rank: 0, vm_count: 2 }, 1_000_000, ms(0));
     server_0_names(&mut table, Some(4.0));
     assert!(placed_on_0(&mut table, 100, ms(0)) <= 4);
-    let refused = table.place(&Asking::default().ask(), &mut Pcg64Mcg::seed_from_u64(1), ms(0));
+    let refused =
+        table.place(&TestRequest::default().ask(), &mut Pcg64Mcg::seed_from_u64(1), ms(0));
     assert_eq!(refused, Err(NoPlace::Limited { wait: millis(500) }));
 }
 
@@ -133,16 +138,17 @@
     server_0_names(&mut table, Some(0.0));
     let mut entry = entry("a");
     entry.start.0 += 1;
-    table.listed(&server(0), entry, ms(10));
+    table.apply_entry(&server(0), entry, ms(10));
     assert_eq!(table.get(&server(0)).and_then(Server::limit), None);
 }
 
 fn rests(table: &mut ServerTable, at: usize, rest: u64, now: u64) {
-    table.get_mut(&server(at), START).expect("listed").rests(millis(rest), ms(now));
+    table.get_mut(&server(at), START).expect("listed").extend_rest(millis(rest), ms(now));
 }
 
 fn place(table: &ServerTable, now: u64) -> Result<usize, NoPlace> {
-    let place = table.place(&Asking::default().ask(), &mut Pcg64Mcg::seed_from_u64(1), ms(now));
+    let place =
+        table.place(&TestRequest::default().ask(), &mut Pcg64Mcg::seed_from_u64(1), ms(now));
     place.map(|it| usize::from(it.server != server(0)))
 }
 
@@ -180,6 +186,6 @@
     rests(&mut table, 0, 60_000, 0);
     let mut entry = entry("a");
     entry.start.0 += 1;
-    table.listed(&server(0), entry, ms(10));
+    table.apply_entry(&server(0), entry, ms(10));
     assert_eq!(place(&table, 20), Ok(0));
 }
--- a/crates/quincevalve_forwarding/tests/rollout.rs
+++ b/crates/quincevalve_forwarding/tests/rollout.rs
@@ -19,7 +19,7 @@
         verdict::{Judgement, Verdict, judge},
     },
     servers::{ServerEntry, ServerTable, start_hash},
-    shared_limit::{Seat, SharedLimit},
+    shared_limit::{SharedLimit, VmRank},
 };
 use quincevalve_names::{ServiceName, TimePoint};
 use support::{START, entry, ms, server};
@@ -46,7 +46,7 @@
         let of_vm = |rank: usize| {
             let mut exposure = Exposure::new(true);
             (0..requests).for_each(|_| exposure.record_request());
-            let seat = Seat { rank, of: 295 };
+            let seat = VmRank { rank, vm_count: 295 };
             usize::from(exposure.may_send(&limit, seat, 1.0))
         };
         (0..295).map(of_vm).sum()
@@ -58,7 +58,7 @@
 
 #[test]
 fn a_vm_that_started_after_the_order_has_no_part_of_the_slack() {
-    let seat = Seat { rank: 0, of: 2 };
+    let seat = VmRank { rank: 0, vm_count: 2 };
     let mut late = Exposure::new(false);
     assert!(!late.may_send(&LIMIT, seat, 1.0));
     assert!(Exposure::new(true).may_send(&LIMIT, seat, 1.0));
@@ -393,7 +393,11 @@
     let mut table = ServerTable::default();
     for at in 0..8 {
         let version = if at < 4 { "v1" } else { "v2" };
-        table.listed(&server(at), ServerEntry { version: version.into(), ..entry("a") }, ms(0));
+        table.apply_entry(
+            &server(at),
+            ServerEntry { version: version.into(), ..entry("a") },
+            ms(0),
+        );
     }
     table
 }
@@ -401,7 +405,7 @@
 const AROUND: RefreshContext = RefreshContext {
     wall_clock_ms: Some(ORDERED_MS),
     has_engines: true,
-    vm_rank: Seat { rank: 0, of: 1 },
+    vm_rank: VmRank { rank: 0, vm_count: 1 },
     is_connected: true,
 };
 
@@ -639,7 +643,7 @@
         let mut all = 0;
         for (rank, asked) in asked.iter().take(vms).enumerate() {
             let mut exposure = Exposure::new(true);
-            let seat = Seat { rank, of: vms };
+            let seat = VmRank { rank, vm_count: vms };
             for _ in 0..*asked {
                 exposure.record_request();
                 if exposure.may_send(&limit, seat, 1.0) {
--- a/crates/quincevalve_forwarding/tests/rollout_world/world.rs
+++ b/crates/quincevalve_forwarding/tests/rollout_world/world.rs
@@ -14,7 +14,7 @@
         table::{RefreshContext, RolloutTable, TrackedAttempt, TrackingId, VersionChoice},
     },
     servers::{ServerEntry, ServerStart, ServerTable, start_hash},
-    shared_limit::{Seat, SharedLimit},
+    shared_limit::{SharedLimit, VmRank},
 };
 use quincevalve_names::{BackendServerName, ServiceName, TimePoint};
 use rand::{RngExt, SeedableRng};
@@ -403,11 +403,11 @@
             StoreChange::Server(at) => {
                 let server = &self.servers[at];
                 if server.gone_at > self.now {
-                    vm.table.listed(&server.name, entry(server.is_new), now);
+                    vm.table.apply_entry(&server.name, entry(server.is_new), now);
                 }
             }
             StoreChange::Gone(at) => {
-                vm.table.removed(&self.servers[at].name, now);
+                vm.table.remove_entry(&self.servers[at].name, now);
             }
         }
     }
@@ -417,7 +417,7 @@
         let around = RefreshContext {
             wall_clock_ms: Some(START_MS + self.now.cast_signed()),
             has_engines: self.plan.has_engines,
-            vm_rank: Seat { rank: vm, of: self.plan.vms },
+            vm_rank: VmRank { rank: vm, vm_count: self.plan.vms },
             is_connected: !is_cut,
         };
         let vm = &mut self.vms[vm];
--- a/crates/quincevalve_forwarding/tests/signals_world/world.rs
+++ b/crates/quincevalve_forwarding/tests/signals_world/world.rs
@@ -5,10 +5,10 @@
 use quincevalve_forwarding::{
     config::Engine,
     placement::{Ask, Prompt},
-    server_signals::{RequestRate, ServerSignals, ToldSignals},
+    server_signals::{ReportedSignals, RequestRate, ServerSignals},
     servers::{ServerEntry, ServerStart, ServerTable},
-    shared_limit::Seat,
-    signal_outbox::{ServerKey, SignalOutbox, Source},
+    shared_limit::VmRank,
+    signal_outbox::{ServerKey, SignalOutbox, SignalSource},
 };
 use quincevalve_names::{BackendServerName, DataCentreName, ServiceName, TimePoint};
 use rand::{RngExt, SeedableRng};
@@ -220,7 +220,7 @@
 enum Event {
     Request { vm: usize, start: u32, server: usize, sent: u64 },
     Answer { vm: usize, start: u32, server: usize, signals: ServerSignals },
-    News { to: usize, from: Source, news: Vec<(ServerKey, ToldSignals)> },
+    News { to: usize, from: SignalSource, news: Vec<(ServerKey, ReportedSignals)> },
 }
 
 struct World {
@@ -265,7 +265,7 @@
             reclaimable: false,
             leaves_in: None,
         };
-        table.listed(&name(server), entry, at(now));
+        table.apply_entry(&name(server), entry, at(now));
     }
 }
 
@@ -369,54 +369,54 @@
     }
 
     /// The place of a VM among all that it knows. VMs hear of new ones one after the other within a second.
-    fn seat(&self, vm: usize) -> Seat {
+    fn seat(&self, vm: usize) -> VmRank {
         if !self.plan.safeguards.seats {
-            return Seat::ALONE;
+            return VmRank::ALONE;
         }
         let Some((count, when)) = self.plan.added else {
-            return Seat { rank: vm, of: self.plan.vms };
+            return VmRank { rank: vm, vm_count: self.plan.vms };
         };
         let old = self.plan.vms - count;
         let knows = self.now >= when + 1_000 * vm as u64 / self.plan.vms as u64;
-        Seat { rank: vm, of: if knows || vm >= old { self.plan.vms } else { old } }
+        VmRank { rank: vm, vm_count: if knows || vm >= old { self.plan.vms } else { old } }
     }
 
     /// A VM's periodic turn: its seat, its clock, and news for others.
     fn turn(&mut self, vm: usize) {
         let (seat, now) = (self.seat(vm), self.now);
         let true_ms = 1_700_000_000_000 + now.cast_signed() + self.vms[vm].clock_error;
-        self.vms[vm].table.set_seat(seat, true_ms, at(now));
+        self.vms[vm].table.set_rank(seat, true_ms, at(now));
         if !self.plan.safeguards.told {
             return;
         }
-        let wide = self.vms[vm].outbox.for_collectors();
-        let near = self.vms[vm].outbox.for_members();
+        let wide = self.vms[vm].outbox.take_for_collectors();
+        let near = self.vms[vm].outbox.take_for_members();
         let (collectors, members, scope) = self.audience(vm);
         self.tell(vm, wide, &collectors, scope);
-        self.tell(vm, near, &members, Source::OwnCollector);
+        self.tell(vm, near, &members, SignalSource::OwnCollector);
     }
 
     /// Whom a VM tells: its collector or the other collectors, and its members; and what it is to the former.
-    fn audience(&self, vm: usize) -> (Vec<usize>, Vec<usize>, Source) {
+    fn audience(&self, vm: usize) -> (Vec<usize>, Vec<usize>, SignalSource) {
         let all = self.plan.vms;
         if all <= SMALL {
             let others = (0..all).filter(|it| *it != vm).collect();
-            return (others, Vec::new(), Source::Collector);
+            return (others, Vec::new(), SignalSource::Collector);
         }
         let collector = vm / GROUP * GROUP;
         if collector != vm {
-            return (vec![collector], Vec::new(), Source::Member);
+            return (vec![collector], Vec::new(), SignalSource::Member);
         }
         let others = (0..all).step_by(GROUP).filter(|it| *it != vm).collect();
         let members = (vm + 1..all.min(vm + GROUP)).collect();
-        (others, members, Source::Collector)
+        (others, members, SignalSource::Collector)
     }
 
-    fn tell(&mut self, vm: usize, keys: Vec<ServerKey>, to: &[usize], from: Source) {
+    fn tell(&mut self, vm: usize, keys: Vec<ServerKey>, to: &[usize], from: SignalSource) {
         let now = at(self.now);
         let table = &self.vms[vm].table;
         let news = keys.into_iter().filter_map(|key| {
-            let told = table.get(&key.0)?.to_tell(now)?;
+            let told = table.get(&key.0)?.signals_to_report(now)?;
             Some((key, told))
         });
         let news: Vec<_> = news.collect();
@@ -450,7 +450,7 @@
                     let vm = &mut self.vms[to];
                     for (key, told) in news {
                         let Some(server) = vm.table.get_mut(&key.0, key.1) else { continue };
-                        if !server.told(&told, at(now)).is_none() {
+                        if !server.apply_report(&told, at(now)).is_empty() {
                             vm.outbox.push(key, from);
                         }
                     }
@@ -503,10 +503,10 @@
         let key = (name(server), START);
         let Some(server) = vm.table.get_mut(&key.0, key.1) else { return };
         if let Some(rest) = signals.rest.filter(|_| self.plan.safeguards.rest) {
-            server.rests(rest, at(now));
+            server.extend_rest(rest, at(now));
         }
-        if !server.signalled(&signals, at(now)).is_none() {
-            vm.outbox.push(key, Source::Server);
+        if !server.apply_signals(&signals, at(now)).is_empty() {
+            vm.outbox.push(key, SignalSource::Server);
         }
     }
 
--- a/crates/quincevalve_forwarding/tests/store_contact.rs
+++ b/crates/quincevalve_forwarding/tests/store_contact.rs
@@ -95,9 +95,9 @@
 fn only_a_long_outage_makes_entries_lapse() {
     let after = |outage: u64| {
         let mut table = table(4);
-        table.store_lost(ms(1_000));
-        table.store_found(ms(1_000 + outage));
-        table.removed(&server(0), ms(1_050 + outage));
+        table.begin_store_outage(ms(1_000));
+        table.end_store_outage(ms(1_000 + outage));
+        table.remove_entry(&server(0), ms(1_050 + outage));
         usable(&table, ms(1_600 + outage))
     };
     let lapse_after = LAPSE_AFTER.as_millis() as u64;
@@ -110,17 +110,17 @@
 #[test]
 fn a_removal_is_a_leave_once_the_outage_is_denied() {
     let mut table = table(4);
-    table.store_lost(ms(1_000));
-    table.store_found(ms(9_000));
-    assert_eq!(table.removed(&server(0), ms(9_000)), Some(Removal::MayHaveLapsed));
+    table.begin_store_outage(ms(1_000));
+    table.end_store_outage(ms(9_000));
+    assert_eq!(table.remove_entry(&server(0), ms(9_000)), Some(Removal::MayHaveExpired));
     assert!(usable(&table, ms(9_700)));
-    assert_eq!(table.goes_at(&server(0), START), None);
-    table.store_never_away(ms(9_710));
+    assert_eq!(table.expected_stop(&server(0), START), None);
+    table.cancel_store_outage(ms(9_710));
     assert!(!usable(&table, ms(9_710)));
-    assert!(!table.may_lack_entries(ms(9_710)));
-    assert!(table.goes_at(&server(0), START).is_some_and(|it| it > ms(9_710)));
-    assert_eq!(table.goes_at(&server(1), START), None, "it is listed");
-    assert_eq!(table.removed(&server(1), ms(9_800)), Some(Removal::Leaving));
+    assert!(!table.may_be_incomplete(ms(9_710)));
+    assert!(table.expected_stop(&server(0), START).is_some_and(|it| it > ms(9_710)));
+    assert_eq!(table.expected_stop(&server(1), START), None, "it is listed");
+    assert_eq!(table.remove_entry(&server(1), ms(9_800)), Some(Removal::Leaving));
 }
 
 // A request reaches a server that left while this VM got no processor time for three seconds: its first answer of the
@@ -129,13 +129,13 @@
 #[test]
 fn an_outage_is_not_believed_before_others_could_deny_it() {
     let mut table = table(4);
-    table.store_lost(ms(1_000));
-    table.store_found(ms(4_000));
-    table.removed(&server(0), ms(4_000));
+    table.begin_store_outage(ms(1_000));
+    table.end_store_outage(ms(4_000));
+    table.remove_entry(&server(0), ms(4_000));
     assert!(!usable(&table, ms(4_599)));
     assert!(usable(&table, ms(4_600)));
     for at in 1..4 {
-        table.removed(&server(at), ms(4_000));
+        table.remove_entry(&server(at), ms(4_000));
     }
     assert_eq!(table.usable(&"engines".into(), ms(4_100)).count(), 4, "nothing else is listed");
 }
@@ -143,12 +143,12 @@
 #[test]
 fn a_store_that_answered_others_is_not_away() {
     let mut table = table(4);
-    assert!(!table.is_store_away());
-    table.store_lost(ms(1_000));
-    assert!(table.is_store_away());
-    table.store_never_away(ms(4_000));
-    assert!(!table.is_store_away());
-    assert_eq!(table.removed(&server(0), ms(4_100)), Some(Removal::Leaving));
+    assert!(!table.is_store_unreachable());
+    table.begin_store_outage(ms(1_000));
+    assert!(table.is_store_unreachable());
+    table.cancel_store_outage(ms(4_000));
+    assert!(!table.is_store_unreachable());
+    assert_eq!(table.remove_entry(&server(0), ms(4_100)), Some(Removal::Leaving));
     assert!(!usable(&table, ms(4_800)));
 }
 
@@ -157,12 +157,12 @@
 #[test]
 fn a_removal_before_entries_lapse_is_a_leave() {
     let mut table = table(1);
-    table.removed(&server(0), ms(900));
-    table.store_lost(ms(1_000));
+    table.remove_entry(&server(0), ms(900));
+    table.begin_store_outage(ms(1_000));
     assert!(!usable(&table, ms(3_100)), "it was removed before");
     let mut table = self::table(1);
-    table.store_lost(ms(1_000));
-    assert_eq!(table.removed(&server(0), ms(1_500)), Some(Removal::Leaving));
+    table.begin_store_outage(ms(1_000));
+    assert_eq!(table.remove_entry(&server(0), ms(1_500)), Some(Removal::Leaving));
     assert!(!usable(&table, ms(1_500)), "nothing lapses that soon");
 }
 
@@ -170,7 +170,7 @@
 fn a_placement_tells_for_how_long_an_entry_is_missing() {
     let mut table = table(1);
     assert_eq!(table.get(&server(0)).unwrap().unlisted_for(ms(100)), None);
-    table.removed(&server(0), ms(100));
+    table.remove_entry(&server(0), ms(100));
     assert_eq!(table.get(&server(0)).unwrap().unlisted_for(ms(350)), Some(millis(250)));
 }
 
@@ -179,11 +179,11 @@
 #[test]
 fn outages_that_follow_each_other_are_one() {
     let mut table = table(1);
-    table.store_lost(ms(1_000));
-    table.store_found(ms(5_000));
-    table.removed(&server(0), ms(5_000));
-    table.store_lost(ms(5_500));
-    table.store_found(ms(8_000));
+    table.begin_store_outage(ms(1_000));
+    table.end_store_outage(ms(5_000));
+    table.remove_entry(&server(0), ms(5_000));
+    table.begin_store_outage(ms(5_500));
+    table.end_store_outage(ms(8_000));
     assert!(usable(&table, ms(10_299)));
     assert!(!usable(&table, ms(10_300)));
 }
@@ -191,11 +191,11 @@
 #[test]
 fn an_outage_long_after_another_stands_alone() {
     let mut table = table(1);
-    table.store_lost(ms(1_000));
-    table.store_found(ms(5_000));
-    table.removed(&server(0), ms(5_000));
-    table.store_lost(ms(7_300));
-    table.store_found(ms(10_000));
+    table.begin_store_outage(ms(1_000));
+    table.end_store_outage(ms(5_000));
+    table.remove_entry(&server(0), ms(5_000));
+    table.begin_store_outage(ms(7_300));
+    table.end_store_outage(ms(10_000));
     assert!(!usable(&table, ms(10_000)), "it had its time to return");
 }
 
@@ -204,13 +204,13 @@
 #[test]
 fn servers_that_left_are_forgotten() {
     let mut table = table(3);
-    table.removed(&server(0), ms(0));
-    table.removed(&server(1), ms(59_999));
+    table.remove_entry(&server(0), ms(0));
+    table.remove_entry(&server(1), ms(59_999));
     assert!(table.get(&server(0)).is_some());
-    table.removed(&server(2), ms(60_000));
+    table.remove_entry(&server(2), ms(60_000));
     assert!(table.get(&server(0)).is_none());
     assert!(table.get(&server(1)).is_some() && table.get(&server(2)).is_some());
-    assert!(table.listed(&server(0), entry("a"), ms(70_000)), "it is new again");
+    assert!(table.apply_entry(&server(0), entry("a"), ms(70_000)), "it is new again");
 }
 
 /// VMs of the model.
--- a/crates/quincevalve_forwarding/tests/support/mod.rs
+++ b/crates/quincevalve_forwarding/tests/support/mod.rs
@@ -113,7 +113,7 @@
     let mut table = ServerTable::default();
     for at in 0..count {
         let centre = ["a", "b", "c", "d"][at % 4];
-        table.listed(&server(at), entry(centre), TimePoint::ZERO);
+        table.apply_entry(&server(at), entry(centre), TimePoint::ZERO);
     }
     table
 }
@@ -127,7 +127,7 @@
 }
 
 /// What a request asks that comes to an entry VM of data centre `a`.
-pub struct Asking {
+pub struct TestRequest {
     pub service: ServiceName,
     pub data_centre: DataCentreName,
     pub prompt: Option<Prompt>,
@@ -136,7 +136,7 @@
     pub had: Vec<BackendServerName>,
 }
 
-impl Default for Asking {
+impl Default for TestRequest {
     fn default() -> Self {
         Self {
             service: "engines".into(),
@@ -149,7 +149,7 @@
     }
 }
 
-impl Asking {
+impl TestRequest {
     pub fn ask(&self) -> Ask<'_> {
         Ask {
             service: &self.service,
--- a/crates/quincevalve_measure/src/experiments/placement.rs
+++ b/crates/quincevalve_measure/src/experiments/placement.rs
@@ -61,7 +61,7 @@
             reclaimable: true,
             leaves_in: None,
         };
-        servers.listed(&name, entry, TimePoint::ZERO);
+        servers.apply_entry(&name, entry, TimePoint::ZERO);
     }
     for (_, server) in servers.all_mut() {
         let requests = rng.random_range(0..12);
--- a/crates/quincevalve_node/src/duties/orders.rs
+++ b/crates/quincevalve_node/src/duties/orders.rs
@@ -50,7 +50,7 @@
             let Some(scaling) = &service.scaling else { continue };
             let now = clock::now();
             // An order names a number in all: by an incomplete list it would give servers back.
-            if node.servers.borrow().may_lack_entries(now) {
+            if node.servers.borrow().may_be_incomplete(now) {
                 continue;
             }
             // The old servers go, and the new ones are as many: what is there says nothing for some seconds.
--- a/crates/quincevalve_node/src/duties/orders/tests.rs
+++ b/crates/quincevalve_node/src/duties/orders/tests.rs
@@ -31,11 +31,11 @@
             reclaimable: true,
             leaves_in: None,
         };
-        node.servers.borrow_mut().listed(&name.into(), entry, clock::now());
+        node.servers.borrow_mut().apply_entry(&name.into(), entry, clock::now());
     }
     let signals = ServerSignals { limit: RequestRate::new(limit), ..ServerSignals::default() };
     if let Some(server) = node.servers.borrow_mut().get_mut(&"s-1".into(), START) {
-        server.signalled(&signals, clock::now());
+        server.apply_signals(&signals, clock::now());
     }
     node.note_demand(&"engines".into(), Work { prefill: 10_000, ..Work::default() }, true);
     node
--- a/crates/quincevalve_node/src/duties/rollouts.rs
+++ b/crates/quincevalve_node/src/duties/rollouts.rs
@@ -78,7 +78,7 @@
         let Some(since) = self.held_since().await? else { return Ok(()) };
         let (revision, known) = self.stored(service).await?;
         // An incomplete list of servers says nothing of what there is.
-        if self.node.servers.borrow().may_lack_entries(clock::now()) {
+        if self.node.servers.borrow().may_be_incomplete(clock::now()) {
             return Ok(());
         }
         self.tell(service, known.as_ref());
--- a/crates/quincevalve_node/src/node.rs
+++ b/crates/quincevalve_node/src/node.rs
@@ -19,8 +19,8 @@
     peer_book::VmCard,
     placement::Placement,
     poison::PoisonGuard,
-    quota::QuotaBook,
-    retry_window::RetryWindow,
+    quota::QuotaTable,
+    retry_budget::RetryBudget,
     rollout::table::RolloutTable,
     servers::ServerTable,
     signal_outbox::SignalOutbox,
@@ -74,8 +74,8 @@
     pub(crate) config: RefCell<Option<Rc<ForwardingConfig>>>,
     pub(crate) freshness: Cell<Freshness>,
     pub(crate) servers: RefCell<ServerTable>,
-    pub(crate) quota: RefCell<QuotaBook>,
-    pub(crate) retries: RefCell<HashMap<ServiceName, RetryWindow>>,
+    pub(crate) quota: RefCell<QuotaTable>,
+    pub(crate) retries: RefCell<HashMap<ServiceName, RetryBudget>>,
     pub(crate) usage: RefCell<Usage>,
     pub(crate) wall: RefCell<WallClock<String>>,
     pub(crate) duty: RefCell<Duty>,
@@ -126,7 +126,7 @@
             config: RefCell::default(),
             freshness: Cell::default(),
             servers: RefCell::default(),
-            quota: RefCell::new(QuotaBook::new(settings.quotas, clock::now())),
+            quota: RefCell::new(QuotaTable::new(settings.quotas, clock::now())),
             retries: RefCell::default(),
             usage: RefCell::default(),
             wall: RefCell::default(),
@@ -278,7 +278,7 @@
         let vms = self.vms();
         let mut windows = self.retries.borrow_mut();
         let window = windows.entry(service.clone()).or_default();
-        window.spend(&self.settings.retries, vms, clock::now())
+        window.try_spend(&self.settings.retries, vms, clock::now())
     }
 
     /// Notes a request that began to run, in the window of true time.
--- a/crates/quincevalve_node/src/peers/receive.rs
+++ b/crates/quincevalve_node/src/peers/receive.rs
@@ -3,7 +3,9 @@
 use std::{rc::Rc, time::Duration};
 
 use bincode::Options;
-use quincevalve_forwarding::{change_log::Excerpt, signal_outbox::Source, store_contact::Contact};
+use quincevalve_forwarding::{
+    change_log::Excerpt, signal_outbox::SignalSource, store_contact::Contact,
+};
 use quincevalve_names::TimePoint;
 use tokio::{net::UdpSocket, time::sleep};
 
@@ -125,9 +127,9 @@
         Content::Poison(message) => node.poison.borrow_mut().hear(&name, message, now),
         Content::Signals { scope, servers } => {
             let from = match scope {
-                Scope::Own => Source::Member,
-                Scope::Members => Source::Collector,
-                Scope::Rest => Source::OwnCollector,
+                Scope::Own => SignalSource::Member,
+                Scope::Members => SignalSource::Collector,
+                Scope::Rest => SignalSource::OwnCollector,
             };
             take_news(node, servers, from);
         }
--- a/crates/quincevalve_node/src/peers/receive/tests.rs
+++ b/crates/quincevalve_node/src/peers/receive/tests.rs
@@ -115,7 +115,7 @@
         assert!(usable(&node).is_empty());
         heard_of_store(&node, Contact::at(clock::now()));
         assert!(usable(&node).is_empty());
-        assert!(!node.servers.borrow().is_store_away());
+        assert!(!node.servers.borrow().is_store_unreachable());
     });
 }
 
@@ -139,7 +139,7 @@
     run(async {
         let node = node(3_000);
         note_away(&node);
-        assert!(node.servers.borrow().is_store_away());
+        assert!(node.servers.borrow().is_store_unreachable());
         hear(&node, &socket().await, datagram(&node, None, removed()));
         assert!(!usable(&node).is_empty());
     });
--- a/crates/quincevalve_node/src/peers/send.rs
+++ b/crates/quincevalve_node/src/peers/send.rs
@@ -98,17 +98,17 @@
     }
     if let Some(config) = node.config() {
         let mut quota = node.quota.borrow_mut();
-        quota.set_others(&others.spending, reachable_part, &config, now);
+        quota.set_peer_spending(&others.spending, reachable_part, &config, now);
     }
     let seat = node.peers.borrow().book.seat(LIMITS_KEY);
     let true_ms = node.wall.borrow().true_ms(now).unwrap_or_else(clock::wall_ms);
-    node.servers.borrow_mut().set_seat(seat, true_ms, now);
+    node.servers.borrow_mut().set_rank(seat, true_ms, now);
     measure_demand(node, now);
     if !node.rollouts.borrow().is_idle() {
         node.rollouts.borrow_mut().set_peer_sums(&others.rollouts);
         rollouts::refresh(node);
     }
-    node.servers.borrow_mut().set_others(&others.works, now);
+    node.servers.borrow_mut().set_peer_work(&others.works, now);
 }
 
 /// Measures the work that all VMs take on, whoever holds the duties: the next holder plans by it at once.
@@ -293,7 +293,7 @@
 fn send_signals(node: &Node, socket: &UdpSocket, now: TimePoint) {
     let (wide, near) = {
         let mut outbox = node.signal_outbox.borrow_mut();
-        (outbox.for_collectors(), outbox.for_members())
+        (outbox.take_for_collectors(), outbox.take_for_members())
     };
     if wide.is_empty() && near.is_empty() {
         return;
--- a/crates/quincevalve_node/src/request/dispatch.rs
+++ b/crates/quincevalve_node/src/request/dispatch.rs
@@ -37,7 +37,7 @@
     let mut had: Vec<BackendServerName> = Vec::new();
     let mut refusals = 0;
     let mut runs = 0;
-    node.retries.borrow_mut().entry(req.service.clone()).or_default().request(clock::now());
+    node.retries.borrow_mut().entry(req.service.clone()).or_default().record_request(clock::now());
     loop {
         let found = find_place(node, &req, &had).await;
         if let Some(prompt) = req.prompt.filter(|_| had.is_empty()) {
--- a/crates/quincevalve_node/src/request/exchange.rs
+++ b/crates/quincevalve_node/src/request/exchange.rs
@@ -8,7 +8,7 @@
 use hyper::body::Incoming;
 use quincevalve_forwarding::{
     placement::Placement,
-    servers::{Leaving, Server},
+    servers::{LeaveReason, Server},
 };
 use quincevalve_names::TimePoint;
 use tokio::time::{Instant, timeout_at};
@@ -69,7 +69,7 @@
         Ok(Err(error)) => {
             log::warn!(id = req.id, server = place.server.as_str(), error:% = error; "connect-failed");
             let mut servers = node.servers.borrow_mut();
-            let out_of_reach = servers.unreachable(&place.server, place.start, clock::now());
+            let out_of_reach = servers.mark_unreachable(&place.server, place.start, clock::now());
             node.backends.forget_all(out_of_reach);
             return Err(Failed::NotRun);
         }
@@ -144,7 +144,11 @@
             "server-refused"
         );
         if status == StatusCode::MISDIRECTED_REQUEST {
-            node.servers.borrow_mut().leaves(&place.server, place.start, Leaving::Replaced);
+            node.servers.borrow_mut().mark_leaving(
+                &place.server,
+                place.start,
+                LeaveReason::Replaced,
+            );
             node.backends.forget(place);
         } else {
             about(node, place, |it, now| it.load.full(FULL_PAUSE, now));
@@ -191,7 +195,7 @@
     let Some(picked) = picked else { return false };
     let book = node.rollouts.borrow();
     let now = clock::now();
-    servers.may_take(picked, now)
+    servers.is_eligible(picked, now)
         && !picked.is_resting(now)
         && book.admits(&picked.entry.service, &place.version)
 }
--- a/crates/quincevalve_node/src/request/exit_check.rs
+++ b/crates/quincevalve_node/src/request/exit_check.rs
@@ -39,7 +39,7 @@
         if server.entry.start != place.start {
             return server.entry.start > place.start;
         }
-        if server.is_going() {
+        if server.is_departing() {
             return false;
         }
         server.entry.address
--- a/crates/quincevalve_node/src/request/front.rs
+++ b/crates/quincevalve_node/src/request/front.rs
@@ -8,7 +8,7 @@
 use http_body_util::{BodyExt, Limited};
 use hyper::{body::Incoming, server::conn::http1, service::service_fn};
 use hyper_util::rt::{TokioIo, TokioTimer};
-use quincevalve_forwarding::quota::QuotaAsk;
+use quincevalve_forwarding::quota::QuotaRequest;
 use rand::RngExt;
 use tokio::{
     net::{TcpListener, TcpStream},
@@ -185,7 +185,7 @@
         && refused.refusal.outcome() == quincevalve_names::Outcome::NotRun
         && let Some(account) = &identified.account
     {
-        node.quota.borrow_mut().give_back(account, cost, clock::now());
+        node.quota.borrow_mut().refund(account, cost, clock::now());
     }
     answer
 }
@@ -225,8 +225,8 @@
     let Some(quota) = quota else { return Ok(0.0) };
     let cost = quincevalve_forwarding::quota::cost(&quota, req.token_counts());
     let draw = node.rng.borrow_mut().random::<f64>();
-    let ask = QuotaAsk { cost, urgency: req.urgency };
-    let taken = node.quota.borrow_mut().take(account, &quota, ask, draw, clock::now());
+    let ask = QuotaRequest { cost, urgency: req.urgency };
+    let taken = node.quota.borrow_mut().try_spend(account, &quota, ask, draw, clock::now());
     taken.map(|()| cost).map_err(|over| {
         if node.may_tell_refusal() {
             let part = node.peers.borrow().reachable_part();
--- a/crates/quincevalve_node/src/request/relay.rs
+++ b/crates/quincevalve_node/src/request/relay.rs
@@ -243,7 +243,7 @@
 
     /// When the stream has to be moved, if its server goes.
     fn move_at(&self, place: &Placement) -> Option<Instant> {
-        let leaves = self.node.servers.borrow().goes_at(&place.server, place.start);
+        let leaves = self.node.servers.borrow().expected_stop(&place.server, place.start);
         let replaced = self.node.rollouts.borrow().expected_stop(&self.req.service, &place.version);
         let goes_at = leaves.into_iter().chain(replaced).min()?;
         let left = goes_at.since(clock::now());
--- a/crates/quincevalve_node/src/request/signals.rs
+++ b/crates/quincevalve_node/src/request/signals.rs
@@ -1,7 +1,7 @@
 //! What servers say of themselves in answers, as this VM takes it.
 
 use http::{HeaderMap, StatusCode};
-use quincevalve_forwarding::{placement::Placement, signal_outbox::Source};
+use quincevalve_forwarding::{placement::Placement, signal_outbox::SignalSource};
 
 use crate::{clock, node::Node, server_news::note_news};
 
@@ -30,12 +30,12 @@
     let mut servers = node.servers.borrow_mut();
     let Some(server) = servers.get_mut(&place.server, place.start) else { return };
     if let Some(rest) = signals.rest.filter(|_| status == StatusCode::SERVICE_UNAVAILABLE) {
-        server.rests(rest, now);
+        server.extend_rest(rest, now);
         if node.may_write_line() {
             let rest_ms = rest.as_millis() as u64;
             log::info!(server = place.server.as_str(), start = place.start.0, rest_ms; "server-rests");
         }
     }
-    let news = server.signalled(&signals, now);
-    note_news(node, (place.server.clone(), place.start), server, news, Source::Server);
+    let news = server.apply_signals(&signals, now);
+    note_news(node, (place.server.clone(), place.start), server, news, SignalSource::Server);
 }
--- a/crates/quincevalve_node/src/server_news.rs
+++ b/crates/quincevalve_node/src/server_news.rs
@@ -1,26 +1,26 @@
 //! What servers say of themselves, on its way between VMs.
 
 use quincevalve_forwarding::{
-    server_signals::{RequestRate, SignalNews, ToldSignals},
+    server_signals::{ReportedSignals, RequestRate, SignalUpdate},
     servers::{Server, ServerStart},
-    signal_outbox::{ServerKey, Source},
+    signal_outbox::{ServerKey, SignalSource},
 };
 use quincevalve_names::BackendServerName;
 
 use crate::{clock, node::Node};
 
 /// What one start of a server said of itself.
-pub(crate) type ServerNews = (BackendServerName, ServerStart, ToldSignals);
+pub(crate) type ServerNews = (BackendServerName, ServerStart, ReportedSignals);
 
 /// Notes what a server said that wasn't known here, and has other VMs told.
 pub(crate) fn note_news(
     node: &Node,
     key: ServerKey,
     server: &Server,
-    news: SignalNews,
-    from: Source,
+    news: SignalUpdate,
+    from: SignalSource,
 ) {
-    if news.is_none() {
+    if news.is_empty() {
         return;
     }
     let (name, start) = (key.0.as_str(), key.1.0);
@@ -36,12 +36,12 @@
 }
 
 /// Takes what servers said to other VMs.
-pub(crate) fn take_news(node: &Node, news: Vec<ServerNews>, from: Source) {
+pub(crate) fn take_news(node: &Node, news: Vec<ServerNews>, from: SignalSource) {
     let now = clock::now();
     let mut servers = node.servers.borrow_mut();
     for (name, start, told) in news {
         let Some(server) = servers.get_mut(&name, start) else { continue };
-        let news = server.told(&told, now);
+        let news = server.apply_report(&told, now);
         note_news(node, (name, start), server, news, from);
     }
 }
@@ -52,7 +52,7 @@
     let servers = node.servers.borrow();
     let news = |(name, start): ServerKey| {
         let server = servers.get(&name).filter(|it| it.entry.start == start)?;
-        let told = server.to_tell(now)?;
+        let told = server.signals_to_report(now)?;
         Some((name, start, told))
     };
     keys.into_iter().filter_map(news).collect()
--- a/crates/quincevalve_node/src/settings.rs
+++ b/crates/quincevalve_node/src/settings.rs
@@ -6,7 +6,7 @@
 };
 
 use quincevalve_forwarding::{
-    quota::QuotaLimits, retry_window::RetryLimits, shared_limit::SharedLimit,
+    quota::QuotaLimits, retry_budget::RetryLimits, shared_limit::SharedLimit,
 };
 use quincevalve_names::{DataCentreName, EntryVmName};
 
--- a/crates/quincevalve_node/src/store/sync.rs
+++ b/crates/quincevalve_node/src/store/sync.rs
@@ -109,7 +109,7 @@
 /// Notes if nobody who is heard had an answer of the store for so long that entries lapse.
 pub(crate) fn note_away(node: &Node) {
     let Some(since) = node.store_contact.get().away_since(clock::now()) else { return };
-    node.servers.borrow_mut().store_lost(since);
+    node.servers.borrow_mut().begin_store_outage(since);
 }
 
 /// Takes a span in which the store answered this VM or one that it hears. What the answer said is taken afterwards:
@@ -124,19 +124,19 @@
     // store for away for good.
     let is_there = contact.away_since(now).is_none();
     match news {
-        StoreNews::Unchanged if is_there && servers.is_store_away() => {
+        StoreNews::Unchanged if is_there && servers.is_store_unreachable() => {
             log::info!("store-never-away");
-            servers.store_never_away(now);
+            servers.cancel_store_outage(now);
         }
         StoreNews::Unchanged => {}
         StoreNews::Returned { since } => {
             log::info!(away_ms = now.since(since).as_millis() as u64; "store-returned");
-            servers.store_lost(since);
-            servers.store_found(now);
+            servers.begin_store_outage(since);
+            servers.end_store_outage(now);
         }
         StoreNews::NeverAway => {
             log::info!("store-never-away");
-            servers.store_never_away(now);
+            servers.cancel_store_outage(now);
         }
     }
 }
--- a/crates/quincevalve_node/src/store/sync/tests.rs
+++ b/crates/quincevalve_node/src/store/sync/tests.rs
@@ -18,11 +18,11 @@
         let node = node("vm-1");
         heard_of_store(&node, Contact::at(ago(5_000)));
         note_away(&node);
-        assert!(node.servers.borrow().is_store_away());
+        assert!(node.servers.borrow().is_store_unreachable());
         heard_of_store(&node, Contact { since: ago(6_000), newest: ago(4_000) });
-        assert!(node.servers.borrow().is_store_away(), "that is long ago");
+        assert!(node.servers.borrow().is_store_unreachable(), "that is long ago");
         heard_of_store(&node, Contact { since: ago(6_000), newest: ago(100) });
-        assert!(!node.servers.borrow().is_store_away());
+        assert!(!node.servers.borrow().is_store_unreachable());
     });
 }
 
@@ -34,8 +34,8 @@
         note_away(&node);
         heard_of_store(&node, Contact::at(ago(100)));
         let servers = node.servers.borrow();
-        assert!(!servers.is_store_away());
-        assert!(servers.may_lack_entries(clock::now()), "entries may have lapsed");
+        assert!(!servers.is_store_unreachable());
+        assert!(servers.may_be_incomplete(clock::now()), "entries may have lapsed");
     });
 }
 
--- a/crates/quincevalve_node/src/store/view.rs
+++ b/crates/quincevalve_node/src/store/view.rs
@@ -393,13 +393,14 @@
                     "server-listed"
                 );
             }
-            let is_new = servers.listed(name, entry.clone(), now) || known.as_ref() != Some(entry);
+            let is_new =
+                servers.apply_entry(name, entry.clone(), now) || known.as_ref() != Some(entry);
             return is_new;
         }
         Passed::ServerRemoved(name) => {
-            tell_removed(name, node.servers.borrow_mut().removed(name, now));
+            tell_removed(name, node.servers.borrow_mut().remove_entry(name, now));
         }
-        Passed::ServerUnreadable(name) => node.servers.borrow_mut().unreadable(name),
+        Passed::ServerUnreadable(name) => node.servers.borrow_mut().mark_unreadable(name),
         Passed::Own { key, value } if key == HOLDER_KEY => {
             node.peers.borrow_mut().holder_seen(Some(holder_name(value)));
         }
@@ -446,7 +447,7 @@
 fn tell_removed(name: &BackendServerName, taken_for: Option<Removal>) {
     let taken_for = match taken_for {
         Some(Removal::Leaving) => "leaving",
-        Some(Removal::MayHaveLapsed) => "lapse",
+        Some(Removal::MayHaveExpired) => "lapse",
         None => "known",
     };
     log::info!(server = name.as_str(), taken_for; "server-removed");
--- a/crates/quincevalve_node/src/test_node.rs
+++ b/crates/quincevalve_node/src/test_node.rs
@@ -7,7 +7,7 @@
 use quincevalve_forwarding::{
     config::{Account, CallerLimits, ForwardingConfig},
     quota::QuotaLimits,
-    retry_window::RetryLimits,
+    retry_budget::RetryLimits,
     shared_limit::SharedLimit,
 };
 use tokio::task::LocalSet;
--- a/crates/quincevalve_node/tests/support/mod.rs
+++ b/crates/quincevalve_node/tests/support/mod.rs
@@ -15,7 +15,7 @@
     config::{Account, CallerLimits, Engine, ForwardingConfig, Repeat, Route, Service, Target},
     peer_book::VmCard,
     quota::QuotaLimits,
-    retry_window::RetryLimits,
+    retry_budget::RetryLimits,
     rollout::record::{OrderId, RolloutOrder},
     server_signals::{RequestRate, ServerSignals},
     servers::ServerEntry,
