--- a/crates/quincevalve_forwarding/src/quota.rs
+++ b/crates/quincevalve_forwarding/src/quota.rs
@@ -18,7 +18,7 @@
         (QuotaUnit::Tokens { .. }, Some((prompt, max_tokens))) => {
             f64::from(prompt) + f64::from(max_tokens)
         }
-        (QuotaUnit::Tokens { unsized_request }, None) => f64::from(unsized_request),
+        (QuotaUnit::Tokens { default_tokens }, None) => f64::from(default_tokens),
     }
 }
 
--- a/crates/quincevalve_forwarding/src/servers.rs
+++ b/crates/quincevalve_forwarding/src/servers.rs
@@ -13,8 +13,8 @@
     load::ServerLoad,
     server_signals::{ReportedSignals, RequestRate, ServerSignals, SignalUpdate},
     shared_limit::VmRank,
-    store_contact::LAPSE_AFTER,
-    sums::Works,
+    store_contact::MIN_OUTAGE_FOR_EXPIRY,
+    sums::ServerWork,
 };
 
 /// Start time of a server's process, in Unix milliseconds by its own clock. Distinguishes successive starts under the
@@ -227,7 +227,8 @@
 impl Outage {
     /// Returns whether entries that expired in the outage may still be missing.
     fn is_recent(&self, now: TimePoint) -> bool {
-        self.to.since(self.from) >= LAPSE_AFTER && now.since(self.to) < REREGISTRATION_WINDOW
+        self.to.since(self.from) >= MIN_OUTAGE_FOR_EXPIRY
+            && now.since(self.to) < REREGISTRATION_WINDOW
     }
 
     /// Returns whether enough time has passed for other VMs to have contradicted the outage.
@@ -376,7 +377,7 @@
     /// servers that left before it, or whose removal was read while the store answered.
     fn may_have_expired_in_outage(&self, removed: TimePoint, now: TimePoint) -> bool {
         if let Some(from) = self.store_unreachable_since {
-            return removed >= from && now.since(from) >= LAPSE_AFTER;
+            return removed >= from && now.since(from) >= MIN_OUTAGE_FOR_EXPIRY;
         }
         let last_outage = self.last_outage.filter(|it| it.is_recent(now));
         last_outage.is_some_and(|it| removed >= it.from)
@@ -430,7 +431,7 @@
         now: TimePoint,
     ) -> Vec<(BackendServerName, ServerStart)> {
         let Some(server) = self.get_mut(name, start) else { return Vec::new() };
-        server.load.unreachable(now);
+        server.load.record_unreachable(now);
         let centre = server.entry.data_centre.clone();
         let recent = self.recently_unreachable.entry(centre.clone()).or_default();
         recent.retain(|(at, it)| now.since(*at) <= UNREACHABLE_WINDOW && it != name);
@@ -441,7 +442,7 @@
         let mut affected = Vec::new();
         for (name, server) in &mut self.servers {
             if server.entry.data_centre == centre {
-                server.load.full(CENTRE_RETRY_INTERVAL, now);
+                server.load.pause(CENTRE_RETRY_INTERVAL, now);
                 affected.push((name.clone(), server.entry.start));
             }
         }
@@ -548,7 +549,7 @@
     /// time after it.
     pub fn may_be_incomplete(&self, now: TimePoint) -> bool {
         match self.store_unreachable_since {
-            Some(since) => now.since(since) >= LAPSE_AFTER,
+            Some(since) => now.since(since) >= MIN_OUTAGE_FOR_EXPIRY,
             None => self.last_outage.is_some_and(|it| it.is_recent(now)),
         }
     }
@@ -616,17 +617,17 @@
     }
 
     /// Returns this VM's own work at each server, for its peers.
-    pub fn own_work(&self, now: TimePoint) -> Works {
+    pub fn own_work(&self, now: TimePoint) -> ServerWork {
         let busy = self.servers.values().filter(|it| it.load.has_work());
-        let work = busy.map(|it| (it.hash, it.load.own(now)));
-        work.filter(|(_, it)| it.matters()).collect()
+        let work = busy.map(|it| (it.hash, it.load.own_work(now)));
+        work.filter(|(_, it)| it.is_significant()).collect()
     }
 
     /// Sets the work of all other VMs. Servers that `works` doesn't contain have no significant work.
-    pub fn set_peer_work(&mut self, works: &Works, now: TimePoint) {
+    pub fn set_peer_work(&mut self, works: &ServerWork, now: TimePoint) {
         for server in self.servers.values_mut() {
             let work = works.get(&server.hash).copied().unwrap_or_default();
-            server.load.set_others(work, now);
+            server.load.set_peer_work(work, now);
         }
     }
 
--- a/crates/quincevalve_measure/src/experiments/digests.rs
+++ b/crates/quincevalve_measure/src/experiments/digests.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use bincode::{DefaultOptions, Options};
-use quincevalve_forwarding::{load::WorkSum, sums::Share};
+use quincevalve_forwarding::{load::WorkSum, sums::PartialSum};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -38,17 +38,17 @@
     vec![table]
 }
 
-fn share(servers: usize, requests: u32, seed: u64) -> Share {
+fn share(servers: usize, requests: u32, seed: u64) -> PartialSum {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let work = |rng: &mut Pcg64Mcg| WorkSum {
         requests,
         prefill: rng.random_range(0..60_000),
         urgent_prefill: rng.random_range(0..4_000),
         memory: rng.random_range(50_000..400_000),
-        recent: rng.random_range(5_000..80_000),
+        recent_prefill: rng.random_range(5_000..80_000),
     };
     let works = (0..servers).map(|_| (rng.random(), work(&mut rng))).collect();
     let account = |at: usize| format!("account-{at}").as_str().into();
     let spending = (0..ACCOUNTS).map(|at| (account(at), 1_000.5)).collect();
-    Share { vms: MEMBERS as u32, works, spending, ..Share::default() }
+    PartialSum { vms: MEMBERS as u32, server_work: works, spending, ..PartialSum::default() }
 }
