--- a/crates/quincevalve_forwarding/tests/fleet_size.rs
+++ b/crates/quincevalve_forwarding/tests/fleet_size.rs
@@ -9,7 +9,7 @@
     fleet_size::{FleetPlanner, Order, OrderOutcome, ServerCounts, ServerKind},
     load::demand,
     rate::Rate,
-    sums::{Share, Sums},
+    sums::{PartialSum, PartialSums},
 };
 use quincevalve_names::{DataCentreName, ServiceName, TimePoint};
 use support::{ms, scaling};
@@ -228,13 +228,17 @@
     let mut planner = FleetPlanner::new(ms(0));
     planner.set_demand(MeasuredDemand::from_report(6.0));
     for second in 0..20_u64 {
-        let mut sums = Sums::default();
+        let mut sums = PartialSums::default();
         let reported = (second + 1).min(10);
         for vm in 0..reported {
             let demand = IndexMap::from([("engines".into(), 0.6)]);
-            sums.take(&vm.to_string(), Share { vms: 1, demand, ..Share::default() }, ms(0));
+            sums.insert(
+                &vm.to_string(),
+                PartialSum { vms: 1, demand, ..PartialSum::default() },
+                ms(0),
+            );
         }
-        let mut sum = Share::default();
+        let mut sum = PartialSum::default();
         sums.add_to(&mut sum, None, ms(0));
         let rate = sum.demand[&ServiceName::from("engines")];
         let reachable_fraction = reported as f64 / 10.0;
--- a/crates/quincevalve_forwarding/tests/placement.rs
+++ b/crates/quincevalve_forwarding/tests/placement.rs
@@ -12,14 +12,14 @@
 use quincevalve_names::{BackendServerName, TimePoint};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
-use support::{Asking, START, entry, millis, ms, prompt, server, table};
+use support::{START, TestRequest, entry, millis, ms, prompt, server, table};
 
 fn rng() -> Pcg64Mcg {
     Pcg64Mcg::seed_from_u64(1)
 }
 
-fn place(table: &ServerTable, asking: &Asking) -> Result<Placement, PlacementError> {
-    table.place(&asking.ask(), &mut rng(), ms(0))
+fn place(table: &ServerTable, request: &TestRequest) -> Result<Placement, PlacementError> {
+    table.place(&request.ask(), &mut rng(), ms(0))
 }
 
 fn load(table: &mut ServerTable, at: usize, prefill: u32, count: u32) {
@@ -31,21 +31,24 @@
 
 #[test]
 fn returns_no_server_when_the_table_is_empty() {
-    assert_eq!(place(&ServerTable::default(), &Asking::default()), Err(PlacementError::NoServer));
+    assert_eq!(
+        place(&ServerTable::default(), &TestRequest::default()),
+        Err(PlacementError::NoServer)
+    );
 }
 
 #[test]
 fn does_not_pick_a_server_that_already_received_the_request() {
-    let asking = Asking { had: vec![server(0)], ..Asking::default() };
-    assert_eq!(place(&table(1), &asking), Err(PlacementError::NoServer));
-    assert_eq!(place(&table(2), &asking).unwrap().server, server(1));
+    let request = TestRequest { tried: vec![server(0)], ..TestRequest::default() };
+    assert_eq!(place(&table(1), &request), Err(PlacementError::NoServer));
+    assert_eq!(place(&table(2), &request).unwrap().server, server(1));
 }
 
 #[test]
 fn picks_the_server_with_the_shorter_queue() {
     let mut table = table(2);
     load(&mut table, 0, 10_000, 3);
-    assert_eq!(place(&table, &Asking::default()).unwrap().server, server(1));
+    assert_eq!(place(&table, &TestRequest::default()).unwrap().server, server(1));
 }
 
 // Guards against accepting a request that is answered late because of a prefill queue. If no server can answer in time,
@@ -54,8 +57,10 @@
 fn rejects_a_request_that_cannot_be_answered_in_time() {
     let mut table = table(1);
     load(&mut table, 0, 12_000, 5);
-    let asking = Asking { within: millis(300), ..Asking::default() };
-    let Err(PlacementError::Busy { predicted }) = place(&table, &asking) else { panic!("a place") };
+    let request = TestRequest { latency_budget: millis(300), ..TestRequest::default() };
+    let Err(PlacementError::Busy { predicted }) = place(&table, &request) else {
+        panic!("a place")
+    };
     assert!(predicted > millis(500), "{predicted:?}");
 }
 
@@ -65,15 +70,15 @@
     let peer_work =
         WorkSum { requests: 9, prefill: 60_000, recent_prefill: 60_000, ..WorkSum::default() };
     table.get_mut(&server(0), START).unwrap().load.set_peer_work(peer_work, ms(0));
-    assert_eq!(place(&table, &Asking::default()).unwrap().server, server(1));
+    assert_eq!(place(&table, &TestRequest::default()).unwrap().server, server(1));
 }
 
 #[test]
 fn urgent_prompts_queue_behind_urgent_ones_only() {
     let mut table = table(1);
     load(&mut table, 0, 9_000, 6);
-    let urgent = Asking { urgency: 0, within: millis(400), ..Asking::default() };
-    let other = Asking { urgency: 1, within: millis(400), ..Asking::default() };
+    let urgent = TestRequest { urgency: 0, latency_budget: millis(400), ..TestRequest::default() };
+    let other = TestRequest { urgency: 1, latency_budget: millis(400), ..TestRequest::default() };
     assert!(place(&table, &urgent).is_ok());
     assert!(matches!(place(&table, &other), Err(PlacementError::Busy { .. })));
 }
@@ -90,9 +95,9 @@
         server.load.add_request(work, ms(0));
         server.load.complete_prefill(work);
     }
-    assert!(matches!(place(&table, &Asking::default()), Err(PlacementError::Busy { .. })));
+    assert!(matches!(place(&table, &TestRequest::default()), Err(PlacementError::Busy { .. })));
     let later = ms(1_000);
-    let placed = table.place(&Asking::default().ask(), &mut rng(), later);
+    let placed = table.place(&TestRequest::default().ask(), &mut rng(), later);
     assert!(placed.is_ok());
 }
 
@@ -100,7 +105,7 @@
 fn rejects_requests_when_the_engine_has_no_free_slots() {
     let mut table = table(1);
     load(&mut table, 0, 1, 122);
-    assert!(matches!(place(&table, &Asking::default()), Err(PlacementError::Busy { .. })));
+    assert!(matches!(place(&table, &TestRequest::default()), Err(PlacementError::Busy { .. })));
 }
 
 #[test]
@@ -110,7 +115,7 @@
     let work = Work { prefill: 0, memory: 340_000, output: 100, urgency: 1 };
     server.load.add_request(work, ms(0));
     server.load.add_request(work, ms(0));
-    assert!(matches!(place(&table, &Asking::default()), Err(PlacementError::Busy { .. })));
+    assert!(matches!(place(&table, &TestRequest::default()), Err(PlacementError::Busy { .. })));
 }
 
 /// Places requests with `prefixes` different shared prefixes on 12 idle servers, and returns the servers used for each prefix.
@@ -118,11 +123,11 @@
     let table = table(12);
     let mut rng = rng();
     let mut by_prefix: HashMap<u64, Vec<BackendServerName>> = HashMap::new();
-    for request in 0..prefixes * 20 {
-        let prefix = request % prefixes;
+    for index in 0..prefixes * 20 {
+        let prefix = index % prefixes;
         let prompt = Some(prompt(12_000, Some((prefix, 5_400))));
-        let asking = Asking { prompt, ..Asking::default() };
-        let placed = table.place(&asking.ask(), &mut rng, ms(0)).expect("idle servers");
+        let request = TestRequest { prompt, ..TestRequest::default() };
+        let placed = table.place(&request.ask(), &mut rng, ms(0)).expect("idle servers");
         let servers = by_prefix.entry(prefix).or_default();
         if !servers.contains(&placed.server) {
             servers.push(placed.server);
@@ -147,11 +152,11 @@
 fn a_hot_prefix_overflows_to_another_server() {
     let mut table = table(12);
     let prompt = Some(prompt(12_000, Some((7, 5_400))));
-    let asking = Asking { prompt, ..Asking::default() };
-    let first = place(&table, &asking).unwrap().server;
+    let request = TestRequest { prompt, ..TestRequest::default() };
+    let first = place(&table, &request).unwrap().server;
     let at = (0..12).find(|it| server(*it) == first).unwrap();
     load(&mut table, at, 7_000, 7);
-    assert_ne!(place(&table, &asking).unwrap().server, first);
+    assert_ne!(place(&table, &request).unwrap().server, first);
 }
 
 #[test]
@@ -160,7 +165,7 @@
     table.get_mut(&server(0), START).unwrap().load.record_unreachable(TimePoint::ZERO);
     for seed in 0..20 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let placed = table.place(&Asking::default().ask(), &mut rng, ms(0)).unwrap();
+        let placed = table.place(&TestRequest::default().ask(), &mut rng, ms(0)).unwrap();
         assert_eq!(placed.server, server(1));
     }
 }
@@ -169,7 +174,7 @@
 fn picks_a_paused_server_when_there_is_no_other() {
     let mut table = table(1);
     table.get_mut(&server(0), START).unwrap().load.record_unreachable(TimePoint::ZERO);
-    assert!(place(&table, &Asking::default()).is_ok());
+    assert!(place(&table, &TestRequest::default()).is_ok());
 }
 
 // Guards against pausing a healthy data centre for 1.5 s because one of its servers crashed and was tried twice, or two
@@ -178,10 +183,14 @@
 fn does_not_pause_a_data_centre_for_one_unreachable_server() {
     let mut table = table(16);
     for at in [0, 100] {
-        assert_eq!(table.unreachable(&server(1), START, ms(at)), [(server(1), START)]);
+        assert_eq!(table.mark_unreachable(&server(1), START, ms(at)), [(server(1), START)]);
     }
-    assert_eq!(table.unreachable(&server(5), START, ms(1_601)), [(server(5), START)]);
-    assert_eq!(table.unreachable(&server(9), START, ms(3_101)).len(), 4, "in time after the last");
+    assert_eq!(table.mark_unreachable(&server(5), START, ms(1_601)), [(server(5), START)]);
+    assert_eq!(
+        table.mark_unreachable(&server(9), START, ms(3_101)).len(),
+        4,
+        "in time after the last"
+    );
 }
 
 // Guards against callers that wait for connections to a partitioned data centre while its servers are tried one by one.
@@ -189,12 +198,12 @@
 #[test]
 fn pauses_all_servers_of_an_unreachable_data_centre() {
     let mut table = table(16);
-    assert_eq!(table.unreachable(&server(1), START, ms(0)), [(server(1), START)]);
+    assert_eq!(table.mark_unreachable(&server(1), START, ms(0)), [(server(1), START)]);
     let centre = [1, 5, 9, 13].map(|it| (server(it), START));
-    assert_eq!(table.unreachable(&server(5), START, ms(100)), centre);
+    assert_eq!(table.mark_unreachable(&server(5), START, ms(100)), centre);
     let placed = |seed| {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        table.place(&Asking::default().ask(), &mut rng, ms(200)).map(|it| it.server)
+        table.place(&TestRequest::default().ask(), &mut rng, ms(200)).map(|it| it.server)
     };
     for seed in 0..50 {
         let name = placed(seed).unwrap();
@@ -223,7 +232,7 @@
     for _ in 0..10 {
         table.get_mut(&server(0), START).unwrap().load.record_failure();
     }
-    assert_eq!(place(&table, &Asking::default()).unwrap().server, server(1));
+    assert_eq!(place(&table, &TestRequest::default()).unwrap().server, server(1));
 }
 
 #[test]
@@ -232,7 +241,7 @@
     for _ in 0..20 {
         table.get_mut(&server(0), START).unwrap().load.record_answer(millis(800), millis(100));
     }
-    assert_eq!(place(&table, &Asking::default()).unwrap().server, server(1));
+    assert_eq!(place(&table, &TestRequest::default()).unwrap().server, server(1));
 }
 
 // Calls of a plain service in flight between data centres fail when the network is partitioned, so they stay in their
@@ -242,9 +251,9 @@
     let mut table = ServerTable::default();
     for (at, centre) in ["a", "b"].iter().enumerate() {
         let small = quincevalve_forwarding::servers::ServerEntry { slots: 6, ..entry(centre) };
-        table.listed(&server(at), small, ms(0));
+        table.apply_entry(&server(at), small, ms(0));
     }
-    let call = Asking { prompt: None, ..Asking::default() };
+    let call = TestRequest { prompt: None, ..TestRequest::default() };
     assert_eq!(place(&table, &call).unwrap().server, server(0));
     load(&mut table, 0, 0, 12);
     assert_eq!(place(&table, &call).unwrap().server, server(1));
@@ -255,9 +264,10 @@
 #[test]
 fn assumes_no_cached_prompts_on_a_server_that_just_started() {
     let mut table = table(1);
-    let asking = Asking { prompt: Some(prompt(17_000, Some((7, 13_000)))), ..Asking::default() };
+    let request =
+        TestRequest { prompt: Some(prompt(17_000, Some((7, 13_000)))), ..TestRequest::default() };
     let predicted = |table: &ServerTable, at| {
-        let place = table.place(&asking.ask(), &mut rng(), at).expect("room");
+        let place = table.place(&request.ask(), &mut rng(), at).expect("room");
         (place.predicted.as_millis(), place.work.prefill)
     };
     let (cold_ms, cold) = predicted(&table, ms(0));
--- a/crates/quincevalve_forwarding/tests/quota_restarts.rs
+++ b/crates/quincevalve_forwarding/tests/quota_restarts.rs
@@ -7,8 +7,8 @@
 use indexmap::IndexMap;
 use quincevalve_forwarding::{
     config::{Account, ForwardingConfig, Quota},
-    quota::{QuotaAsk, QuotaBook, QuotaLimits},
-    sums::{Share, Sums},
+    quota::{QuotaLimits, QuotaRequest, QuotaTable},
+    sums::{PartialSum, PartialSums},
 };
 use quincevalve_names::{ClientAccountName, TimePoint};
 use rand::{RngExt, SeedableRng};
@@ -35,8 +35,8 @@
 const TOKENS: f64 = 3_000.0;
 
 /// What a request of that cost asks.
-fn of(cost: f64) -> QuotaAsk {
-    QuotaAsk { cost, urgency: 1 }
+fn of(cost: f64) -> QuotaRequest {
+    QuotaRequest { cost, urgency: 1 }
 }
 
 fn desk() -> ClientAccountName {
@@ -59,10 +59,10 @@
 }
 
 struct Vm {
-    book: QuotaBook,
-    members: Sums,
-    collectors: Sums,
-    rest: Sums,
+    book: QuotaTable,
+    members: PartialSums,
+    collectors: PartialSums,
+    rest: PartialSums,
     starts: u64,
     away_since: Option<u64>,
 }
@@ -70,18 +70,18 @@
 impl Vm {
     fn new(starts: u64, limits: QuotaLimits, now: TimePoint) -> Self {
         Self {
-            book: QuotaBook::new(limits, now),
-            members: Sums::default(),
-            collectors: Sums::default(),
-            rest: Sums::default(),
+            book: QuotaTable::new(limits, now),
+            members: PartialSums::default(),
+            collectors: PartialSums::default(),
+            rest: PartialSums::default(),
             starts,
             away_since: None,
         }
     }
 
-    fn own(&self, now: TimePoint) -> Share {
+    fn own(&self, now: TimePoint) -> PartialSum {
         let spending = self.book.spending(now).collect();
-        Share { vms: 1, spending, ..Share::default() }
+        PartialSum { vms: 1, spending, ..PartialSum::default() }
     }
 }
 
@@ -115,7 +115,7 @@
         let name = format!("{at}#{}", self.vms[at].starts);
         if collector != at {
             if self.is_up(collector) {
-                self.vms[collector].members.take(&name, own, now);
+                self.vms[collector].members.insert(&name, own, now);
             }
             return;
         }
@@ -127,7 +127,7 @@
             self.vms[at].members.add_to(&mut rest, Some(&sender), now);
             self.vms[at].collectors.add_to(&mut rest, None, now);
             if self.is_up(member) && self.collector(centre, step) == at {
-                self.vms[member].rest.take(&name, rest, now);
+                self.vms[member].rest.insert(&name, rest, now);
             }
         }
         let mut share = own;
@@ -135,7 +135,7 @@
         for other in 0..CENTRES {
             let other = self.collector(other, step);
             if other != at && self.is_up(other) {
-                self.vms[other].collectors.take(&name, share.clone(), now);
+                self.vms[other].collectors.insert(&name, share.clone(), now);
             }
         }
     }
@@ -144,7 +144,7 @@
     fn take_over(&mut self, at: usize, step: u64, now: TimePoint) {
         let collects = self.collector(at % CENTRES, step) == at;
         let vm = &mut self.vms[at];
-        let mut others = Share::default();
+        let mut others = PartialSum::default();
         if collects {
             vm.members.add_to(&mut others, None, now);
             vm.collectors.add_to(&mut others, None, now);
@@ -152,7 +152,7 @@
             vm.rest.add_to(&mut others, None, now);
         }
         let part = (f64::from(others.vms + 1) / VMS as f64).min(1.0);
-        vm.book.set_others(&others.spending, part, &self.config, now);
+        vm.book.set_peer_spending(&others.spending, part, &self.config, now);
     }
 
     /// Tokens let in at each step, of callers who ask for 3.6 times the quota; `restarts` VMs go each 1.3 s.
@@ -191,7 +191,7 @@
                 if self.rng.random::<f64>() < chance {
                     let draw = self.rng.random();
                     let book = &mut self.vms[at].book;
-                    let taken = book.take(&desk(), &limit(), of(TOKENS), draw, now);
+                    let taken = book.try_spend(&desk(), &limit(), of(TOKENS), draw, now);
                     asked += TOKENS;
                     let_in += if taken.is_ok() { TOKENS } else { 0.0 };
                 }
--- a/crates/quincevalve_node/src/request/placing.rs
+++ b/crates/quincevalve_node/src/request/placing.rs
@@ -5,7 +5,7 @@
 use quincevalve_forwarding::{
     load::Work,
     placement::{Placement, PlacementError, PlacementRequest},
-    rollout::{book::Choice, scope::VersionScope},
+    rollout::{scope::VersionScope, table::VersionChoice},
     servers::ServerStart,
 };
 use quincevalve_names::BackendServerName;
@@ -160,7 +160,7 @@
 fn place(
     node: &Node,
     ask: &PlacementRequest<'_>,
-    choice: &Choice,
+    choice: &VersionChoice,
 ) -> Result<Placement, PlacementError> {
     let now = clock::now();
     let mut servers = node.servers.borrow_mut();
@@ -169,9 +169,11 @@
         servers.place(&PlacementRequest { scope, ..*ask }, &mut *rng, now)
     };
     let place = match choice {
-        Choice::Any => place_in(None),
-        Choice::One(scope) => place_in(Some(scope)),
-        Choice::Either(first, second) => place_in(Some(first)).or_else(|_| place_in(Some(second))),
+        VersionChoice::Any => place_in(None),
+        VersionChoice::One(scope) => place_in(Some(scope)),
+        VersionChoice::WithFallback(first, second) => {
+            place_in(Some(first)).or_else(|_| place_in(Some(second)))
+        }
     }?;
     servers.spend_allowance(&place.server, place.start, now);
     Ok(place)
--- a/crates/quincevalve_node/tests/support/mod.rs
+++ b/crates/quincevalve_node/tests/support/mod.rs
@@ -17,7 +17,7 @@
     },
     peer_book::VmCard,
     quota::QuotaLimits,
-    retry_window::RetryLimits,
+    retry_budget::RetryLimits,
     rollout::record::{OrderId, RolloutOrder},
     server_signals::{RequestRate, ServerSignals},
     servers::ServerEntry,
