--- a/crates/quincevalve_forwarding/src/poison.rs
+++ b/crates/quincevalve_forwarding/src/poison.rs
@@ -1,21 +1,22 @@
-//! Keeps a request that ends each server that runs it from reaching more and more of them.
+//! Quarantines requests that crash the servers that run them.
 //!
-//! Failure: a request crashes the server that runs it, and its caller repeats it, each time as a new attempt and at
-//! another VM. Symptom: server after server exits, and every caller whose request ran beside it loses its answer, though
-//! each attempt and each VM keeps its own bounds. So what counts is not the attempt but what is asked for
-//! ([`RequestDigest`]), and not what one VM saw but what all of them did:
+//! A caller repeats a request that crashes its server, each time as a new attempt and at another VM. Server after server
+//! exits, and every caller whose request ran beside it loses its answer, although each attempt and each VM stays within
+//! its own limits. Exits are therefore counted by the content of the request ([`RequestDigest`]) instead of by attempt,
+//! and over all VMs:
 //!
-//! 1. A VM under whose request a server exited reports it to the request's arbiters, three VMs that all VMs choose alike
-//!    from its digest ([`arbiters`]).
-//! 2. An arbiter that counts three exits asks all VMs whether the same request ended well somewhere lately. One that did
-//!    can't be what ends servers: popular requests are on a server that exits now and then. Where several requests were on
-//!    the same servers, it waits for an exit that tells them apart.
-//! 3. If none did, the request is quarantined: all VMs are told, and an entry in the platform's store tells those that
-//!    start later. It reaches a server again only in trials that are counted there, so that all VMs together make no
-//!    more of them than one would; a trial that ends well lifts the quarantine.
+//! 1. A VM that observes the exit of a server that ran one of its requests reports it to the request's arbiters: three
+//!    VMs that every VM derives from the digest in the same way ([`arbiters`]).
+//! 2. An arbiter that counts three exits asks all VMs whether the same request completed anywhere recently. A request
+//!    that did isn't the cause: popular requests run on servers that exit now and then. If several requests ran on the
+//!    same servers, the arbiter waits for an exit that distinguishes them.
+//! 3. If it completed nowhere, the request is quarantined: the arbiter notifies all VMs, and an entry in the platform's
+//!    store informs VMs that start later. From then on the request reaches servers only in trials. Trials are counted in
+//!    the entry, so that all VMs together make no more of them than one VM would; a trial that completes lifts the
+//!    quarantine.
 //!
-//! Why that is enough: each exit under the request is counted once wherever it was seen, two of the three arbiters may be
-//! gone or cut off, and the number of trials is kept by a conditional write.
+//! This suffices because each exit is counted once however many VMs observe it, two of the three arbiters may be down or
+//! partitioned, and a conditional write keeps the number of trials.
 
 mod cases;
 mod completed;
@@ -29,9 +30,9 @@
 use serde::{Deserialize, Serialize};
 
 use self::{
-    cases::{Cases, Hears, LONGEST_INQUIRY, Step},
+    cases::{Cases, Connectivity, MAX_INQUIRY_TIMEOUT, Step},
     completed::CompletedRuns,
-    outbox::{Item, Outbox, Recipient},
+    outbox::{Outbox, QueuedMessage, Recipient},
     quarantine::Quarantine,
 };
 pub use self::{
@@ -40,32 +41,32 @@
 };
 use crate::request_digest::RequestDigest;
 
-/// VMs that count the exits under one request: one may be cut off while another is restarted.
+/// Number of VMs that count the exits under one request: one may be partitioned while another is restarted.
 const ARBITERS: usize = 3;
 
-/// How long the caller of a request is told to stay away that this VM can't ask others about.
-const HELD_HERE: Duration = Duration::from_secs(5);
+/// Retry delay for callers of a request that this VM blocks because it can't ask other VMs about it.
+const LOCAL_BLOCK_RETRY_DELAY: Duration = Duration::from_secs(5);
 
-/// What VMs tell each other of requests under which servers exit.
+/// A message between VMs about a request under which servers exit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PoisonMessage {
     /// A server exited while it ran this request.
     Exited {
         /// The request.
         digest: RequestDigest,
-        /// That start of the server, as [`start_hash`](crate::servers::start_hash) has it.
+        /// Identifies that start of the server, as returned by [`start_hash`](crate::servers::start_hash).
         server: u64,
     },
-    /// Has it ended well lately?
+    /// Asks whether the request completed recently.
     Inquiry {
         /// The request.
         digest: RequestDigest,
         /// Servers that exited under it.
         servers: Servers,
     },
-    /// It has ended well lately.
+    /// The request completed recently.
     Completed(RequestDigest),
-    /// It is quarantined.
+    /// The request is quarantined.
     Quarantined {
         /// The request.
         digest: RequestDigest,
@@ -74,8 +75,9 @@
     },
 }
 
-/// The VMs that count the exits under a request, the first to decide first; the same everywhere where the same VMs are
-/// known.
+/// Returns the VMs that count the exits under a request, in the order in which they decide.
+///
+/// VMs that know the same names get the same result.
 ///
 /// # Examples
 ///
@@ -84,10 +86,10 @@
 /// let names = ["vm-1", "vm-2", "vm-3", "vm-4", "vm-5"];
 /// let chosen = arbiters(RequestDigest(7), &names);
 /// assert_eq!(chosen.len(), 3);
-/// // When another VM goes, they stay.
-/// let gone = names.iter().copied().find(|it| !chosen.contains(it)).unwrap();
-/// let left: Vec<_> = names.iter().copied().filter(|it| *it != gone).collect();
-/// assert_eq!(arbiters(RequestDigest(7), &left), chosen);
+/// // They stay the same when another VM is removed.
+/// let removed = names.iter().copied().find(|it| !chosen.contains(it)).unwrap();
+/// let remaining: Vec<_> = names.iter().copied().filter(|it| *it != removed).collect();
+/// assert_eq!(arbiters(RequestDigest(7), &remaining), chosen);
 /// ```
 pub fn arbiters<'a>(digest: RequestDigest, names: &[&'a str]) -> Vec<&'a str> {
     let score = |it: &&str| std::cmp::Reverse(rendezvous_score(digest.0, hash_text(it)));
@@ -97,7 +99,7 @@
     ranked
 }
 
-/// One VM's part in it.
+/// The quarantine state of one VM.
 #[derive(Debug)]
 pub struct PoisonGuard {
     me: String,
@@ -105,16 +107,16 @@
     cases: Cases,
     quarantine: Quarantine,
     outbox: Outbox,
-    /// Requests whose arbiters asked for a good end, and until when they wait for it.
+    /// Requests that an arbiter inquires about, and until when a completion is reported to the arbiters.
     inquiries: IndexMap<RequestDigest, TimePoint>,
-    /// Requests that this VM keeps from servers until it can ask the others, as long as they are accused.
-    held_here: IndexSet<RequestDigest>,
-    /// Requests whose quarantine has to be written to the store.
+    /// Suspected requests that this VM doesn't send to servers until it can ask the other VMs.
+    blocked_locally: IndexSet<RequestDigest>,
+    /// Requests whose quarantine isn't written to the store yet.
     unwritten: Vec<(RequestDigest, Exits)>,
 }
 
 impl PoisonGuard {
-    /// The part of the VM of that name.
+    /// Creates the state of the VM named `me`.
     pub fn new(me: &str) -> Self {
         Self {
             me: me.to_owned(),
@@ -123,74 +125,75 @@
             quarantine: Quarantine::default(),
             outbox: Outbox::default(),
             inquiries: IndexMap::new(),
-            held_here: IndexSet::new(),
+            blocked_locally: IndexSet::new(),
             unwritten: Vec::new(),
         }
     }
 
-    /// Notes that a server exited while it ran a request of this VM.
+    /// Records that a server exited while it ran a request of this VM.
     pub fn server_exited(&mut self, digest: RequestDigest, server: u64, now: TimePoint) {
         if self.completed.has(digest, now) || self.quarantine.is_known(digest, now) {
             return;
         }
-        self.outbox.report(digest, server, now);
-        self.cases.report_own(digest, server, now);
+        self.outbox.report_exit(digest, server, now);
+        self.cases.record_own_exit(digest, server, now);
     }
 
-    /// Notes that a request of this VM ended well. `true` if it was quarantined, which its good end lifts.
+    /// Records that a request of this VM completed. Returns `true` if it is quarantined, which the completion lifts.
     pub fn completed(&mut self, digest: RequestDigest, now: TimePoint) -> bool {
-        self.completed.note(digest, now);
-        self.cases.cleared(digest, now);
+        self.completed.record(digest, now);
+        self.cases.mark_cleared(digest, now);
         if self.inquiries.shift_remove(&digest).is_some_and(|until| until > now) {
             self.outbox.send(Recipient::Arbiters, PoisonMessage::Completed(digest), now);
         }
         self.quarantine.is_known(digest, now)
     }
 
-    /// Whether a request may be sent to a server. `true_ms` is the time of day.
+    /// Returns whether a request may be sent to a server. `true_ms` is the wall-clock time in Unix milliseconds.
     pub fn standing(
         &self,
         digest: RequestDigest,
         now: TimePoint,
         true_ms: Option<i64>,
     ) -> Standing {
-        if self.held_here.contains(&digest) && self.cases.is_accused(digest) {
-            return Standing::Quarantined(HELD_HERE);
+        if self.blocked_locally.contains(&digest) && self.cases.is_suspected(digest) {
+            return Standing::Quarantined(LOCAL_BLOCK_RETRY_DELAY);
         }
         self.quarantine.standing(digest, now, true_ms)
     }
 
-    /// Whether any request is quarantined, so that digests have to be compared.
+    /// Returns whether any request is quarantined or blocked here, so that digests have to be compared.
     pub fn has_quarantined(&self) -> bool {
-        !self.quarantine.is_empty() || !self.held_here.is_empty()
+        !self.quarantine.is_empty() || !self.blocked_locally.is_empty()
     }
 
-    /// The quarantined requests that stand in the store.
+    /// Returns the quarantined requests that have an entry in the store.
     pub fn listed(&self) -> impl Iterator<Item = (RequestDigest, QuarantineEntry)> {
         self.quarantine.listed()
     }
 
-    /// Takes an entry of the store.
+    /// Applies an entry of the store.
     pub fn entry_listed(&mut self, digest: RequestDigest, entry: QuarantineEntry) {
-        self.cases.forget(digest);
+        self.cases.remove(digest);
         self.quarantine.entry_listed(digest, entry);
     }
 
-    /// Takes it that an entry of the store was removed: the request may be sent again, and nothing is held against it.
+    /// Applies the removal of an entry of the store: the request may be sent again, and its exits are discarded.
     pub fn entry_removed(&mut self, digest: RequestDigest, now: TimePoint) {
-        self.cases.forget(digest);
+        self.cases.remove(digest);
         self.quarantine.entry_removed(digest, now);
     }
 
-    /// Takes all entries of the store.
+    /// Replaces the known entries by all entries of the store.
     pub fn replace_all(
         &mut self,
         entries: impl IntoIterator<Item = (RequestDigest, QuarantineEntry)>,
         now: TimePoint,
     ) {
         let entries: Vec<_> = entries.into_iter().collect();
-        let gone: Vec<_> = self.listed().map(|(digest, _)| digest).collect();
-        for digest in gone.into_iter().filter(|it| !entries.iter().any(|(listed, _)| listed == it))
+        let removed: Vec<_> = self.listed().map(|(digest, _)| digest).collect();
+        for digest in
+            removed.into_iter().filter(|it| !entries.iter().any(|(listed, _)| listed == it))
         {
             self.entry_removed(digest, now);
         }
@@ -199,89 +202,93 @@
         }
     }
 
-    /// Notes that a trial is asked for, so that not each repeat asks the store meanwhile.
+    /// Records that a trial is requested from the store, so that repeats of the request don't ask for it again meanwhile.
     pub fn trial_asked(&mut self, digest: RequestDigest, now: TimePoint) {
         self.quarantine.trial_asked(digest, now);
     }
 
-    /// Takes what another VM told.
+    /// Handles a message of the VM named `from`.
     pub fn hear(&mut self, from: &str, message: PoisonMessage, now: TimePoint) {
         match message {
             PoisonMessage::Exited { digest, server } => {
                 if !self.quarantine.is_known(digest, now) {
-                    self.cases.report(digest, server, now);
+                    self.cases.record_reported_exit(digest, server, now);
                 }
             }
             PoisonMessage::Inquiry { digest, servers } => {
-                self.cases.has_rival(digest, &servers);
+                self.cases.apply_competing_inquiry(digest, &servers);
                 if self.completed.has(digest, now) {
                     let answer = PoisonMessage::Completed(digest);
                     self.outbox.send(Recipient::Vm(from.to_owned()), answer, now);
                 } else {
                     self.inquiries.retain(|_, until| *until > now);
-                    self.inquiries.insert(digest, now + LONGEST_INQUIRY);
+                    self.inquiries.insert(digest, now + MAX_INQUIRY_TIMEOUT);
                 }
             }
-            PoisonMessage::Completed(digest) => self.cases.cleared(digest, now),
+            PoisonMessage::Completed(digest) => self.cases.mark_cleared(digest, now),
             PoisonMessage::Quarantined { digest, servers } => {
-                self.cases.forget(digest);
-                self.cases.explained(&servers);
-                self.quarantine.told(digest, now);
+                self.cases.remove(digest);
+                self.cases.discard_attributed_exits(&servers);
+                self.quarantine.apply_report(digest, now);
             }
         }
     }
 
-    /// Whether there is anything to do for [`Self::tick`].
+    /// Returns whether [`Self::tick`] has anything to do.
     pub fn is_due(&self, now: TimePoint) -> bool {
-        self.outbox.is_due(now) || self.cases.is_due() || !self.held_here.is_empty()
+        self.outbox.is_due(now) || self.cases.is_due() || !self.blocked_locally.is_empty()
     }
 
-    /// Decides what is due, and returns what to tell which VM. `names` are all VMs that are listed, this one included, and
-    /// `heard_part` is the part of them that was heard lately.
+    /// Makes the decisions that are due and returns the messages to send, each with its recipient.
+    ///
+    /// `names` are all listed VMs, this one included; `connected_fraction` is the fraction of them that this VM received
+    /// datagrams from recently.
     pub fn tick(
         &mut self,
         names: &[&str],
-        heard_part: f64,
+        connected_fraction: f64,
         now: TimePoint,
     ) -> Vec<(String, PoisonMessage)> {
-        for step in self.cases.tick(names, &self.me, Hears::of(heard_part), now) {
-            self.take_step(step, now);
+        for step in
+            self.cases.tick(names, &self.me, Connectivity::from_fraction(connected_fraction), now)
+        {
+            self.apply_step(step, now);
         }
-        self.held_here.retain(|it| self.cases.is_accused(*it));
-        let mut told = Vec::new();
-        for Item { to, message, .. } in self.outbox.take_due(now) {
+        self.blocked_locally.retain(|it| self.cases.is_suspected(*it));
+        let mut messages = Vec::new();
+        for QueuedMessage { to, message, .. } in self.outbox.take_due(now) {
             for name in recipients(&to, &message, names) {
                 if name != self.me {
-                    told.push((name.to_owned(), message.clone()));
+                    messages.push((name.to_owned(), message.clone()));
                 } else if !matches!(to, Recipient::All) {
-                    // What goes to all was taken here when it was decided.
+                    // Messages to all VMs were applied here when they were queued.
                     self.hear(name, message.clone(), now);
                 }
             }
         }
-        told
+        messages
     }
 
-    /// Quarantines that have to be written to the store.
+    /// Takes the quarantines that have to be written to the store.
     pub fn take_unwritten(&mut self) -> Vec<(RequestDigest, Exits)> {
         std::mem::take(&mut self.unwritten)
     }
 
-    fn take_step(&mut self, step: Step, now: TimePoint) {
+    fn apply_step(&mut self, step: Step, now: TimePoint) {
         match step {
             Step::Inquire { digest, .. } if self.completed.has(digest, now) => {
-                self.cases.cleared(digest, now);
+                self.cases.mark_cleared(digest, now);
             }
             Step::Inquire { digest, servers } => {
-                self.cases.has_rival(digest, &servers);
+                self.cases.apply_competing_inquiry(digest, &servers);
                 self.outbox.inquire(PoisonMessage::Inquiry { digest, servers }, now);
             }
-            Step::HoldHere(digest) => {
-                self.held_here.insert(digest);
+            Step::BlockLocally(digest) => {
+                self.blocked_locally.insert(digest);
             }
             Step::Quarantine { digest, servers, exits } => {
-                self.cases.explained(&servers);
-                self.quarantine.told(digest, now);
+                self.cases.discard_attributed_exits(&servers);
+                self.quarantine.apply_report(digest, now);
                 self.unwritten.push((digest, exits));
                 let message = PoisonMessage::Quarantined { digest, servers };
                 self.outbox.send(Recipient::All, message, now);
--- a/crates/quincevalve_forwarding/src/poison/completed.rs
+++ b/crates/quincevalve_forwarding/src/poison/completed.rs
@@ -1,4 +1,4 @@
-//! Requests that ended well lately.
+//! Requests that completed recently.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -9,14 +9,14 @@
 
 use crate::request_digest::RequestDigest;
 
-/// How long a good end speaks for a request. A popular one ends well many times in it; one that new servers can't bear
-/// is not defended for long by what old ones could.
-pub(super) const REMEMBERED: Duration = Duration::from_secs(120);
-/// Requests that are remembered, the oldest forgotten first: the share of one VM in two minutes at ten times its
-/// usual rate, in half a megabyte.
-const MOST: usize = 8_192;
+/// How long a completion protects a request from being suspected. A popular request completes many times within it, while
+/// a request that only the previous version of the servers could run isn't protected for long.
+pub(super) const COMPLETION_TTL: Duration = Duration::from_secs(120);
+/// Maximum number of completions kept; the oldest is dropped first. Covers the requests of one VM in two minutes at ten
+/// times its usual rate, in half a megabyte.
+const MAX_COMPLETIONS: usize = 8_192;
 
-/// The requests of one VM that ended well lately.
+/// The requests of one VM that completed recently.
 #[derive(Debug, Default)]
 pub(super) struct CompletedRuns {
     newest: HashMap<RequestDigest, TimePoint>,
@@ -24,11 +24,11 @@
 }
 
 impl CompletedRuns {
-    pub(super) fn note(&mut self, digest: RequestDigest, now: TimePoint) {
+    pub(super) fn record(&mut self, digest: RequestDigest, now: TimePoint) {
         self.newest.insert(digest, now);
         self.order.push_back((digest, now));
-        let is_old = |(_, at): &(RequestDigest, TimePoint)| now.since(*at) > REMEMBERED;
-        while self.order.len() > MOST || self.order.front().is_some_and(is_old) {
+        let is_expired = |(_, at): &(RequestDigest, TimePoint)| now.since(*at) > COMPLETION_TTL;
+        while self.order.len() > MAX_COMPLETIONS || self.order.front().is_some_and(is_expired) {
             let Some((digest, at)) = self.order.pop_front() else { break };
             if self.newest.get(&digest) == Some(&at) {
                 self.newest.remove(&digest);
@@ -37,6 +37,6 @@
     }
 
     pub(super) fn has(&self, digest: RequestDigest, now: TimePoint) -> bool {
-        self.newest.get(&digest).is_some_and(|at| now.since(*at) <= REMEMBERED)
+        self.newest.get(&digest).is_some_and(|at| now.since(*at) <= COMPLETION_TTL)
     }
 }
--- a/crates/quincevalve_forwarding/src/poison/outbox.rs
+++ b/crates/quincevalve_forwarding/src/poison/outbox.rs
@@ -1,27 +1,28 @@
-//! What one VM has to tell others, and again, since datagrams get lost.
+//! Messages queued for other VMs. Each is sent several times, since datagrams get lost.
 
 use std::{collections::VecDeque, time::Duration};
 
 use quincevalve_names::TimePoint;
 
-use super::{PoisonMessage, cases::LONGEST_INQUIRY};
+use super::{PoisonMessage, cases::MAX_INQUIRY_TIMEOUT};
 use crate::request_digest::RequestDigest;
 
-/// Waits before a message is told again. The last ones reach a VM that was cut off for some seconds.
-const REPORT_TIMES: [Duration; 5] = [
+/// Delays after which the report of an exit is sent. The last ones reach a VM that was unreachable for some seconds.
+const REPORT_DELAYS: [Duration; 5] = [
     Duration::ZERO,
     Duration::from_millis(150),
     Duration::from_millis(400),
     Duration::from_millis(1_500),
     Duration::from_secs(5),
 ];
-/// An answer is waited for a fifth of a second; the store tells what others missed.
-const REPEAT_TIMES: [Duration; 3] =
+/// Delays after which other messages are sent. Answers are awaited for a fifth of a second; VMs that miss a quarantine
+/// learn of it from the store.
+const MESSAGE_DELAYS: [Duration; 3] =
     [Duration::ZERO, Duration::from_millis(70), Duration::from_millis(140)];
-/// Messages that may wait, the newest left out: some hundred requests at servers that exit together.
-const MOST: usize = 4_096;
+/// Maximum number of queued messages; further ones are dropped. Covers some hundred requests at servers that exit together.
+const MAX_QUEUED: usize = 4_096;
 
-/// To whom a message goes.
+/// The recipient of a message.
 #[derive(Clone, Debug)]
 pub(super) enum Recipient {
     /// The arbiters of the request.
@@ -32,55 +33,56 @@
     All,
 }
 
-/// A message that waits.
+/// A message with the time at which it is due.
 #[derive(Clone, Debug)]
-pub(super) struct Item {
+pub(super) struct QueuedMessage {
     pub(super) due: TimePoint,
     pub(super) to: Recipient,
     pub(super) message: PoisonMessage,
 }
 
+/// The queue of messages to send.
 #[derive(Debug, Default)]
 pub(super) struct Outbox {
-    items: VecDeque<Item>,
+    queue: VecDeque<QueuedMessage>,
 }
 
 impl Outbox {
-    /// Reports an exit.
-    pub(super) fn report(&mut self, digest: RequestDigest, server: u64, now: TimePoint) {
+    /// Queues the report of an exit.
+    pub(super) fn report_exit(&mut self, digest: RequestDigest, server: u64, now: TimePoint) {
         let message = PoisonMessage::Exited { digest, server };
-        for after in REPORT_TIMES {
-            self.push(Recipient::Arbiters, message.clone(), now + after);
+        for delay in REPORT_DELAYS {
+            self.push(Recipient::Arbiters, message.clone(), now + delay);
         }
     }
 
-    /// Sends a message now and a few times more.
+    /// Queues a message for now and a few more times.
     pub(super) fn send(&mut self, to: Recipient, message: PoisonMessage, now: TimePoint) {
-        for after in REPEAT_TIMES {
-            self.push(to.clone(), message.clone(), now + after);
+        for delay in MESSAGE_DELAYS {
+            self.push(to.clone(), message.clone(), now + delay);
         }
     }
 
-    /// Asks all VMs for a good end, and once more when some time is left for the answer.
+    /// Queues an inquiry to all VMs, with one late repeat that leaves time for the answer.
     pub(super) fn inquire(&mut self, message: PoisonMessage, now: TimePoint) {
         self.send(Recipient::All, message.clone(), now);
-        self.push(Recipient::All, message, now + LONGEST_INQUIRY / 2);
+        self.push(Recipient::All, message, now + MAX_INQUIRY_TIMEOUT / 2);
     }
 
     pub(super) fn is_due(&self, now: TimePoint) -> bool {
-        self.items.iter().any(|it| it.due <= now)
+        self.queue.iter().any(|it| it.due <= now)
     }
 
-    pub(super) fn take_due(&mut self, now: TimePoint) -> Vec<Item> {
+    pub(super) fn take_due(&mut self, now: TimePoint) -> Vec<QueuedMessage> {
         let (due, later) =
-            std::mem::take(&mut self.items).into_iter().partition(|it| it.due <= now);
-        self.items = later;
+            std::mem::take(&mut self.queue).into_iter().partition(|it| it.due <= now);
+        self.queue = later;
         Vec::from(due)
     }
 
     fn push(&mut self, to: Recipient, message: PoisonMessage, due: TimePoint) {
-        if self.items.len() < MOST {
-            self.items.push_back(Item { due, to, message });
+        if self.queue.len() < MAX_QUEUED {
+            self.queue.push_back(QueuedMessage { due, to, message });
         }
     }
 }
--- a/crates/quincevalve_forwarding/src/poison/quarantine.rs
+++ b/crates/quincevalve_forwarding/src/poison/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests that are kept from servers.
+//! Requests that aren't sent to servers.
 
 use std::time::Duration;
 
@@ -9,47 +9,48 @@
 use super::cases::Exits;
 use crate::request_digest::RequestDigest;
 
-/// How long a quarantined request is kept from servers before its first trial and after each. One that came into a wave of
-/// crashes by chance is served again when the wave is over; that happens to few, and each trial of one that does end
-/// servers costs all callers of that server their answers. So it ends three more in an hour, and then one a day, by when
-/// servers may have been released anew.
-const HOLDS: [Duration; 4] = [
+/// Quarantine periods before the first trial and after each. A request that was caught in a burst of crashes by chance is
+/// served again when the burst is over. Few requests are, and each trial of a request that does crash servers costs all
+/// callers of that server their answers, so the periods grow: such a request crashes three more servers in about an hour,
+/// and then one a day, by when a new version of the servers may have been released.
+const QUARANTINE_PERIODS: [Duration; 4] = [
     Duration::from_secs(30),
     Duration::from_secs(300),
     Duration::from_secs(3_600),
     Duration::from_secs(24 * 3_600),
 ];
-/// The first hold where servers exited together: if it was a rack, the next one stays up.
-const SHORT_HOLD: Duration = Duration::from_secs(1);
-/// How long another VM's word keeps a request from servers here while the store can't tell of it.
-const TOLD_HOLD: Duration = Duration::from_secs(60);
-/// A word is told three times within a fifth of a second, and is on its way for as long on a link that is full.
-const OLD_WORD: Duration = Duration::from_secs(2);
-/// Time for the store to say whether this VM has the trial.
-const TRIAL_ASKING: Duration = Duration::from_secs(1);
-/// Requests that are kept from servers here, the oldest let go first.
-const MOST: usize = 1_024;
-
-/// What the store holds of a quarantined request.
+/// First quarantine period where servers exited together: if a rack failed, the next server stays up.
+const SHORT_QUARANTINE_PERIOD: Duration = Duration::from_secs(1);
+/// How long a request is quarantined by another VM's report alone, while the store can't be read.
+const REPORT_TTL: Duration = Duration::from_secs(60);
+/// How long after a quarantine is lifted old reports of it may arrive. A report is sent three times within a fifth of a
+/// second, and takes as long again on a saturated link.
+const STALE_REPORT_WINDOW: Duration = Duration::from_secs(2);
+/// Time for the store to answer whether this VM may run the trial.
+const TRIAL_REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
+/// Maximum number of entries of the store that are kept, the oldest dropped first, and of reported quarantines.
+const MAX_REQUESTS: usize = 1_024;
+
+/// The store's entry of a quarantined request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantineEntry {
-    /// Trials that were begun.
+    /// Number of trials begun.
     pub trials: u32,
-    /// When the next one may begin, in Unix milliseconds of true time.
+    /// When the next trial may begin, in Unix milliseconds of wall-clock time.
     pub until_ms: i64,
 }
 
 impl QuarantineEntry {
-    /// The first entry of a request.
+    /// Creates the first entry of a request.
     pub fn first(exits: Exits, true_ms: i64) -> Self {
-        let hold = match exits {
-            Exits::Together => SHORT_HOLD.as_millis() as i64,
-            Exits::Separate => hold_ms(0),
+        let period_ms = match exits {
+            Exits::Together => SHORT_QUARANTINE_PERIOD.as_millis() as i64,
+            Exits::Separate => quarantine_period_ms(0),
         };
-        Self { trials: 0, until_ms: true_ms + hold }
+        Self { trials: 0, until_ms: true_ms + period_ms }
     }
 
-    /// The entry that begins the next trial; `None` before its time.
+    /// Returns the entry that begins the next trial, or `None` if none is due yet.
     ///
     /// # Examples
     ///
@@ -62,51 +63,51 @@
     /// ```
     pub fn next_trial(&self, true_ms: i64) -> Option<Self> {
         let trials = self.trials + 1;
-        let next = Self { trials, until_ms: true_ms + hold_ms(trials) };
+        let next = Self { trials, until_ms: true_ms + quarantine_period_ms(trials) };
         (true_ms >= self.until_ms).then_some(next)
     }
 }
 
-fn hold_ms(trials: u32) -> i64 {
-    HOLDS[(trials as usize).min(HOLDS.len() - 1)].as_millis() as i64
+fn quarantine_period_ms(trials: u32) -> i64 {
+    QUARANTINE_PERIODS[(trials as usize).min(QUARANTINE_PERIODS.len() - 1)].as_millis() as i64
 }
 
 /// Whether a request may be sent to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// Nothing is held against it.
+    /// It may be sent.
     Free,
-    /// It is kept from servers, for so long from now as far as known.
+    /// It may not be sent, as far as known for this duration from now.
     Quarantined(Duration),
-    /// It may be sent once, by the VM that is first to write that in the store.
+    /// It may be sent once, by the VM that first writes the trial to the store.
     TrialDue,
 }
 
-/// The requests that are kept from servers.
+/// The quarantined requests that this VM knows.
 #[derive(Debug, Default)]
 pub(super) struct Quarantine {
-    /// As the store has it.
+    /// Entries of the store.
     listed: IndexMap<RequestDigest, QuarantineEntry>,
-    /// By another VM's word, and until when.
-    told: IndexMap<RequestDigest, TimePoint>,
-    /// Quarantines that were lifted, and until when old words of them may come.
+    /// Requests quarantined by reports of VMs, and until when.
+    reported: IndexMap<RequestDigest, TimePoint>,
+    /// Lifted quarantines, and until when old reports of them may arrive.
     lifted: IndexMap<RequestDigest, TimePoint>,
-    /// Trials that were asked for, and until when an answer is waited for.
-    asked: IndexMap<RequestDigest, TimePoint>,
+    /// Trials requested from the store, and until when the answer is awaited.
+    requested_trials: IndexMap<RequestDigest, TimePoint>,
 }
 
 impl Quarantine {
     pub(super) fn is_empty(&self) -> bool {
-        self.listed.is_empty() && self.told.is_empty()
+        self.listed.is_empty() && self.reported.is_empty()
     }
 
     fn is_listed(&self, digest: RequestDigest) -> bool {
         self.listed.contains_key(&digest)
     }
 
-    /// Whether anybody has said that it is quarantined.
+    /// Returns whether the store or a report says that the request is quarantined.
     pub(super) fn is_known(&self, digest: RequestDigest, now: TimePoint) -> bool {
-        self.is_listed(digest) || self.told.get(&digest).is_some_and(|until| *until > now)
+        self.is_listed(digest) || self.reported.get(&digest).is_some_and(|until| *until > now)
     }
 
     pub(super) fn listed(&self) -> impl Iterator<Item = (RequestDigest, QuarantineEntry)> {
@@ -114,60 +115,60 @@
     }
 
     pub(super) fn entry_listed(&mut self, digest: RequestDigest, entry: QuarantineEntry) {
-        self.told.shift_remove(&digest);
-        self.asked.shift_remove(&digest);
+        self.reported.shift_remove(&digest);
+        self.requested_trials.shift_remove(&digest);
         self.listed.insert(digest, entry);
-        while self.listed.len() > MOST {
+        while self.listed.len() > MAX_REQUESTS {
             self.listed.shift_remove_index(0);
         }
     }
 
     pub(super) fn entry_removed(&mut self, digest: RequestDigest, now: TimePoint) {
-        self.told.shift_remove(&digest);
-        self.asked.shift_remove(&digest);
+        self.reported.shift_remove(&digest);
+        self.requested_trials.shift_remove(&digest);
         self.listed.shift_remove(&digest);
         self.lifted.retain(|_, until| *until > now);
-        self.lifted.insert(digest, now + OLD_WORD);
+        self.lifted.insert(digest, now + STALE_REPORT_WINDOW);
     }
 
-    /// Takes another VM's word.
+    /// Applies a VM's report that a request is quarantined.
     ///
-    /// Failure: a quarantine is lifted a moment after it began, and the last of the datagrams that told of it comes after
-    /// that. Symptom: some VMs keep an innocent request from servers for a minute, and others don't. What was lifted a
-    /// moment ago isn't quarantined by an old word.
-    pub(super) fn told(&mut self, digest: RequestDigest, now: TimePoint) {
-        self.told.retain(|_, until| *until > now);
+    /// If a quarantine is lifted a moment after it began, the last of the datagrams that report it may arrive after that,
+    /// and some VMs would block an innocent request for a minute. Reports of a quarantine that was lifted less than
+    /// [`STALE_REPORT_WINDOW`] ago are therefore ignored.
+    pub(super) fn apply_report(&mut self, digest: RequestDigest, now: TimePoint) {
+        self.reported.retain(|_, until| *until > now);
         if self.lifted.get(&digest).is_some_and(|until| *until > now) {
             return;
         }
-        if self.told.len() < MOST {
-            self.told.insert(digest, now + TOLD_HOLD);
+        if self.reported.len() < MAX_REQUESTS {
+            self.reported.insert(digest, now + REPORT_TTL);
         }
     }
 
     pub(super) fn trial_asked(&mut self, digest: RequestDigest, now: TimePoint) {
-        self.asked.retain(|_, until| *until > now);
-        self.asked.insert(digest, now + TRIAL_ASKING);
+        self.requested_trials.retain(|_, until| *until > now);
+        self.requested_trials.insert(digest, now + TRIAL_REQUEST_TIMEOUT);
     }
 
-    /// Without the time of day no trial is begun.
+    /// Returns whether a request may be sent. Without the wall-clock time no trial begins.
     pub(super) fn standing(
         &self,
         digest: RequestDigest,
         now: TimePoint,
         true_ms: Option<i64>,
     ) -> Standing {
-        let told = self.told.get(&digest).filter(|it| **it > now);
+        let reported = self.reported.get(&digest).filter(|it| **it > now);
         let Some(entry) = self.listed.get(&digest) else {
-            return told.map_or(Standing::Free, |it| Standing::Quarantined(it.since(now)));
+            return reported.map_or(Standing::Free, |it| Standing::Quarantined(it.since(now)));
         };
-        if let Some(until) = self.asked.get(&digest).filter(|it| **it > now) {
+        if let Some(until) = self.requested_trials.get(&digest).filter(|it| **it > now) {
             return Standing::Quarantined(until.since(now));
         }
         match true_ms.map(|it| entry.until_ms - it) {
-            Some(left_ms) if left_ms <= 0 => Standing::TrialDue,
-            Some(left_ms) => Standing::Quarantined(Duration::from_millis(left_ms as u64)),
-            None => Standing::Quarantined(TRIAL_ASKING),
+            Some(remaining_ms) if remaining_ms <= 0 => Standing::TrialDue,
+            Some(remaining_ms) => Standing::Quarantined(Duration::from_millis(remaining_ms as u64)),
+            None => Standing::Quarantined(TRIAL_REQUEST_TIMEOUT),
         }
     }
 }
--- a/crates/quincevalve_forwarding/src/request_digest.rs
+++ b/crates/quincevalve_forwarding/src/request_digest.rs
@@ -1,21 +1,21 @@
-//! Tells whether two attempts ask for the same thing.
+//! Digests that identify requests with the same content.
 
 use std::fmt;
 
 use quincevalve_names::{ClientAccountName, hash_parts};
 use serde::{Deserialize, Serialize};
 
-/// What a request asks for, by whom: the same for each attempt of the same path, account and body, at any VM.
+/// Digest of a request's account, path and body: the same for every attempt of the same request, at any VM.
 ///
-/// Attempt ids differ for each attempt, so they can't tell that a request comes again. The hash is cryptographic, so
-/// that no account can make a request that counts as another account's.
+/// Attempt ids differ for each attempt, so they can't identify a repeated request. The hash is cryptographic, so that no
+/// account can forge a request with the digest of another account's.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct RequestDigest(pub u64);
 
 impl RequestDigest {
-    /// The digest of a request. `path` includes the query.
+    /// Computes the digest of a request. `path` includes the query.
     ///
     /// # Examples
     ///
@@ -34,7 +34,7 @@
 }
 
 impl RequestDigest {
-    /// The digest that [`Display`](fmt::Display) wrote; `None` for any other text.
+    /// Parses a digest in the form that [`Display`](fmt::Display) writes; `None` for any other text.
     ///
     /// # Examples
     ///
@@ -45,8 +45,8 @@
     /// assert_eq!(RequestDigest::parse("1f"), None);
     /// ```
     pub fn parse(text: &str) -> Option<Self> {
-        let is_whole = text.len() == 16 && text.bytes().all(|it| it.is_ascii_hexdigit());
-        is_whole.then(|| u64::from_str_radix(text, 16).ok().map(Self))?
+        let is_well_formed = text.len() == 16 && text.bytes().all(|it| it.is_ascii_hexdigit());
+        is_well_formed.then(|| u64::from_str_radix(text, 16).ok().map(Self))?
     }
 }
 
