--- a/crates/quincevalve_forwarding/src/change_log.rs
+++ b/crates/quincevalve_forwarding/src/change_log.rs
@@ -21,7 +21,7 @@
 
 /// A part of a log for one reader.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Excerpt<C> {
+pub struct ChangeBatch<C> {
     /// The revision that the reader has to have reached.
     pub after: u64,
     /// The revision that it has reached then.
@@ -35,7 +35,7 @@
     C: Clone,
 {
     /// Begins anew at a revision, for instance after the whole store was read.
-    pub fn restart(&mut self, at: u64) {
+    pub fn reset(&mut self, at: u64) {
         self.after = at;
         self.upto = at;
         self.changes.clear();
@@ -62,7 +62,7 @@
     /// doesn't go back that far.
     ///
     /// The changes of the first revision are given whatever they weigh, so that a reader always gets on.
-    pub fn since<W>(&self, seen: u64, budget: usize, weigh: W) -> Option<Excerpt<C>>
+    pub fn since<W>(&self, seen: u64, budget: usize, weigh: W) -> Option<ChangeBatch<C>>
     where
         W: Fn(&C) -> usize,
     {
@@ -85,6 +85,6 @@
             }
             changes.push((*at, change.clone()));
         }
-        Some(Excerpt { after: seen, upto: upto.max(seen), changes })
+        Some(ChangeBatch { after: seen, upto: upto.max(seen), changes })
     }
 }
--- a/crates/quincevalve_forwarding/src/part_fetch.rs
+++ b/crates/quincevalve_forwarding/src/chunk_fetch.rs
@@ -10,13 +10,13 @@
 use quincevalve_names::TimePoint;
 use serde::{Deserialize, Serialize};
 
-use crate::parts::{Assembly, Part};
+use crate::chunks::{Assembly, Chunk};
 
 /// Parts that are asked for at once: a hundred kilobytes, 40 ms of a link of 20 Mbit/s.
 pub const WINDOW: usize = 4;
 /// Time after which a question without an answer is asked again: the parts take 40 ms on the way, and as long again where
 /// the source's link is full.
-pub const ASK_AGAIN: Duration = Duration::from_millis(150);
+pub const RETRY_INTERVAL: Duration = Duration::from_millis(150);
 /// Questions without an answer to a source that gave parts, before the next one is asked.
 const QUESTIONS_WITH_PARTS: u32 = 3;
 /// For so long a source that didn't answer is left out.
@@ -32,22 +32,22 @@
 
 /// The parts that are asked for.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PartsWanted {
+pub struct ChunkRequest {
     /// The version that they belong to; `None` for the first parts of the newest.
     pub version: Option<u64>,
     /// Their places.
-    pub parts: Vec<u32>,
+    pub chunks: Vec<u32>,
 }
 
 /// What to do next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FetchStep {
     /// Ask a source for some parts.
-    Ask {
+    Send {
         /// The source.
         source: SocketAddr,
         /// The parts.
-        wanted: PartsWanted,
+        request: ChunkRequest,
     },
     /// Look again after so long.
     Wait(Duration),
@@ -61,17 +61,17 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use quincevalve_forwarding::{part_fetch::{FetchStep, PartFetch}, parts::split};
+/// use quincevalve_forwarding::{chunk_fetch::{FetchStep, ChunkFetch}, chunks::split_into_chunks};
 /// use quincevalve_names::TimePoint;
 /// let (source, now) = (([10, 0, 0, 1], 7600).into(), TimePoint::ZERO);
-/// let mut fetch = PartFetch::new(vec![source], Duration::from_secs(1), now);
-/// assert!(matches!(fetch.next(now), FetchStep::Ask { .. }));
+/// let mut fetch = ChunkFetch::new(vec![source], Duration::from_secs(1), now);
+/// assert!(matches!(fetch.next(now), FetchStep::Send { .. }));
 /// let value = vec![7; 40_000];
-/// let whole = split(1, &value).into_iter().find_map(|it| fetch.take(source, it, now));
+/// let whole = split_into_chunks(1, &value).into_iter().find_map(|it| fetch.receive(source, it, now));
 /// assert_eq!(whole, Some(value));
 /// ```
 #[derive(Clone, Debug)]
-pub struct PartFetch {
+pub struct ChunkFetch {
     sources: Vec<SocketAddr>,
     /// The place of the source that is asked at present.
     source: usize,
@@ -89,7 +89,7 @@
     assembly: Assembly,
 }
 
-impl PartFetch {
+impl ChunkFetch {
     /// Begins at `now` to ask `sources` in turn, and gives up once nothing came for `patience`.
     pub fn new(sources: Vec<SocketAddr>, patience: Duration, now: TimePoint) -> Self {
         Self {
@@ -120,13 +120,13 @@
             self.turn_to_next(now);
         }
         self.unanswered += 1;
-        self.ask_at = now + ASK_AGAIN;
-        let wanted = match self.assembly.missing(WINDOW) {
-            Some((version, parts)) => PartsWanted { version: Some(version), parts },
-            None => PartsWanted::default(),
+        self.ask_at = now + RETRY_INTERVAL;
+        let request = match self.assembly.missing(WINDOW) {
+            Some((version, chunks)) => ChunkRequest { version: Some(version), chunks },
+            None => ChunkRequest::default(),
         };
-        self.awaited = wanted.parts.len().max(1);
-        FetchStep::Ask { source: self.sources[self.source], wanted }
+        self.awaited = request.chunks.len().max(1);
+        FetchStep::Send { source: self.sources[self.source], request }
     }
 
     fn turn_to_next(&mut self, now: TimePoint) {
@@ -141,20 +141,20 @@
         self.assembly = Assembly::default();
     }
 
-    /// Takes it that a source sends this VM on. `serves_others` says whether it has what is asked for.
-    pub fn sent_on(&mut self, from: SocketAddr, serves_others: bool, now: TimePoint) {
+    /// Takes it that a source sends this VM on. `is_serving_others` says whether it has what is asked for.
+    pub fn redirected(&mut self, from: SocketAddr, is_serving_others: bool, now: TimePoint) {
         if self.sources.get(self.source) != Some(&from) {
             return;
         }
         self.turn_to_next(now);
         self.ask_at = now + NEXT_PAUSE;
-        if serves_others {
+        if is_serving_others {
             self.progress_at = now;
         }
     }
 
     /// Takes a part; the whole value once it is the last that was missing. Parts of two sources make no whole.
-    pub fn take(&mut self, from: SocketAddr, part: Part, now: TimePoint) -> Option<Vec<u8>> {
+    pub fn receive(&mut self, from: SocketAddr, part: Chunk, now: TimePoint) -> Option<Vec<u8>> {
         if self.sources.get(self.source) != Some(&from) {
             return None;
         }
@@ -167,7 +167,7 @@
         }
         self.awaited = self.awaited.saturating_sub(1);
         self.unanswered = 0;
-        self.ask_at = if self.awaited == 0 { now } else { now + ASK_AGAIN };
+        self.ask_at = if self.awaited == 0 { now } else { now + RETRY_INTERVAL };
         whole
     }
 }
@@ -177,9 +177,9 @@
 /// # Examples
 ///
 /// ```
-/// use quincevalve_forwarding::part_fetch::Served;
+/// use quincevalve_forwarding::chunk_fetch::ServeSlots;
 /// use quincevalve_names::TimePoint;
-/// let mut served = Served::default();
+/// let mut served = ServeSlots::default();
 /// let link = 2_500_000;
 /// assert!(served.admit("vm-1", link, TimePoint::ZERO));
 /// assert!(!served.admit("vm-2", link, TimePoint::ZERO));
@@ -187,11 +187,11 @@
 /// assert!(served.admit("vm-2", link, TimePoint::from_millis(360)));
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Served {
+pub struct ServeSlots {
     asked: HashMap<String, TimePoint>,
 }
 
-impl Served {
+impl ServeSlots {
     /// Whether a VM with a link of so many bytes a second serves one that asks now.
     pub fn admit(&mut self, asker: &str, link: u64, now: TimePoint) -> bool {
         self.asked.retain(|_, at| now.since(*at) < SERVED_FOR);
@@ -204,7 +204,7 @@
     }
 
     /// Takes it that one has got all.
-    pub fn ended(&mut self, asker: &str) {
+    pub fn release(&mut self, asker: &str) {
         self.asked.remove(asker);
     }
 }
@@ -220,12 +220,12 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use quincevalve_forwarding::part_fetch::patience;
+/// use quincevalve_forwarding::chunk_fetch::fetch_timeout;
 /// let least = Duration::from_millis(600);
-/// assert!(patience(least, 3) < patience(least, 40));
-/// assert!(patience(least, 400) < Duration::from_secs(4));
+/// assert!(fetch_timeout(least, 3) < fetch_timeout(least, 40));
+/// assert!(fetch_timeout(least, 400) < Duration::from_secs(4));
 /// ```
-pub fn patience(least: Duration, before: usize) -> Duration {
+pub fn fetch_timeout(least: Duration, before: usize) -> Duration {
     least + PATIENCE_EACH.mul_f64(before as f64).min(MOST_PATIENCE)
 }
 
@@ -235,11 +235,11 @@
 /// # Examples
 ///
 /// ```
-/// use quincevalve_forwarding::part_fetch::in_turn;
+/// use quincevalve_forwarding::chunk_fetch::source_order;
 /// let at = |it: u8| ([10, 0, 0, it], 7600).into();
-/// assert_eq!(in_turn(&[at(1), at(2)], &[at(8), at(9)]), [at(1), at(2), at(8), at(1), at(9), at(2)]);
+/// assert_eq!(source_order(&[at(1), at(2)], &[at(8), at(9)]), [at(1), at(2), at(8), at(1), at(9), at(2)]);
 /// ```
-pub fn in_turn(first: &[SocketAddr], others: &[SocketAddr]) -> Vec<SocketAddr> {
+pub fn source_order(first: &[SocketAddr], others: &[SocketAddr]) -> Vec<SocketAddr> {
     let again = others.iter().zip(first.iter().cycle());
     first.iter().copied().chain(again.flat_map(|(other, first)| [*other, *first])).collect()
 }
--- a/crates/quincevalve_forwarding/src/parts.rs
+++ b/crates/quincevalve_forwarding/src/chunks.rs
@@ -10,7 +10,7 @@
 
 /// One part of a version of a value.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Part {
+pub struct Chunk {
     /// The version that it belongs to.
     pub version: u64,
     /// Its place, from 0.
@@ -26,16 +26,16 @@
 /// # Examples
 ///
 /// ```
-/// use quincevalve_forwarding::parts::{Assembly, split};
+/// use quincevalve_forwarding::chunks::{Assembly, split_into_chunks};
 /// let value = vec![7; 60_000];
 /// let mut assembly = Assembly::default();
-/// let whole = split(3, &value).into_iter().find_map(|it| assembly.take(it));
+/// let whole = split_into_chunks(3, &value).into_iter().find_map(|it| assembly.take(it));
 /// assert_eq!(whole, Some(value));
 /// ```
-pub fn split(version: u64, value: &[u8]) -> Vec<Part> {
+pub fn split_into_chunks(version: u64, value: &[u8]) -> Vec<Chunk> {
     let of = value.len().div_ceil(PART_BYTES) as u32;
     let chunks = value.chunks(PART_BYTES).zip(0..);
-    chunks.map(|(bytes, at)| Part { version, at, of, bytes: bytes.to_vec() }).collect()
+    chunks.map(|(bytes, at)| Chunk { version, at, of, bytes: bytes.to_vec() }).collect()
 }
 
 /// Parts of the newest version that have come so far, in whatever order.
@@ -53,7 +53,7 @@
     }
 
     /// Takes a part; the whole value once it is the last that was missing. Parts of an older version are left out.
-    pub fn take(&mut self, part: Part) -> Option<Vec<u8>> {
+    pub fn take(&mut self, part: Chunk) -> Option<Vec<u8>> {
         if part.at >= part.of || part.of > MOST_PARTS || part.version < self.version {
             return None;
         }
--- a/crates/quincevalve_forwarding/src/duty.rs
+++ b/crates/quincevalve_forwarding/src/duty.rs
@@ -44,31 +44,38 @@
 
 /// Whether this VM may act, and with which number.
 #[derive(Clone, Debug, Default)]
-pub struct Duty {
+pub struct DutyLease {
     held: Option<Held>,
 }
 
-impl Duty {
+impl DutyLease {
     /// Takes over a term whose lease was asked for at `asked`.
     ///
     /// Failure: the duty passes from A to B and back to A within a lease. Symptom: the platform can't tell
     /// A's new calls from old ones that were held up. A holder that held the term before last therefore
     /// waits for a whole lease before it acts.
-    pub fn took(&mut self, me: &str, before: &Term, term: &Term, ttl: Duration, asked: TimePoint) {
+    pub fn record_acquired(
+        &mut self,
+        me: &str,
+        before: &Term,
+        term: &Term,
+        ttl: Duration,
+        asked: TimePoint,
+    ) {
         let returned = before.previous == me && before.holder != me;
         let from = if returned { asked + ttl } else { asked };
         self.held = Some(Held { number: term.number, renewed: asked, ttl, from });
     }
 
     /// Notes a renewal that was sent at `asked` and answered.
-    pub fn renewed(&mut self, asked: TimePoint) {
+    pub fn record_renewal(&mut self, asked: TimePoint) {
         if let Some(held) = &mut self.held {
             held.renewed = held.renewed.max(asked);
         }
     }
 
     /// Gives the duty up.
-    pub fn lost(&mut self) {
+    pub fn record_lost(&mut self) {
         self.held = None;
     }
 
@@ -81,7 +88,7 @@
     ///
     /// A renewal counts from when it was sent, on a clock that counts suspension: a VM that stood still
     /// finds its lease too old before its next call.
-    pub fn may_act(&self, now: TimePoint) -> Option<FencingNumber> {
+    pub fn fencing_number(&self, now: TimePoint) -> Option<FencingNumber> {
         let held = self.held.as_ref()?;
         let used = held.ttl.mul_f64(USED_PART);
         (now >= held.from && now.since(held.renewed) < used).then_some(held.number)
--- a/crates/quincevalve_forwarding/src/lib.rs
+++ b/crates/quincevalve_forwarding/src/lib.rs
@@ -5,6 +5,8 @@
 
 pub mod allowance;
 pub mod change_log;
+pub mod chunk_fetch;
+pub mod chunks;
 pub mod config;
 pub mod demand;
 pub mod digest_pace;
@@ -13,9 +15,7 @@
 pub mod freshness;
 pub mod line_budget;
 pub mod load;
-pub mod part_fetch;
-pub mod parts;
-pub mod peer_book;
+pub mod peer_table;
 pub mod placement;
 pub mod poison;
 pub mod quota;
--- a/crates/quincevalve_forwarding/src/peer_book.rs
+++ b/crates/quincevalve_forwarding/src/peer_table.rs
@@ -30,7 +30,7 @@
 
 /// What a VM says of itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct VmCard {
+pub struct VmDescriptor {
     /// Its name.
     pub name: String,
     /// Where it takes datagrams.
@@ -43,7 +43,7 @@
 
 #[derive(Clone, Debug)]
 struct Peer {
-    card: VmCard,
+    card: VmDescriptor,
     /// The hash of its name, which costs more than all else that is done with the name.
     hash: u64,
     listed: bool,
@@ -81,8 +81,8 @@
 /// Load: roles are asked for with each datagram, and hundreds of VMs are known. What that takes is kept up to date as VMs
 /// come and go, so that an answer costs the same whatever their number.
 #[derive(Clone, Debug)]
-pub struct PeerBook {
-    me: VmCard,
+pub struct PeerTable {
+    me: VmDescriptor,
     me_hash: u64,
     peers: IndexMap<String, Peer>,
     names: HashMap<SocketAddr, String>,
@@ -90,9 +90,9 @@
     ranking: Ranking,
 }
 
-impl PeerBook {
+impl PeerTable {
     /// Knows nobody but `me`.
-    pub fn new(me: VmCard) -> Self {
+    pub fn new(me: VmDescriptor) -> Self {
         let me_hash = hash_text(&me.name);
         let mut ranking = Ranking::default();
         ranking.insert(&me, me_hash);
@@ -100,17 +100,17 @@
     }
 
     /// This VM's own card.
-    pub fn me(&self) -> &VmCard {
+    pub fn me(&self) -> &VmDescriptor {
         &self.me
     }
 
     /// The entry VMs that are known, this one included.
-    pub fn vms(&self) -> usize {
+    pub fn vm_count(&self) -> usize {
         self.peers.len() + 1
     }
 
     /// Takes a VM's entry in the store; `true` if it is new.
-    pub fn listed(&mut self, card: VmCard) -> bool {
+    pub fn apply_entry(&mut self, card: VmDescriptor) -> bool {
         if card.name == self.me.name {
             return false;
         }
@@ -130,12 +130,12 @@
         true
     }
 
-    fn index(&mut self, card: &VmCard, hash: u64) {
+    fn index(&mut self, card: &VmDescriptor, hash: u64) {
         self.ranking.insert(card, hash);
         self.names.insert(card.address, card.name.clone());
     }
 
-    fn unindex(&mut self, card: &VmCard, hash: u64) {
+    fn unindex(&mut self, card: &VmDescriptor, hash: u64) {
         self.ranking.remove(card, hash);
         // Another VM may have taken its address over.
         if self.names.get(&card.address) == Some(&card.name) {
@@ -144,24 +144,24 @@
     }
 
     /// Notes that a VM's entry was removed.
-    pub fn unlisted(&mut self, name: &str) {
+    pub fn mark_unlisted(&mut self, name: &str) {
         if let Some(peer) = self.peers.get_mut(name) {
             peer.listed = false;
         }
     }
 
     /// Takes the whole list.
-    pub fn replace_all(&mut self, cards: Vec<VmCard>) {
+    pub fn replace_all(&mut self, cards: Vec<VmDescriptor>) {
         self.peers.values_mut().for_each(|it| it.listed = false);
         for card in cards {
-            self.listed(card);
+            self.apply_entry(card);
         }
     }
 
     /// Notes a datagram from a VM, which may be unlisted yet.
-    pub fn heard(&mut self, card: &VmCard, now: TimePoint) {
+    pub fn record_received(&mut self, card: &VmDescriptor, now: TimePoint) {
         if !self.peers.contains_key(&card.name) {
-            self.listed(card.clone());
+            self.apply_entry(card.clone());
         }
         if let Some(peer) = self.peers.get_mut(&card.name) {
             peer.heard = Some(now);
@@ -170,7 +170,7 @@
     }
 
     /// Notes a datagram to a VM.
-    pub fn asked(&mut self, address: SocketAddr, now: TimePoint) {
+    pub fn record_datagram_sent(&mut self, address: SocketAddr, now: TimePoint) {
         let name = self.names.get(&address);
         if let Some(peer) = name.and_then(|it| self.peers.get_mut(it)) {
             peer.asked.get_or_insert(now);
@@ -178,7 +178,7 @@
     }
 
     /// Forgets VMs that are gone and returns their names.
-    pub fn forget(&mut self, now: TimePoint) -> Vec<String> {
+    pub fn remove_expired(&mut self, now: TimePoint) -> Vec<String> {
         let is_gone =
             |it: &Peer| !it.listed && it.heard.is_none_or(|heard| now.since(heard) > FORGET_AFTER);
         let gone: Vec<_> =
@@ -192,7 +192,7 @@
     }
 
     /// The card of a VM by name.
-    pub fn card(&self, name: &str) -> Option<&VmCard> {
+    pub fn descriptor(&self, name: &str) -> Option<&VmDescriptor> {
         if name == self.me.name {
             return Some(&self.me);
         }
@@ -200,13 +200,13 @@
     }
 
     /// The cards of all VMs that are listed, and this one's.
-    pub fn listed_cards(&self) -> impl Iterator<Item = &VmCard> {
+    pub fn listed_descriptors(&self) -> impl Iterator<Item = &VmDescriptor> {
         let listed = self.peers.values().filter(|it| it.listed).map(|it| &it.card);
         listed.chain([&self.me])
     }
 
     /// This VM's place among all that are listed, in an order of `key`'s own.
-    pub fn seat(&self, key: u64) -> Seat {
+    pub fn rank(&self, key: u64) -> Seat {
         let me = rendezvous_score(key, self.me_hash);
         let listed = self.peers.values().filter(|it| it.listed);
         let (before, others) = listed.fold((0, 0), |(before, others), it| {
@@ -219,7 +219,7 @@
     ///
     /// Failure: a VM is gone for good, and what it would tell is waited for. Symptom: reports come seconds late,
     /// or are lost when the one who waits goes too. Who is neither listed nor heard lately has nothing to tell.
-    pub fn awaited(&self, now: TimePoint) -> impl Iterator<Item = &str> {
+    pub fn expected_reporters(&self, now: TimePoint) -> impl Iterator<Item = &str> {
         let is_heard = move |it: &Peer| it.heard.is_some_and(|at| now.since(at) <= LATELY);
         let awaited = self.peers.iter().filter(move |(_, it)| it.listed || is_heard(it));
         awaited.map(|(name, _)| name.as_str())
@@ -232,7 +232,7 @@
 
     /// Whether every VM of a small system tells every other.
     pub fn is_small(&self) -> bool {
-        self.vms() <= SMALL
+        self.vm_count() <= SMALL
     }
 
     /// This VM's role at present. `has_members` says whether others have chosen it as their collector.
@@ -264,7 +264,7 @@
     /// Failure: all VMs start together, and the strongest takes longer than the others wait. Symptom: weak VMs
     /// collect for good, and those of other data centres don't know them. The best one is asked again now and
     /// then, and used once it answers.
-    pub fn better_collector(&self, now: TimePoint) -> Option<SocketAddr> {
+    pub fn preferred_collector(&self, now: TimePoint) -> Option<SocketAddr> {
         let best = self.ranked(&self.me.data_centre).next()?;
         let is_better = best.name != self.me.name && self.is_silent(best, now);
         (!self.is_small() && is_better).then_some(best.address)
@@ -273,15 +273,15 @@
     /// Whether this VM passes on what it knows of the store: collectors do, and in a small system those that read it.
     pub fn relays_store(&self, has_members: bool, now: TimePoint) -> bool {
         if self.is_small() {
-            return self.reading_part(has_members, now) == ReadingPart::Reader;
+            return self.store_read_role(has_members, now) == ReadingPart::Reader;
         }
         matches!(self.role(has_members, now), Role::Collector { .. })
     }
 
     /// How this VM takes part in reading the store. In a small system the first two read for all; in a large one the first
     /// two collectors do, and the others stand by.
-    pub fn reading_part(&self, has_members: bool, now: TimePoint) -> ReadingPart {
-        let candidates: Vec<&VmCard> = if self.is_small() {
+    pub fn store_read_role(&self, has_members: bool, now: TimePoint) -> ReadingPart {
+        let candidates: Vec<&VmDescriptor> = if self.is_small() {
             self.peers.values().map(|it| &it.card).chain([&self.me]).collect()
         } else if matches!(self.role(has_members, now), Role::Collector { .. }) {
             self.ranking.centres().filter_map(|it| self.collector_of(it, now)).collect()
@@ -300,9 +300,9 @@
     /// The first of the candidates that answer, strongest first; the same order everywhere.
     fn first_readers<'a>(
         &self,
-        candidates: Vec<&'a VmCard>,
+        candidates: Vec<&'a VmDescriptor>,
         now: TimePoint,
-    ) -> impl Iterator<Item = &'a VmCard> {
+    ) -> impl Iterator<Item = &'a VmDescriptor> {
         ranked(candidates.into_iter())
             .into_iter()
             .filter(move |it| !self.is_silent(it, now))
@@ -310,7 +310,7 @@
     }
 
     /// The collector of a data centre as far as it answers: this VM, or the strongest that does.
-    fn collector_of(&self, centre: &DataCentreName, now: TimePoint) -> Option<&VmCard> {
+    fn collector_of(&self, centre: &DataCentreName, now: TimePoint) -> Option<&VmDescriptor> {
         if *centre == self.me.data_centre {
             return Some(&self.me);
         }
@@ -334,18 +334,18 @@
         collectors
     }
 
-    fn is_silent(&self, card: &VmCard, now: TimePoint) -> bool {
+    fn is_silent(&self, card: &VmDescriptor, now: TimePoint) -> bool {
         self.peers.get(&card.name).is_some_and(|it| it.is_silent(now))
     }
 
     /// The VMs of a data centre, strongest first; the same order everywhere.
-    fn ranked(&self, centre: &DataCentreName) -> impl Iterator<Item = &VmCard> {
-        self.ranking.of(centre).filter_map(|it| self.card(it))
+    fn ranked(&self, centre: &DataCentreName) -> impl Iterator<Item = &VmDescriptor> {
+        self.ranking.of(centre).filter_map(|it| self.descriptor(it))
     }
 }
 
 /// VMs by rank, strongest first; the same order everywhere.
-fn ranked<'a>(cards: impl Iterator<Item = &'a VmCard>) -> Vec<&'a VmCard> {
+fn ranked<'a>(cards: impl Iterator<Item = &'a VmDescriptor>) -> Vec<&'a VmDescriptor> {
     let mut cards: Vec<_> = cards.collect();
     cards.sort_by_cached_key(|it| Rank::new(it, hash_text(&it.name)));
     cards
@@ -360,19 +360,19 @@
 /// # Examples
 ///
 /// ```
-/// use quincevalve_forwarding::peer_book::{VmCard, vms_to_ask_at_start};
-/// let card = |at: u32| VmCard {
+/// use quincevalve_forwarding::peer_table::{VmDescriptor, startup_sources};
+/// let card = |at: u32| VmDescriptor {
 ///     name: format!("vm-{at}"),
 ///     address: ([10, 0, 0, at as u8], 7600).into(),
 ///     data_centre: "north".into(),
 ///     cpu: if at < 3 { 500 } else { 120 },
 /// };
 /// let cards: Vec<_> = (0..40).map(card).collect();
-/// assert!(vms_to_ask_at_start(&cards[1], &cards).is_empty());
-/// assert_eq!(vms_to_ask_at_start(&cards[30], &cards).len(), 3);
-/// assert!(vms_to_ask_at_start(&cards[5], &cards[..8]).is_empty());
+/// assert!(startup_sources(&cards[1], &cards).is_empty());
+/// assert_eq!(startup_sources(&cards[30], &cards).len(), 3);
+/// assert!(startup_sources(&cards[5], &cards[..8]).is_empty());
 /// ```
-pub fn vms_to_ask_at_start(me: &VmCard, centre: &[VmCard]) -> Vec<SocketAddr> {
+pub fn startup_sources(me: &VmDescriptor, centre: &[VmDescriptor]) -> Vec<SocketAddr> {
     if centre.len() < MANY_IN_A_CENTRE {
         return Vec::new();
     }
@@ -387,7 +387,7 @@
 }
 
 /// How many VMs of its data centre come before one that starts.
-pub fn rank_at_start(me: &VmCard, centre: &[VmCard]) -> usize {
+pub fn startup_rank(me: &VmDescriptor, centre: &[VmDescriptor]) -> usize {
     ranked(centre.iter()).iter().position(|it| it.name == me.name).unwrap_or(centre.len())
 }
 
--- a/crates/quincevalve_forwarding/src/peer_book/ranking.rs
+++ b/crates/quincevalve_forwarding/src/peer_table/ranking.rs
@@ -5,7 +5,7 @@
 use indexmap::IndexMap;
 use quincevalve_names::DataCentreName;
 
-use super::VmCard;
+use super::VmDescriptor;
 
 /// A VM's place in the order of its data centre: strongest first, the same everywhere.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -16,7 +16,7 @@
 
 impl Rank {
     /// `hash` is that of the VM's name.
-    pub(super) fn new(card: &VmCard, hash: u64) -> Self {
+    pub(super) fn new(card: &VmDescriptor, hash: u64) -> Self {
         Self { cpu: Reverse(card.cpu), hash }
     }
 }
@@ -29,7 +29,7 @@
 
 impl Ranking {
     /// Adds a VM that isn't in it.
-    pub(super) fn insert(&mut self, card: &VmCard, hash: u64) {
+    pub(super) fn insert(&mut self, card: &VmDescriptor, hash: u64) {
         let vms = self.centres.entry(card.data_centre.clone()).or_default();
         let rank = Rank::new(card, hash);
         let at = vms.partition_point(|(it, _)| *it < rank);
@@ -37,7 +37,7 @@
     }
 
     /// Removes a VM, by the card with which it was added.
-    pub(super) fn remove(&mut self, card: &VmCard, hash: u64) {
+    pub(super) fn remove(&mut self, card: &VmDescriptor, hash: u64) {
         let Some(vms) = self.centres.get_mut(&card.data_centre) else { return };
         let rank = Rank::new(card, hash);
         if let Ok(at) = vms.binary_search_by(|(it, _)| it.cmp(&rank)) {
--- a/crates/quincevalve_forwarding/src/poison.rs
+++ b/crates/quincevalve_forwarding/src/poison.rs
@@ -36,8 +36,8 @@
     quarantine::Quarantine,
 };
 pub use self::{
-    cases::{Exits, Servers},
-    quarantine::{QuarantineEntry, Standing},
+    cases::{ExitPattern, ExitedServers},
+    quarantine::{QuarantineEntry, SendDecision},
 };
 use crate::request_digest::RequestDigest;
 
@@ -61,8 +61,8 @@
     Inquiry {
         /// The request.
         digest: RequestDigest,
-        /// Servers that exited under it.
-        servers: Servers,
+        /// ExitedServers that exited under it.
+        servers: ExitedServers,
     },
     /// The request completed recently.
     Completed(RequestDigest),
@@ -70,8 +70,8 @@
     Quarantined {
         /// The request.
         digest: RequestDigest,
-        /// Servers that exited under it.
-        servers: Servers,
+        /// ExitedServers that exited under it.
+        servers: ExitedServers,
     },
 }
 
@@ -112,7 +112,7 @@
     /// Suspected requests that this VM doesn't send to servers until it can ask the other VMs.
     blocked_locally: IndexSet<RequestDigest>,
     /// Requests whose quarantine isn't written to the store yet.
-    unwritten: Vec<(RequestDigest, Exits)>,
+    unwritten: Vec<(RequestDigest, ExitPattern)>,
 }
 
 impl PoisonGuard {
@@ -131,7 +131,7 @@
     }
 
     /// Records that a server exited while it ran a request of this VM.
-    pub fn server_exited(&mut self, digest: RequestDigest, server: u64, now: TimePoint) {
+    pub fn record_server_exit(&mut self, digest: RequestDigest, server: u64, now: TimePoint) {
         if self.completed.has(digest, now) || self.quarantine.is_known(digest, now) {
             return;
         }
@@ -140,7 +140,7 @@
     }
 
     /// Records that a request of this VM completed. Returns `true` if it is quarantined, which the completion lifts.
-    pub fn completed(&mut self, digest: RequestDigest, now: TimePoint) -> bool {
+    pub fn record_completion(&mut self, digest: RequestDigest, now: TimePoint) -> bool {
         self.completed.record(digest, now);
         self.cases.mark_cleared(digest, now);
         if self.inquiries.shift_remove(&digest).is_some_and(|until| until > now) {
@@ -150,16 +150,16 @@
     }
 
     /// Returns whether a request may be sent to a server. `true_ms` is the wall-clock time in Unix milliseconds.
-    pub fn standing(
+    pub fn send_decision(
         &self,
         digest: RequestDigest,
         now: TimePoint,
         true_ms: Option<i64>,
-    ) -> Standing {
+    ) -> SendDecision {
         if self.blocked_locally.contains(&digest) && self.cases.is_suspected(digest) {
-            return Standing::Quarantined(LOCAL_BLOCK_RETRY_DELAY);
+            return SendDecision::Quarantined(LOCAL_BLOCK_RETRY_DELAY);
         }
-        self.quarantine.standing(digest, now, true_ms)
+        self.quarantine.send_decision(digest, now, true_ms)
     }
 
     /// Returns whether any request is quarantined or blocked here, so that digests have to be compared.
@@ -168,20 +168,20 @@
     }
 
     /// Returns the quarantined requests that have an entry in the store.
-    pub fn listed(&self) -> impl Iterator<Item = (RequestDigest, QuarantineEntry)> {
-        self.quarantine.listed()
+    pub fn stored_entries(&self) -> impl Iterator<Item = (RequestDigest, QuarantineEntry)> {
+        self.quarantine.stored_entries()
     }
 
     /// Applies an entry of the store.
-    pub fn entry_listed(&mut self, digest: RequestDigest, entry: QuarantineEntry) {
+    pub fn apply_entry(&mut self, digest: RequestDigest, entry: QuarantineEntry) {
         self.cases.remove(digest);
-        self.quarantine.entry_listed(digest, entry);
+        self.quarantine.apply_entry(digest, entry);
     }
 
     /// Applies the removal of an entry of the store: the request may be sent again, and its exits are discarded.
-    pub fn entry_removed(&mut self, digest: RequestDigest, now: TimePoint) {
+    pub fn remove_entry(&mut self, digest: RequestDigest, now: TimePoint) {
         self.cases.remove(digest);
-        self.quarantine.entry_removed(digest, now);
+        self.quarantine.remove_entry(digest, now);
     }
 
     /// Replaces the known entries by all entries of the store.
@@ -191,24 +191,24 @@
         now: TimePoint,
     ) {
         let entries: Vec<_> = entries.into_iter().collect();
-        let removed: Vec<_> = self.listed().map(|(digest, _)| digest).collect();
+        let removed: Vec<_> = self.stored_entries().map(|(digest, _)| digest).collect();
         for digest in
             removed.into_iter().filter(|it| !entries.iter().any(|(listed, _)| listed == it))
         {
-            self.entry_removed(digest, now);
+            self.remove_entry(digest, now);
         }
         for (digest, entry) in entries {
-            self.entry_listed(digest, entry);
+            self.apply_entry(digest, entry);
         }
     }
 
     /// Records that a trial is requested from the store, so that repeats of the request don't ask for it again meanwhile.
-    pub fn trial_asked(&mut self, digest: RequestDigest, now: TimePoint) {
-        self.quarantine.trial_asked(digest, now);
+    pub fn record_trial_request(&mut self, digest: RequestDigest, now: TimePoint) {
+        self.quarantine.record_trial_request(digest, now);
     }
 
     /// Handles a message of the VM named `from`.
-    pub fn hear(&mut self, from: &str, message: PoisonMessage, now: TimePoint) {
+    pub fn receive(&mut self, from: &str, message: PoisonMessage, now: TimePoint) {
         match message {
             PoisonMessage::Exited { digest, server } => {
                 if !self.quarantine.is_known(digest, now) {
@@ -262,7 +262,7 @@
                     messages.push((name.to_owned(), message.clone()));
                 } else if !matches!(to, Recipient::All) {
                     // Messages to all VMs were applied here when they were queued.
-                    self.hear(name, message.clone(), now);
+                    self.receive(name, message.clone(), now);
                 }
             }
         }
@@ -270,7 +270,7 @@
     }
 
     /// Takes the quarantines that have to be written to the store.
-    pub fn take_unwritten(&mut self) -> Vec<(RequestDigest, Exits)> {
+    pub fn take_unwritten(&mut self) -> Vec<(RequestDigest, ExitPattern)> {
         std::mem::take(&mut self.unwritten)
     }
 
--- a/crates/quincevalve_forwarding/src/poison/cases.rs
+++ b/crates/quincevalve_forwarding/src/poison/cases.rs
@@ -93,19 +93,19 @@
         self.exits.iter().filter(|it| it.is_own).count() >= MIN_EXITS
     }
 
-    fn servers(&self) -> Servers {
-        Servers(self.exits.iter().map(|it| it.server).take(MAX_REPORTED_SERVERS).collect())
+    fn servers(&self) -> ExitedServers {
+        ExitedServers(self.exits.iter().map(|it| it.server).take(MAX_REPORTED_SERVERS).collect())
     }
 
     fn inquiry_timeout(&self) -> Duration {
         match self.exits() {
-            Exits::Together => MAX_INQUIRY_TIMEOUT,
-            Exits::Separate => INQUIRY_TIMEOUT,
+            ExitPattern::Together => MAX_INQUIRY_TIMEOUT,
+            ExitPattern::Separate => INQUIRY_TIMEOUT,
         }
     }
 
     /// Returns how the counted exits are distributed over time.
-    fn exits(&self) -> Exits {
+    fn exits(&self) -> ExitPattern {
         let mut events = 0;
         let mut newest: Option<TimePoint> = None;
         for Exit { at, .. } in &self.exits {
@@ -114,13 +114,13 @@
                 newest = Some(*at);
             }
         }
-        if events < MIN_EXITS { Exits::Together } else { Exits::Separate }
+        if events < MIN_EXITS { ExitPattern::Together } else { ExitPattern::Separate }
     }
 }
 
 /// Distribution over time of the exits under a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Exits {
+pub enum ExitPattern {
     /// Some belong to one event: copies of the request ran at the same time, or a rack lost power.
     Together,
     /// Each exit is a separate event.
@@ -129,9 +129,9 @@
 
 /// The first servers that exited under a request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Servers(Vec<u64>);
+pub struct ExitedServers(Vec<u64>);
 
-impl Servers {
+impl ExitedServers {
     fn contains(&self, server: u64) -> bool {
         self.0.contains(&server)
     }
@@ -163,11 +163,11 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Step {
     /// Ask all VMs whether the request completed.
-    Inquire { digest: RequestDigest, servers: Servers },
+    Inquire { digest: RequestDigest, servers: ExitedServers },
     /// Don't send it to servers from this VM until other VMs can be sent_at.
     BlockLocally(RequestDigest),
     /// Quarantine it at all VMs.
-    Quarantine { digest: RequestDigest, servers: Servers, exits: Exits },
+    Quarantine { digest: RequestDigest, servers: ExitedServers, exits: ExitPattern },
 }
 
 /// The requests for which this VM is an arbiter.
@@ -229,7 +229,11 @@
     ///
     /// Two poison requests that share a prompt are placed on the same servers, and by this rule alone neither would ever
     /// stay a suspect. From [`MIN_EXITS_WITH_COMPETITOR`] exits on, competing requests are ignored.
-    pub(super) fn apply_competing_inquiry(&mut self, competitor: RequestDigest, servers: &Servers) {
+    pub(super) fn apply_competing_inquiry(
+        &mut self,
+        competitor: RequestDigest,
+        servers: &ExitedServers,
+    ) {
         let suspects =
             self.cases.iter_mut().filter(|(it, case)| **it != competitor && case.is_suspected());
         for (_, case) in suspects {
@@ -241,7 +245,7 @@
     }
 
     /// Discards the exits of servers that a quarantined request crashed: they no longer count against other requests.
-    pub(super) fn discard_attributed_exits(&mut self, servers: &Servers) {
+    pub(super) fn discard_attributed_exits(&mut self, servers: &ExitedServers) {
         for case in self.cases.values_mut() {
             case.exits.retain(|it| !servers.contains(it.server));
             if case.is_suspected() && case.exits.len() < MIN_EXITS {
--- a/crates/quincevalve_forwarding/src/poison/quarantine.rs
+++ b/crates/quincevalve_forwarding/src/poison/quarantine.rs
@@ -6,7 +6,7 @@
 use quincevalve_names::TimePoint;
 use serde::{Deserialize, Serialize};
 
-use super::cases::Exits;
+use super::cases::ExitPattern;
 use crate::request_digest::RequestDigest;
 
 /// Quarantine periods before the first trial and after each. A request that was caught in a burst of crashes by chance is
@@ -42,10 +42,10 @@
 
 impl QuarantineEntry {
     /// Creates the first entry of a request.
-    pub fn first(exits: Exits, true_ms: i64) -> Self {
+    pub fn first(exits: ExitPattern, true_ms: i64) -> Self {
         let period_ms = match exits {
-            Exits::Together => SHORT_QUARANTINE_PERIOD.as_millis() as i64,
-            Exits::Separate => quarantine_period_ms(0),
+            ExitPattern::Together => SHORT_QUARANTINE_PERIOD.as_millis() as i64,
+            ExitPattern::Separate => quarantine_period_ms(0),
         };
         Self { trials: 0, until_ms: true_ms + period_ms }
     }
@@ -55,8 +55,8 @@
     /// # Examples
     ///
     /// ```
-    /// use quincevalve_forwarding::poison::{Exits, QuarantineEntry};
-    /// let first = QuarantineEntry::first(Exits::Separate, 0);
+    /// use quincevalve_forwarding::poison::{ExitPattern, QuarantineEntry};
+    /// let first = QuarantineEntry::first(ExitPattern::Separate, 0);
     /// assert_eq!(first.next_trial(29_999), None);
     /// let begun = first.next_trial(30_000).unwrap();
     /// assert_eq!((begun.trials, begun.until_ms), (1, 330_000));
@@ -74,9 +74,9 @@
 
 /// Whether a request may be sent to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum SendDecision {
     /// It may be sent.
-    Free,
+    Allowed,
     /// It may not be sent, as far as known for this duration from now.
     Quarantined(Duration),
     /// It may be sent once, by the VM that first writes the trial to the store.
@@ -110,11 +110,11 @@
         self.is_listed(digest) || self.reported.get(&digest).is_some_and(|until| *until > now)
     }
 
-    pub(super) fn listed(&self) -> impl Iterator<Item = (RequestDigest, QuarantineEntry)> {
+    pub(super) fn stored_entries(&self) -> impl Iterator<Item = (RequestDigest, QuarantineEntry)> {
         self.listed.iter().map(|(digest, entry)| (*digest, *entry))
     }
 
-    pub(super) fn entry_listed(&mut self, digest: RequestDigest, entry: QuarantineEntry) {
+    pub(super) fn apply_entry(&mut self, digest: RequestDigest, entry: QuarantineEntry) {
         self.reported.shift_remove(&digest);
         self.requested_trials.shift_remove(&digest);
         self.listed.insert(digest, entry);
@@ -123,7 +123,7 @@
         }
     }
 
-    pub(super) fn entry_removed(&mut self, digest: RequestDigest, now: TimePoint) {
+    pub(super) fn remove_entry(&mut self, digest: RequestDigest, now: TimePoint) {
         self.reported.shift_remove(&digest);
         self.requested_trials.shift_remove(&digest);
         self.listed.shift_remove(&digest);
@@ -146,29 +146,32 @@
         }
     }
 
-    pub(super) fn trial_asked(&mut self, digest: RequestDigest, now: TimePoint) {
+    pub(super) fn record_trial_request(&mut self, digest: RequestDigest, now: TimePoint) {
         self.requested_trials.retain(|_, until| *until > now);
         self.requested_trials.insert(digest, now + TRIAL_REQUEST_TIMEOUT);
     }
 
     /// Returns whether a request may be sent. Without the wall-clock time no trial begins.
-    pub(super) fn standing(
+    pub(super) fn send_decision(
         &self,
         digest: RequestDigest,
         now: TimePoint,
         true_ms: Option<i64>,
-    ) -> Standing {
+    ) -> SendDecision {
         let reported = self.reported.get(&digest).filter(|it| **it > now);
         let Some(entry) = self.listed.get(&digest) else {
-            return reported.map_or(Standing::Free, |it| Standing::Quarantined(it.since(now)));
+            return reported
+                .map_or(SendDecision::Allowed, |it| SendDecision::Quarantined(it.since(now)));
         };
         if let Some(until) = self.requested_trials.get(&digest).filter(|it| **it > now) {
-            return Standing::Quarantined(until.since(now));
+            return SendDecision::Quarantined(until.since(now));
         }
         match true_ms.map(|it| entry.until_ms - it) {
-            Some(remaining_ms) if remaining_ms <= 0 => Standing::TrialDue,
-            Some(remaining_ms) => Standing::Quarantined(Duration::from_millis(remaining_ms as u64)),
-            None => Standing::Quarantined(TRIAL_REQUEST_TIMEOUT),
+            Some(remaining_ms) if remaining_ms <= 0 => SendDecision::TrialDue,
+            Some(remaining_ms) => {
+                SendDecision::Quarantined(Duration::from_millis(remaining_ms as u64))
+            }
+            None => SendDecision::Quarantined(TRIAL_REQUEST_TIMEOUT),
         }
     }
 }
--- a/crates/quincevalve_forwarding/tests/part_fetch.rs
+++ b/crates/quincevalve_forwarding/tests/chunk_fetch.rs
@@ -9,8 +9,11 @@
 };
 
 use quincevalve_forwarding::{
-    part_fetch::{ASK_AGAIN, FetchStep, PartFetch, PartsWanted, Served, WINDOW, in_turn, patience},
-    parts::{Part, split},
+    chunk_fetch::{
+        ChunkFetch, ChunkRequest, FetchStep, RETRY_INTERVAL, ServeSlots, WINDOW, fetch_timeout,
+        source_order,
+    },
+    chunks::{Chunk, split_into_chunks},
 };
 use quincevalve_names::TimePoint;
 use rand::{RngExt, SeedableRng, seq::SliceRandom};
@@ -42,8 +45,8 @@
 }
 
 enum Datagram {
-    Wanted(PartsWanted),
-    Part(Part),
+    Wanted(ChunkRequest),
+    Part(Chunk),
     SentOn { serves_others: bool },
 }
 
@@ -52,8 +55,8 @@
     now: f64,
     rng: Pcg64Mcg,
     value: Vec<u8>,
-    fetches: Vec<Option<PartFetch>>,
-    served: Vec<Served>,
+    fetches: Vec<Option<ChunkFetch>>,
+    served: Vec<ServeSlots>,
     /// VMs that read the store themselves, and when they are done.
     readings: Vec<(f64, usize)>,
     /// When each VM knew all, in milliseconds.
@@ -80,14 +83,18 @@
                 (FIRST..plan.vms).filter(|it| *it != vm).map(address).collect();
             others.shuffle(rng);
             others.truncate(12);
-            PartFetch::new(in_turn(&first, &others), patience(PATIENCE, vm), TimePoint::ZERO)
+            ChunkFetch::new(
+                source_order(&first, &others),
+                fetch_timeout(PATIENCE, vm),
+                TimePoint::ZERO,
+            )
         };
         let knows = |vm: usize| vm < FIRST;
         Self {
             now: 0.0,
             value: (0..plan.value).map(|it| (it % 251) as u8).collect(),
             fetches: (0..plan.vms).map(|it| (!knows(it)).then(|| fetch(it, &mut rng))).collect(),
-            served: vec![Served::default(); plan.vms],
+            served: vec![ServeSlots::default(); plan.vms],
             readings: Vec::new(),
             known: (0..plan.vms).map(|it| knows(it).then_some(0.0)).collect(),
             link_free: vec![0.0; plan.vms],
@@ -124,9 +131,9 @@
         let at = self.at();
         let Some(fetch) = &mut self.fetches[vm] else { return };
         match fetch.next(at) {
-            FetchStep::Ask { source, wanted } => {
+            FetchStep::Send { source, request } => {
                 let to = (0..self.plan.vms).find(|it| address(*it) == source);
-                self.send(vm, to.expect("a VM"), Datagram::Wanted(wanted));
+                self.send(vm, to.expect("a VM"), Datagram::Wanted(request));
             }
             FetchStep::Wait(_) => {}
             FetchStep::GiveUp => {
@@ -153,16 +160,16 @@
             Datagram::SentOn { serves_others } => {
                 let at = self.at();
                 if let Some(fetch) = &mut self.fetches[to] {
-                    fetch.sent_on(address(from), serves_others, at);
+                    fetch.redirected(address(from), serves_others, at);
                 }
             }
             Datagram::Wanted(wanted) => {
                 let version = to as u64 + 1;
-                let is_wanted = |it: &Part| match wanted.version {
-                    Some(known) => known == version && wanted.parts.contains(&it.at),
+                let is_wanted = |it: &Chunk| match wanted.version {
+                    Some(known) => known == version && wanted.chunks.contains(&it.at),
                     None => (it.at as usize) < WINDOW,
                 };
-                let parts = split(version, &self.value);
+                let parts = split_into_chunks(version, &self.value);
                 parts.into_iter().filter(is_wanted).for_each(|it| {
                     self.send(to, from, Datagram::Part(it));
                 });
@@ -170,7 +177,7 @@
             Datagram::Part(part) => {
                 let at = self.at();
                 let Some(fetch) = &mut self.fetches[to] else { return };
-                if let Some(whole) = fetch.take(address(from), part, at) {
+                if let Some(whole) = fetch.receive(address(from), part, at) {
                     assert_eq!(whole, self.value);
                     self.known[to] = Some(self.now);
                     self.fetches[to] = None;
@@ -240,33 +247,33 @@
 #[test]
 fn parts_of_two_sources_are_not_put_together() {
     let value = vec![1; 60_000];
-    let mut fetch = PartFetch::new(vec![address(1), address(2)], millis(2_000), ms(0));
-    let (first, second) = (split(7, &value), split(7, &value));
+    let mut fetch = ChunkFetch::new(vec![address(1), address(2)], millis(2_000), ms(0));
+    let (first, second) = (split_into_chunks(7, &value), split_into_chunks(7, &value));
     fetch.next(ms(0));
-    assert_eq!(fetch.take(address(1), first[0].clone(), ms(1)), None);
-    assert_eq!(fetch.take(address(2), second[1].clone(), ms(2)), None, "it wasn't asked");
+    assert_eq!(fetch.receive(address(1), first[0].clone(), ms(1)), None);
+    assert_eq!(fetch.receive(address(2), second[1].clone(), ms(2)), None, "it wasn't asked");
     let mut asked = HashMap::new();
     let mut now = 2;
     for _ in 0..4 {
-        now += ASK_AGAIN.as_millis() as u64;
-        if let FetchStep::Ask { source, wanted } = fetch.next(ms(now)) {
-            asked.insert(source, wanted);
+        now += RETRY_INTERVAL.as_millis() as u64;
+        if let FetchStep::Send { source, request } = fetch.next(ms(now)) {
+            asked.insert(source, request);
         }
     }
-    assert_eq!(asked[&address(1)], PartsWanted { version: Some(7), parts: vec![1, 2] });
-    assert_eq!(asked[&address(2)], PartsWanted::default());
-    assert_eq!(fetch.take(address(2), second[1].clone(), ms(now)), None);
-    assert_eq!(fetch.take(address(2), second[2].clone(), ms(now)), None);
-    assert_eq!(fetch.take(address(2), second[0].clone(), ms(now)), Some(value));
+    assert_eq!(asked[&address(1)], ChunkRequest { version: Some(7), chunks: vec![1, 2] });
+    assert_eq!(asked[&address(2)], ChunkRequest::default());
+    assert_eq!(fetch.receive(address(2), second[1].clone(), ms(now)), None);
+    assert_eq!(fetch.receive(address(2), second[2].clone(), ms(now)), None);
+    assert_eq!(fetch.receive(address(2), second[0].clone(), ms(now)), Some(value));
 }
 
 // Nobody answers: the VM reads the store itself, after its patience and not before.
 #[test]
 fn silence_ends_a_fetch() {
-    let mut fetch = PartFetch::new(vec![address(1)], PATIENCE, ms(0));
-    assert!(matches!(fetch.next(ms(0)), FetchStep::Ask { .. }));
-    assert_eq!(fetch.next(ms(30)), FetchStep::Wait(ASK_AGAIN.saturating_sub(millis(30))));
-    assert!(matches!(fetch.next(ms(599)), FetchStep::Ask { .. }));
+    let mut fetch = ChunkFetch::new(vec![address(1)], PATIENCE, ms(0));
+    assert!(matches!(fetch.next(ms(0)), FetchStep::Send { .. }));
+    assert_eq!(fetch.next(ms(30)), FetchStep::Wait(RETRY_INTERVAL.saturating_sub(millis(30))));
+    assert!(matches!(fetch.next(ms(599)), FetchStep::Send { .. }));
     assert_eq!(fetch.next(ms(600)), FetchStep::GiveUp);
-    assert_eq!(PartFetch::new(Vec::new(), PATIENCE, ms(0)).next(ms(0)), FetchStep::GiveUp);
+    assert_eq!(ChunkFetch::new(Vec::new(), PATIENCE, ms(0)).next(ms(0)), FetchStep::GiveUp);
 }
--- a/crates/quincevalve_forwarding/tests/parts.rs
+++ b/crates/quincevalve_forwarding/tests/chunks.rs
@@ -1,7 +1,7 @@
 //! Values that are larger than a datagram.
 
 use proptest::prelude::*;
-use quincevalve_forwarding::parts::{Assembly, Part, split};
+use quincevalve_forwarding::chunks::{Assembly, Chunk, split_into_chunks};
 
 fn value(bytes: usize, seed: u8) -> Vec<u8> {
     (0..bytes).map(|it| (it as u8).wrapping_mul(31) ^ seed).collect()
@@ -11,7 +11,7 @@
 #[test]
 fn parts_of_two_versions_are_never_joined() {
     let (old, new) = (value(60_000, 1), value(70_000, 2));
-    let (old_parts, new_parts) = (split(4, &old), split(5, &new));
+    let (old_parts, new_parts) = (split_into_chunks(4, &old), split_into_chunks(5, &new));
     let mut assembly = Assembly::default();
     assert_eq!(assembly.take(old_parts[0].clone()), None);
     assert_eq!(assembly.take(new_parts[0].clone()), None);
@@ -24,9 +24,9 @@
 #[test]
 fn parts_that_claim_too_much_are_left_out() {
     let mut assembly = Assembly::default();
-    assert_eq!(assembly.take(Part { version: 1, at: 3, of: 2, bytes: vec![0] }), None);
-    assert_eq!(assembly.take(Part { version: 1, at: 0, of: u32::MAX, bytes: vec![0] }), None);
-    assert_eq!(assembly.take(Part { version: 1, at: 0, of: 1, bytes: vec![9] }), Some(vec![9]));
+    assert_eq!(assembly.take(Chunk { version: 1, at: 3, of: 2, bytes: vec![0] }), None);
+    assert_eq!(assembly.take(Chunk { version: 1, at: 0, of: u32::MAX, bytes: vec![0] }), None);
+    assert_eq!(assembly.take(Chunk { version: 1, at: 0, of: 1, bytes: vec![9] }), Some(vec![9]));
 }
 
 proptest! {
@@ -44,7 +44,7 @@
         order in prop::collection::vec((0_usize..8, any::<bool>()), 0..40),
     ) {
         let value = value(bytes, 3);
-        let parts = split(9, &value);
+        let parts = split_into_chunks(9, &value);
         let mut assembly = Assembly::default();
         let sent = order.iter().filter(|(_, lost)| !lost).map(|(at, _)| at % parts.len());
         for at in sent.chain(0..parts.len()) {
--- a/crates/quincevalve_forwarding/tests/digests.rs
+++ b/crates/quincevalve_forwarding/tests/digests.rs
@@ -9,7 +9,7 @@
     change_log::ChangeLog,
     freshness::{Freshness, Touch},
     load::WorkSum,
-    peer_book::{PeerBook, Role, VmCard},
+    peer_table::{PeerTable, Role, VmDescriptor},
     store_pacing::ReadingPart,
     sums::{Share, Sums},
     usage::{Counts, Kept, Usage},
@@ -22,8 +22,8 @@
     "desk".into()
 }
 
-fn card(at: usize) -> VmCard {
-    VmCard {
+fn card(at: usize) -> VmDescriptor {
+    VmDescriptor {
         name: format!("vm-{at}"),
         address: ([10, 0, (at / 200) as u8, (at % 200) as u8], 7600).into(),
         data_centre: ["a", "b", "c", "d"][at % 4].into(),
@@ -31,13 +31,13 @@
     }
 }
 
-fn book(me: usize, count: usize) -> PeerBook {
-    let mut book = PeerBook::new(card(me));
+fn book(me: usize, count: usize) -> PeerTable {
+    let mut book = PeerTable::new(card(me));
     book.replace_all((0..count).map(card).collect());
     book
 }
 
-fn collector_of(book: &PeerBook, now: TimePoint) -> Option<String> {
+fn collector_of(book: &PeerTable, now: TimePoint) -> Option<String> {
     match book.role(false, now) {
         Role::Collector { .. } => None,
         Role::Member { collector, .. } => Some(collector),
@@ -76,13 +76,13 @@
 fn a_silent_collector_is_replaced() {
     let mut book = book(100, 360);
     let first = collector_of(&book, ms(0)).unwrap();
-    let address = book.card(&first).unwrap().address;
-    book.asked(address, ms(0));
+    let address = book.descriptor(&first).unwrap().address;
+    book.record_datagram_sent(address, ms(0));
     assert_eq!(collector_of(&book, ms(500)), Some(first.clone()));
     let second = collector_of(&book, ms(900)).unwrap();
     assert_ne!(first, second);
-    let card = book.card(&first).unwrap().clone();
-    book.heard(&card, ms(1_000));
+    let card = book.descriptor(&first).unwrap().clone();
+    book.record_received(&card, ms(1_000));
     assert_eq!(collector_of(&book, ms(1_000)), Some(first));
 }
 
@@ -92,12 +92,12 @@
 fn a_collector_that_was_silent_once_is_asked_again() {
     let mut book = book(100, 360);
     let first = collector_of(&book, ms(0)).unwrap();
-    let card = book.card(&first).unwrap().clone();
-    assert_eq!(book.better_collector(ms(0)), None);
-    book.asked(card.address, ms(0));
-    assert_eq!(book.better_collector(ms(1_000)), Some(card.address));
-    book.heard(&card, ms(1_100));
-    assert_eq!(book.better_collector(ms(1_100)), None);
+    let card = book.descriptor(&first).unwrap().clone();
+    assert_eq!(book.preferred_collector(ms(0)), None);
+    book.record_datagram_sent(card.address, ms(0));
+    assert_eq!(book.preferred_collector(ms(1_000)), Some(card.address));
+    book.record_received(&card, ms(1_100));
+    assert_eq!(book.preferred_collector(ms(1_100)), None);
     assert_eq!(collector_of(&book, ms(1_100)), Some(first));
 }
 
@@ -106,8 +106,8 @@
     let mut book = book(100, 360);
     for _ in 0..10 {
         if let Some(name) = collector_of(&book, ms(5_000)) {
-            let address = book.card(&name).unwrap().address;
-            book.asked(address, ms(0));
+            let address = book.descriptor(&name).unwrap().address;
+            book.record_datagram_sent(address, ms(0));
         }
     }
     let last = collector_of(&book, ms(5_000)).unwrap();
@@ -119,21 +119,21 @@
             break;
         }
         for address in &new {
-            other.asked(*address, ms(0));
+            other.record_datagram_sent(*address, ms(0));
         }
         tried.extend(new);
     }
-    assert!(tried.contains(&book.card(&last).unwrap().address));
+    assert!(tried.contains(&book.descriptor(&last).unwrap().address));
 }
 
 #[test]
 fn a_vm_that_is_neither_listed_nor_heard_is_forgotten() {
     let mut book = book(0, 3);
-    book.heard(&card(1), ms(0));
-    book.unlisted("vm-1");
-    assert!(book.forget(ms(9_000)).is_empty());
-    assert_eq!(book.forget(ms(10_001)), ["vm-1"]);
-    assert_eq!(book.vms(), 2);
+    book.record_received(&card(1), ms(0));
+    book.mark_unlisted("vm-1");
+    assert!(book.remove_expired(ms(9_000)).is_empty());
+    assert_eq!(book.remove_expired(ms(10_001)), ["vm-1"]);
+    assert_eq!(book.vm_count(), 2);
 }
 
 // Usage reports come too late: the VM that held the duties was taken away, and its successor waited for what it
@@ -141,15 +141,15 @@
 #[test]
 fn a_vm_that_is_gone_is_not_awaited() {
     let mut book = book(0, 3);
-    book.heard(&card(1), ms(0));
-    book.unlisted("vm-1");
-    assert_eq!(book.awaited(ms(1_900)).collect::<Vec<_>>(), ["vm-1", "vm-2"]);
-    assert_eq!(book.awaited(ms(2_100)).collect::<Vec<_>>(), ["vm-2"]);
+    book.record_received(&card(1), ms(0));
+    book.mark_unlisted("vm-1");
+    assert_eq!(book.expected_reporters(ms(1_900)).collect::<Vec<_>>(), ["vm-1", "vm-2"]);
+    assert_eq!(book.expected_reporters(ms(2_100)).collect::<Vec<_>>(), ["vm-2"]);
 }
 
 #[test]
 fn two_of_a_small_system_read_the_store() {
-    let part = |me| book(me, 8).reading_part(false, ms(0));
+    let part = |me| book(me, 8).store_read_role(false, ms(0));
     assert_eq!((0..8).filter(|me| part(*me) == ReadingPart::Reader).count(), 2);
     assert_eq!((0..8).filter(|me| book(*me, 8).relays_store(false, ms(0))).count(), 2);
 }
@@ -202,7 +202,7 @@
 
 fn log() -> ChangeLog<&'static str> {
     let mut log = ChangeLog::default();
-    log.restart(10);
+    log.reset(10);
     log.extend([(11, "a"), (13, "b"), (13, "c"), (17, "d")], 20);
     log
 }
--- a/crates/quincevalve_forwarding/tests/duty.rs
+++ b/crates/quincevalve_forwarding/tests/duty.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use quincevalve_forwarding::duty::{Duty, Term};
+use quincevalve_forwarding::duty::{DutyLease, Term};
 use quincevalve_names::FencingNumber;
 use support::{millis, ms};
 
@@ -12,9 +12,9 @@
     Term { number: FencingNumber(number), holder: holder.to_owned(), previous: previous.to_owned() }
 }
 
-fn taken(before: &Term, asked_ms: u64) -> Duty {
-    let mut duty = Duty::default();
-    duty.took("vm-a", before, &before.next("vm-a"), TTL, ms(asked_ms));
+fn taken(before: &Term, asked_ms: u64) -> DutyLease {
+    let mut duty = DutyLease::default();
+    duty.record_acquired("vm-a", before, &before.next("vm-a"), TTL, ms(asked_ms));
     duty
 }
 
@@ -28,7 +28,7 @@
 
 #[test]
 fn who_never_took_the_duty_may_not_act() {
-    assert_eq!(Duty::default().may_act(ms(0)), None);
+    assert_eq!(DutyLease::default().fencing_number(ms(0)), None);
 }
 
 // The platform gets an order from a VM whose lease had run out: it stood still between two renewals, and
@@ -36,8 +36,8 @@
 #[test]
 fn a_holder_that_stood_still_may_not_act() {
     let duty = taken(&Term::default(), 0);
-    assert_eq!(duty.may_act(ms(1_000)), Some(FencingNumber(1)));
-    assert_eq!(duty.may_act(ms(2_400)), None);
+    assert_eq!(duty.fencing_number(ms(1_000)), Some(FencingNumber(1)));
+    assert_eq!(duty.fencing_number(ms(2_400)), None);
     assert!(duty.is_held(ms(2_999)));
     assert!(!duty.is_held(ms(3_000)));
 }
@@ -45,11 +45,11 @@
 #[test]
 fn a_renewal_counts_from_when_it_was_sent() {
     let mut duty = taken(&Term::default(), 0);
-    duty.renewed(ms(1_000));
-    assert_eq!(duty.may_act(ms(3_300)), Some(FencingNumber(1)));
-    assert_eq!(duty.may_act(ms(3_401)), None);
-    duty.renewed(ms(500));
-    assert_eq!(duty.may_act(ms(3_300)), Some(FencingNumber(1)));
+    duty.record_renewal(ms(1_000));
+    assert_eq!(duty.fencing_number(ms(3_300)), Some(FencingNumber(1)));
+    assert_eq!(duty.fencing_number(ms(3_401)), None);
+    duty.record_renewal(ms(500));
+    assert_eq!(duty.fencing_number(ms(3_300)), Some(FencingNumber(1)));
 }
 
 // The platform sees A, B and A again within a lease, and can't tell A's new orders from old ones that were
@@ -58,16 +58,16 @@
 fn a_holder_that_returns_after_another_waits_for_a_lease() {
     let mut duty = taken(&term(6, "vm-b", "vm-a"), 10_000);
     for at in [10_500, 11_000, 12_000, 12_900] {
-        duty.renewed(ms(at));
-        assert_eq!(duty.may_act(ms(at)), None);
+        duty.record_renewal(ms(at));
+        assert_eq!(duty.fencing_number(ms(at)), None);
     }
-    duty.renewed(ms(13_000));
-    assert_eq!(duty.may_act(ms(13_000)), Some(FencingNumber(7)));
+    duty.record_renewal(ms(13_000));
+    assert_eq!(duty.fencing_number(ms(13_000)), Some(FencingNumber(7)));
 }
 
 fn acts_at_once(holder: &str, previous: &str) {
     let duty = taken(&term(6, holder, previous), 0);
-    assert_eq!(duty.may_act(ms(1)), Some(FencingNumber(7)));
+    assert_eq!(duty.fencing_number(ms(1)), Some(FencingNumber(7)));
 }
 
 cases! { acts_at_once:
@@ -78,8 +78,8 @@
 #[test]
 fn a_lost_duty_is_lost() {
     let mut duty = taken(&Term::default(), 0);
-    duty.lost();
-    assert_eq!(duty.may_act(ms(1)), None);
+    duty.record_lost();
+    assert_eq!(duty.fencing_number(ms(1)), None);
     assert!(!duty.is_held(ms(1)));
     assert!(millis(1) < TTL);
 }
--- a/crates/quincevalve_forwarding/tests/peer_ranking.rs
+++ b/crates/quincevalve_forwarding/tests/peer_ranking.rs
@@ -5,14 +5,14 @@
 use std::{cmp::Reverse, net::SocketAddr};
 
 use proptest::prelude::*;
-use quincevalve_forwarding::peer_book::{PeerBook, Role, VmCard};
+use quincevalve_forwarding::peer_table::{PeerTable, Role, VmDescriptor};
 use quincevalve_names::{hash_text, rendezvous_score};
 use support::ms;
 
 const CENTRES: [&str; 3] = ["a", "b", "c"];
 
-fn card(at: usize, cpu: u32) -> VmCard {
-    VmCard {
+fn card(at: usize, cpu: u32) -> VmDescriptor {
+    VmDescriptor {
         name: format!("vm-{at}"),
         address: ([10, 0, 0, at as u8], 7600).into(),
         data_centre: CENTRES[at % 3].into(),
@@ -40,12 +40,12 @@
 /// A VM as the test remembers it.
 #[derive(Clone, Debug)]
 struct Known {
-    card: VmCard,
+    card: VmDescriptor,
     listed: bool,
     heard: Option<u64>,
 }
 
-fn collector(me: &VmCard, known: &[Known]) -> String {
+fn collector(me: &VmDescriptor, known: &[Known]) -> String {
     let here = known.iter().map(|it| &it.card).chain([me]);
     let here = here.filter(|it| it.data_centre == me.data_centre);
     let first = here.min_by_key(|it| (Reverse(it.cpu), hash_text(&it.name)));
@@ -65,36 +65,36 @@
     #[test]
     fn roles_and_seats_follow_the_vms(events in prop::collection::vec(event(), 1..120)) {
         let me = card(0, 1);
-        let mut book = PeerBook::new(me.clone());
+        let mut book = PeerTable::new(me.clone());
         let mut known: Vec<Known> = Vec::new();
         for (step, event) in events.into_iter().enumerate() {
             let now = step as u64 * 900;
             match event {
                 Event::Listed(at, cpu) => {
                     let card = card(at, cpu);
-                    book.listed(card.clone());
+                    book.apply_entry(card.clone());
                     match known.iter_mut().find(|it| it.card.name == card.name) {
                         Some(it) => (it.card, it.listed) = (card, true),
                         None => known.push(Known { card, listed: true, heard: None }),
                     }
                 }
                 Event::Unlisted(at) => {
-                    book.unlisted(&card(at, 0).name);
+                    book.mark_unlisted(&card(at, 0).name);
                     known.iter_mut().filter(|it| it.card.name == card(at, 0).name).for_each(|it| it.listed = false);
                 }
                 Event::Heard(at) => {
-                    book.heard(&card(at, 0), ms(now));
+                    book.record_received(&card(at, 0), ms(now));
                     match known.iter_mut().find(|it| it.card.name == card(at, 0).name) {
                         Some(it) => it.heard = Some(now),
                         None => known.push(Known { card: card(at, 0), listed: true, heard: Some(now) }),
                     }
                 }
                 Event::Forget => {
-                    book.forget(ms(now));
+                    book.remove_expired(ms(now));
                     known.retain(|it| it.listed || it.heard.is_some_and(|at| now - at <= 10_000));
                 }
             }
-            prop_assert_eq!(book.vms(), known.len() + 1);
+            prop_assert_eq!(book.vm_count(), known.len() + 1);
             let best = collector(&me, &known);
             let role = book.role(false, ms(now));
             match role {
@@ -106,10 +106,10 @@
                 let address: SocketAddr = it.card.address;
                 prop_assert_eq!(book.name_of(address), Some(it.card.name.as_str()));
             }
-            let score = |it: &VmCard| rendezvous_score(7, hash_text(&it.name));
+            let score = |it: &VmDescriptor| rendezvous_score(7, hash_text(&it.name));
             let listed = known.iter().filter(|it| it.listed);
             let before = listed.clone().filter(|it| score(&it.card) > score(&me)).count();
-            let seat = book.seat(7);
+            let seat = book.rank(7);
             prop_assert_eq!((seat.rank, seat.of), (before, listed.count() + 1));
         }
     }
--- a/crates/quincevalve_forwarding/tests/poison.rs
+++ b/crates/quincevalve_forwarding/tests/poison.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use quincevalve_forwarding::{
-    poison::{Exits, PoisonGuard, PoisonMessage, QuarantineEntry, Standing, arbiters},
+    poison::{ExitPattern, PoisonGuard, PoisonMessage, QuarantineEntry, SendDecision, arbiters},
     request_digest::RequestDigest,
 };
 use quincevalve_names::TimePoint;
@@ -40,12 +40,12 @@
     fn exits(&mut self, digest: RequestDigest, servers: &[(u64, u64)]) {
         for (server, millis) in servers {
             let message = PoisonMessage::Exited { digest, server: *server };
-            self.guard.hear("vm-x", message, at(*millis));
+            self.guard.receive("vm-x", message, at(*millis));
         }
     }
 
     fn hear(&mut self, message: PoisonMessage, millis: u64) {
-        self.guard.hear("vm-x", message, at(millis));
+        self.guard.receive("vm-x", message, at(millis));
     }
 
     /// What it tells at that time.
@@ -55,7 +55,7 @@
     }
 
     /// The time from `from` at which it decides, and how; looks each 10 ms for ten seconds.
-    fn decides(&mut self, from: u64) -> Option<(u64, Exits)> {
+    fn decides(&mut self, from: u64) -> Option<(u64, ExitPattern)> {
         (0..1_000).map(|it| from + it * 10).find_map(|millis| {
             self.tick(millis);
             let (_, exits) = self.guard.take_unwritten().into_iter().next()?;
@@ -101,11 +101,14 @@
     let mut arbiter = Alone::arbiter(0, MANY);
     arbiter.exits(POISON, &SEPARATE);
     assert_eq!(arbiter.inquiries(800), MANY - 1);
-    assert_eq!(arbiter.decides(800), Some((220, Exits::Separate)));
+    assert_eq!(arbiter.decides(800), Some((220, ExitPattern::Separate)));
     let told = arbiter.tick(1_100);
     let verdicts = told.iter().filter(|(_, it)| matches!(it, PoisonMessage::Quarantined { .. }));
     assert_eq!(verdicts.count(), MANY - 1);
-    assert!(matches!(arbiter.guard.standing(POISON, at(1_100), None), Standing::Quarantined(_)));
+    assert!(matches!(
+        arbiter.guard.send_decision(POISON, at(1_100), None),
+        SendDecision::Quarantined(_)
+    ));
 }
 
 // VMs that lose the first questions are asked again while there is time to answer.
@@ -131,7 +134,7 @@
 fn exits_of_one_event_are_inquired_for_longer() {
     let mut arbiter = Alone::arbiter(0, MANY);
     arbiter.exits(POISON, &TOGETHER);
-    assert_eq!(arbiter.decides(250), Some((1_500, Exits::Together)));
+    assert_eq!(arbiter.decides(250), Some((1_500, ExitPattern::Together)));
 }
 
 #[test]
@@ -146,13 +149,13 @@
     assert_eq!(arbiter.decides(12_800), None);
     let later = SEPARATE.map(|(server, millis)| (server + 20, millis + 130_000));
     arbiter.exits(POISON, &later);
-    assert_eq!(arbiter.decides(130_800), Some((220, Exits::Separate)));
+    assert_eq!(arbiter.decides(130_800), Some((220, ExitPattern::Separate)));
 }
 
 #[test]
 fn an_arbiter_that_saw_a_good_end_itself_asks_nobody() {
     let mut arbiter = Alone::arbiter(0, MANY);
-    arbiter.guard.completed(POISON, at(0));
+    arbiter.guard.record_completion(POISON, at(0));
     arbiter.exits(POISON, &SEPARATE);
     assert_eq!(arbiter.inquiries(800), 0);
     assert_eq!(arbiter.decides(800), None);
@@ -161,12 +164,12 @@
 #[test]
 fn a_vm_answers_for_what_ended_well_there() {
     let mut vm = Alone::arbiter(2, MANY);
-    vm.guard.completed(POISON, at(0));
+    vm.guard.record_completion(POISON, at(0));
     vm.hear(inquiry(POISON, &SEPARATE), 119_000);
     assert_eq!(vm.tick(119_000), [("vm-x".to_owned(), PoisonMessage::Completed(POISON))]);
     // A good end speaks for two minutes.
     let mut vm = Alone::arbiter(2, MANY);
-    vm.guard.completed(POISON, at(0));
+    vm.guard.record_completion(POISON, at(0));
     vm.hear(inquiry(POISON, &SEPARATE), 121_000);
     assert_eq!(vm.tick(121_000), []);
 }
@@ -176,7 +179,7 @@
     let mut vm = Alone::arbiter(2, MANY);
     vm.hear(inquiry(POISON, &SEPARATE), 0);
     assert!(vm.tick(0).is_empty());
-    vm.guard.completed(POISON, at(1_000));
+    vm.guard.record_completion(POISON, at(1_000));
     let told = vm.tick(1_000);
     let refs: Vec<&str> = vm.names.iter().map(String::as_str).collect();
     let to: Vec<&str> = told.iter().map(|(to, _)| to.as_str()).collect();
@@ -185,7 +188,7 @@
     // The arbiter decides a second and a half after its question.
     let mut vm = Alone::arbiter(2, MANY);
     vm.hear(inquiry(POISON, &SEPARATE), 0);
-    vm.guard.completed(POISON, at(1_500));
+    vm.guard.record_completion(POISON, at(1_500));
     assert!(vm.tick(1_500).is_empty());
 }
 
@@ -194,17 +197,17 @@
     let mut vm = Alone::arbiter(2, MANY);
     vm.hear(inquiry(POISON, &SEPARATE), 0);
     vm.hear(inquiry(OTHER, &TOGETHER), 100);
-    vm.guard.completed(POISON, at(200));
+    vm.guard.record_completion(POISON, at(200));
     assert!(!vm.tick(200).is_empty());
 }
 
 #[test]
 fn nothing_is_reported_of_what_ended_well_here() {
     let mut vm = Alone::arbiter(2, MANY);
-    vm.guard.completed(POISON, at(0));
-    vm.guard.server_exited(POISON, 1, at(10));
+    vm.guard.record_completion(POISON, at(0));
+    vm.guard.record_server_exit(POISON, 1, at(10));
     assert!(vm.tick(10).is_empty());
-    vm.guard.server_exited(OTHER, 1, at(20));
+    vm.guard.record_server_exit(OTHER, 1, at(20));
     assert_eq!(vm.tick(20).len(), 3);
 }
 
@@ -216,7 +219,7 @@
         arbiter.exits(POISON, &SEPARATE);
         assert_eq!(arbiter.inquiries(800 + turn - 10), 0);
         assert_eq!(arbiter.inquiries(800 + turn), MANY - 1);
-        assert_eq!(arbiter.decides(800 + turn), Some((220, Exits::Separate)));
+        assert_eq!(arbiter.decides(800 + turn), Some((220, ExitPattern::Separate)));
     }
 }
 
@@ -225,7 +228,7 @@
     let mut arbiter = Alone::arbiter(2, 8);
     arbiter.exits(POISON, &SEPARATE);
     assert_eq!(arbiter.inquiries(800), 7);
-    assert_eq!(arbiter.decides(800), Some((720, Exits::Separate)));
+    assert_eq!(arbiter.decides(800), Some((720, ExitPattern::Separate)));
 }
 
 #[test]
@@ -240,7 +243,7 @@
 fn an_entry_of_the_store_ends_the_case() {
     let mut arbiter = Alone::arbiter(1, MANY);
     arbiter.exits(POISON, &SEPARATE);
-    arbiter.guard.entry_listed(POISON, QuarantineEntry::first(Exits::Separate, 0));
+    arbiter.guard.apply_entry(POISON, QuarantineEntry::first(ExitPattern::Separate, 0));
     assert_eq!(arbiter.decides(1_000), None);
 }
 
@@ -253,7 +256,7 @@
     arbiter.hear(inquiry(OTHER, &SEPARATE), 850);
     assert_eq!(arbiter.decides(850), None);
     arbiter.exits(POISON, &[(4, 11_200)]);
-    assert_eq!(arbiter.decides(11_200), Some((220, Exits::Separate)));
+    assert_eq!(arbiter.decides(11_200), Some((220, ExitPattern::Separate)));
 }
 
 // Two poison requests share a prompt and are placed on the same servers each time. Both are found out in the end.
@@ -275,7 +278,7 @@
 fn a_good_end_here_clears_what_this_vm_counts() {
     let mut arbiter = Alone::arbiter(0, MANY);
     arbiter.exits(POISON, &SEPARATE[..2]);
-    arbiter.guard.completed(POISON, at(500));
+    arbiter.guard.record_completion(POISON, at(500));
     arbiter.exits(POISON, &[(3, 121_000)]);
     assert_eq!(arbiter.decides(121_000), None);
 }
@@ -286,7 +289,7 @@
     arbiter.exits(POISON, &SEPARATE);
     arbiter.tick(800);
     arbiter.hear(inquiry(OTHER, &[(1, 0), (2, 400), (7, 800)]), 850);
-    assert_eq!(arbiter.decides(800), Some((220, Exits::Separate)));
+    assert_eq!(arbiter.decides(800), Some((220, ExitPattern::Separate)));
 }
 
 // One exit of four is explained by another request; three are left.
@@ -297,7 +300,7 @@
     arbiter.exits(POISON, &SEPARATE.map(|(server, millis)| (server, millis + 400)));
     arbiter.tick(1_200);
     arbiter.hear(quarantined(OTHER, &[(9, 0), (10, 400), (11, 800)]), 1_300);
-    assert_eq!(arbiter.decides(1_300), Some((120, Exits::Separate)));
+    assert_eq!(arbiter.decides(1_300), Some((120, ExitPattern::Separate)));
 }
 
 // Of a request that isn't accused yet a rival says nothing.
@@ -329,18 +332,20 @@
     arbiter.exits(POISON, &SEPARATE);
     assert_eq!(arbiter.decides(800), None);
     arbiter.heard_part = 0.95;
-    assert_eq!(arbiter.decides(20_000), Some((220, Exits::Separate)));
+    assert_eq!(arbiter.decides(20_000), Some((220, ExitPattern::Separate)));
 }
 
 // A VM is cut off from all others, and callers repeat the request there. Nobody else sees the servers that it ends; it
 // keeps the request from servers itself, and tells nobody before it can ask the others.
 #[test]
 fn a_vm_that_is_alone_holds_by_what_it_saw_itself() {
-    let held = |vm: &Alone, millis| vm.guard.standing(OTHER, at(millis), Some(0)) != Standing::Free;
+    let held = |vm: &Alone, millis| {
+        vm.guard.send_decision(OTHER, at(millis), Some(0)) != SendDecision::Allowed
+    };
     let mut vm = Alone::arbiter(2, MANY);
     vm.heard_part = 0.5;
     for (server, millis) in SEPARATE {
-        vm.guard.server_exited(OTHER, server, at(millis));
+        vm.guard.record_server_exit(OTHER, server, at(millis));
     }
     assert_eq!(vm.decides(800), None);
     assert!(held(&vm, 10_800));
@@ -356,33 +361,33 @@
     let mut vm = Alone::arbiter(2, MANY);
     vm.heard_part = 0.5;
     for (server, millis) in SEPARATE {
-        vm.guard.server_exited(OTHER, server, at(millis));
+        vm.guard.record_server_exit(OTHER, server, at(millis));
     }
     vm.tick(800);
     vm.heard_part = 1.0;
-    assert_eq!(vm.decides(1_000), Some((750 + 220, Exits::Separate)));
+    assert_eq!(vm.decides(1_000), Some((750 + 220, ExitPattern::Separate)));
 }
 
 #[test]
 fn a_vm_that_is_alone_does_not_hold_by_what_others_saw() {
     let mut vm = Alone::arbiter(2, MANY);
     vm.heard_part = 0.5;
-    vm.guard.server_exited(OTHER, 1, at(0));
-    vm.guard.server_exited(OTHER, 2, at(400));
+    vm.guard.record_server_exit(OTHER, 1, at(0));
+    vm.guard.record_server_exit(OTHER, 2, at(400));
     vm.exits(OTHER, &[(3, 800)]);
     vm.tick(900);
-    assert_eq!(vm.guard.standing(OTHER, at(900), Some(0)), Standing::Free);
+    assert_eq!(vm.guard.send_decision(OTHER, at(900), Some(0)), SendDecision::Allowed);
     // What it was told of before it sees it itself counts as its own too.
-    vm.guard.server_exited(OTHER, 3, at(1_000));
+    vm.guard.record_server_exit(OTHER, 3, at(1_000));
     vm.tick(1_000);
-    assert_ne!(vm.guard.standing(OTHER, at(1_000), Some(0)), Standing::Free);
+    assert_ne!(vm.guard.send_decision(OTHER, at(1_000), Some(0)), SendDecision::Allowed);
 }
 
 #[test]
 fn exits_here_under_a_quarantined_request_are_not_told() {
     let mut vm = Alone::arbiter(2, MANY);
-    vm.guard.entry_listed(OTHER, QuarantineEntry::first(Exits::Separate, 0));
-    vm.guard.server_exited(OTHER, 1, at(0));
+    vm.guard.apply_entry(OTHER, QuarantineEntry::first(ExitPattern::Separate, 0));
+    vm.guard.record_server_exit(OTHER, 1, at(0));
     assert!(vm.tick(0).is_empty());
 }
 
@@ -394,7 +399,7 @@
     arbiter.exits(POISON, &SEPARATE);
     assert_eq!(arbiter.decides(800), None);
     arbiter.exits(POISON, &[(4, 11_000)]);
-    assert_eq!(arbiter.decides(11_000), Some((220, Exits::Separate)));
+    assert_eq!(arbiter.decides(11_000), Some((220, ExitPattern::Separate)));
 }
 
 #[test]
@@ -402,7 +407,7 @@
     let mut arbiter = Alone::arbiter(0, MANY);
     arbiter.heard_part = 0.9;
     arbiter.exits(POISON, &SEPARATE);
-    assert_eq!(arbiter.decides(800), Some((220, Exits::Separate)));
+    assert_eq!(arbiter.decides(800), Some((220, ExitPattern::Separate)));
 }
 
 #[test]
@@ -413,7 +418,7 @@
     assert_eq!(arbiter.decides(hour + 100), None);
     let mut arbiter = Alone::arbiter(0, MANY);
     arbiter.exits(POISON, &[(1, 0), (2, 400), (3, hour)]);
-    assert_eq!(arbiter.decides(hour), Some((220, Exits::Separate)));
+    assert_eq!(arbiter.decides(hour), Some((220, ExitPattern::Separate)));
 }
 
 #[test]
@@ -424,7 +429,7 @@
         arbiter.exits(RequestDigest(1 << 32 | other), &[(9, 500)]);
     }
     arbiter.exits(POISON, &SEPARATE[2..]);
-    assert_eq!(arbiter.decides(800), Some((220, Exits::Separate)));
+    assert_eq!(arbiter.decides(800), Some((220, ExitPattern::Separate)));
     let mut arbiter = Alone::arbiter(0, MANY);
     arbiter.exits(POISON, &SEPARATE[..2]);
     for other in 0..4_096 {
@@ -437,9 +442,9 @@
 #[test]
 fn the_oldest_of_too_many_good_ends_is_forgotten() {
     let mut vm = Alone::arbiter(2, MANY);
-    vm.guard.completed(POISON, at(0));
+    vm.guard.record_completion(POISON, at(0));
     for other in 0..8_192 {
-        vm.guard.completed(RequestDigest(1 << 32 | other), at(1));
+        vm.guard.record_completion(RequestDigest(1 << 32 | other), at(1));
     }
     vm.hear(inquiry(POISON, &SEPARATE), 2);
     assert!(vm.tick(2).is_empty());
@@ -451,9 +456,9 @@
 #[test]
 fn the_newest_good_end_counts() {
     let mut vm = Alone::arbiter(2, MANY);
-    vm.guard.completed(POISON, at(0));
-    vm.guard.completed(POISON, at(100_000));
-    vm.guard.completed(OTHER, at(150_000));
+    vm.guard.record_completion(POISON, at(0));
+    vm.guard.record_completion(POISON, at(100_000));
+    vm.guard.record_completion(OTHER, at(150_000));
     vm.hear(inquiry(POISON, &SEPARATE), 200_000);
     assert_eq!(vm.tick(200_000).len(), 1);
 }
@@ -461,7 +466,7 @@
 #[test]
 fn an_exit_is_told_again_to_who_was_away() {
     let mut vm = Alone::arbiter(2, MANY);
-    vm.guard.server_exited(OTHER, 1, at(0));
+    vm.guard.record_server_exit(OTHER, 1, at(0));
     let told: Vec<u64> =
         (0..1_000).map(|it| it * 10).filter(|it| !vm.tick(*it).is_empty()).collect();
     assert_eq!(told, [0, 150, 400, 1_500, 5_000]);
@@ -471,7 +476,7 @@
 fn what_waits_to_be_told_is_bounded() {
     let mut vm = Alone { guard: PoisonGuard::new("vm-x"), ..Alone::arbiter(2, MANY) };
     for server in 0..2_000 {
-        vm.guard.server_exited(RequestDigest(server), server, at(0));
+        vm.guard.record_server_exit(RequestDigest(server), server, at(0));
     }
     let told: usize = [0, 150, 400, 1_500, 5_000].map(|it| vm.tick(it).len()).iter().sum();
     // Three arbiters for each.
@@ -482,7 +487,7 @@
 fn there_is_something_to_do_only_when_it_is_due() {
     let mut vm = Alone::arbiter(0, MANY);
     assert!(!vm.guard.is_due(at(0)));
-    vm.guard.server_exited(OTHER, 1, at(0));
+    vm.guard.record_server_exit(OTHER, 1, at(0));
     assert!(vm.guard.is_due(at(0)));
     vm.tick(0);
     assert!(!vm.guard.is_due(at(100)));
@@ -497,37 +502,37 @@
     let mut vm = Alone::arbiter(2, MANY);
     vm.hear(quarantined(POISON, &SEPARATE), 0);
     assert!(vm.guard.has_quarantined());
-    let standing = |vm: &Alone, millis| vm.guard.standing(POISON, at(millis), Some(0));
-    assert_eq!(standing(&vm, 10_000), Standing::Quarantined(Duration::from_secs(50)));
-    assert_eq!(standing(&vm, 60_000), Standing::Free);
-    assert!(vm.guard.completed(POISON, at(59_999)));
-    assert!(!vm.guard.completed(POISON, at(60_000)));
-    assert_eq!(vm.guard.standing(OTHER, at(10_000), Some(0)), Standing::Free);
+    let standing = |vm: &Alone, millis| vm.guard.send_decision(POISON, at(millis), Some(0));
+    assert_eq!(standing(&vm, 10_000), SendDecision::Quarantined(Duration::from_secs(50)));
+    assert_eq!(standing(&vm, 60_000), SendDecision::Allowed);
+    assert!(vm.guard.record_completion(POISON, at(59_999)));
+    assert!(!vm.guard.record_completion(POISON, at(60_000)));
+    assert_eq!(vm.guard.send_decision(OTHER, at(10_000), Some(0)), SendDecision::Allowed);
 }
 
 #[test]
 fn an_entry_holds_until_its_trial() {
     let mut vm = Alone::arbiter(2, MANY);
     vm.hear(quarantined(POISON, &SEPARATE), 0);
-    vm.guard.entry_listed(POISON, QuarantineEntry::first(Exits::Separate, 1_000));
-    let standing = |vm: &Alone, true_ms| vm.guard.standing(POISON, at(100), Some(true_ms));
-    assert_eq!(standing(&vm, 1_000), Standing::Quarantined(Duration::from_secs(30)));
-    assert_eq!(standing(&vm, 30_999), Standing::Quarantined(Duration::from_millis(1)));
-    assert_eq!(standing(&vm, 31_000), Standing::TrialDue);
+    vm.guard.apply_entry(POISON, QuarantineEntry::first(ExitPattern::Separate, 1_000));
+    let standing = |vm: &Alone, true_ms| vm.guard.send_decision(POISON, at(100), Some(true_ms));
+    assert_eq!(standing(&vm, 1_000), SendDecision::Quarantined(Duration::from_secs(30)));
+    assert_eq!(standing(&vm, 30_999), SendDecision::Quarantined(Duration::from_millis(1)));
+    assert_eq!(standing(&vm, 31_000), SendDecision::TrialDue);
     assert_eq!(
-        vm.guard.standing(POISON, at(100), None),
-        Standing::Quarantined(Duration::from_secs(1))
+        vm.guard.send_decision(POISON, at(100), None),
+        SendDecision::Quarantined(Duration::from_secs(1))
     );
-    vm.guard.trial_asked(POISON, at(100));
-    assert_eq!(standing(&vm, 31_000), Standing::Quarantined(Duration::from_secs(1)));
-    assert_eq!(vm.guard.standing(POISON, at(1_100), Some(32_000)), Standing::TrialDue);
+    vm.guard.record_trial_request(POISON, at(100));
+    assert_eq!(standing(&vm, 31_000), SendDecision::Quarantined(Duration::from_secs(1)));
+    assert_eq!(vm.guard.send_decision(POISON, at(1_100), Some(32_000)), SendDecision::TrialDue);
 }
 
 #[test]
 fn holds_grow_from_trial_to_trial() {
-    let first = QuarantineEntry::first(Exits::Together, 0);
+    let first = QuarantineEntry::first(ExitPattern::Together, 0);
     assert_eq!(first.until_ms, 1_000);
-    let first = QuarantineEntry::first(Exits::Separate, 0);
+    let first = QuarantineEntry::first(ExitPattern::Separate, 0);
     assert_eq!((first.trials, first.until_ms), (0, 30_000));
     let mut entry = first;
     let mut holds = Vec::new();
@@ -546,29 +551,29 @@
     let mut vm = Alone::arbiter(0, MANY);
     vm.exits(POISON, &SEPARATE);
     assert!(vm.decides(800).is_some());
-    assert!(vm.guard.completed(POISON, at(2_000)), "it has to be lifted");
-    vm.guard.entry_removed(POISON, at(2_000));
-    assert_eq!(vm.guard.standing(POISON, at(2_000), Some(0)), Standing::Free);
+    assert!(vm.guard.record_completion(POISON, at(2_000)), "it has to be lifted");
+    vm.guard.remove_entry(POISON, at(2_000));
+    assert_eq!(vm.guard.send_decision(POISON, at(2_000), Some(0)), SendDecision::Allowed);
     assert!(!vm.guard.has_quarantined());
-    assert!(!vm.guard.completed(POISON, at(2_001)));
+    assert!(!vm.guard.record_completion(POISON, at(2_001)));
     // Three new exits are needed, and suffice once its good end is forgotten.
     let later = SEPARATE.map(|(server, millis)| (server + 10, millis + 200_000));
     vm.exits(POISON, &later[..2]);
     assert_eq!(vm.decides(200_400), None);
     vm.exits(POISON, &[(19, 211_000)]);
-    assert_eq!(vm.decides(211_000), Some((220, Exits::Separate)));
+    assert_eq!(vm.decides(211_000), Some((220, ExitPattern::Separate)));
 }
 
 // The last datagram that told of a quarantine comes when that was lifted already.
 #[test]
 fn an_old_word_does_not_bring_a_lifted_quarantine_back() {
     let mut vm = Alone::arbiter(2, MANY);
-    vm.guard.entry_listed(POISON, QuarantineEntry::first(Exits::Separate, 0));
-    vm.guard.entry_removed(POISON, at(100));
+    vm.guard.apply_entry(POISON, QuarantineEntry::first(ExitPattern::Separate, 0));
+    vm.guard.remove_entry(POISON, at(100));
     vm.hear(quarantined(POISON, &SEPARATE), 2_000);
-    assert_eq!(vm.guard.standing(POISON, at(2_000), Some(0)), Standing::Free);
+    assert_eq!(vm.guard.send_decision(POISON, at(2_000), Some(0)), SendDecision::Allowed);
     vm.hear(quarantined(POISON, &SEPARATE), 2_100);
-    assert_ne!(vm.guard.standing(POISON, at(2_100), Some(0)), Standing::Free);
+    assert_ne!(vm.guard.send_decision(POISON, at(2_100), Some(0)), SendDecision::Allowed);
 }
 
 // What is remembered of one request doesn't go with the next one.
@@ -576,22 +581,22 @@
 fn each_of_two_requests_has_its_own_time() {
     let mut vm = Alone::arbiter(2, MANY);
     let held = |vm: &Alone, digest, millis| {
-        vm.guard.standing(digest, at(millis), Some(i64::MAX)) != Standing::Free
+        vm.guard.send_decision(digest, at(millis), Some(i64::MAX)) != SendDecision::Allowed
     };
     vm.hear(quarantined(POISON, &SEPARATE), 0);
     vm.hear(quarantined(OTHER, &SEPARATE), 100);
     assert!(held(&vm, POISON, 200) && held(&vm, OTHER, 200));
-    vm.guard.entry_removed(POISON, at(200));
-    vm.guard.entry_removed(OTHER, at(300));
+    vm.guard.remove_entry(POISON, at(200));
+    vm.guard.remove_entry(OTHER, at(300));
     vm.hear(quarantined(POISON, &SEPARATE), 400);
     assert!(!held(&vm, POISON, 400) && !held(&vm, OTHER, 400));
     for digest in [POISON, OTHER] {
-        vm.guard.entry_listed(digest, QuarantineEntry::first(Exits::Separate, 0));
-        vm.guard.trial_asked(digest, at(500));
+        vm.guard.apply_entry(digest, QuarantineEntry::first(ExitPattern::Separate, 0));
+        vm.guard.record_trial_request(digest, at(500));
     }
-    let standing = |digest| vm.guard.standing(digest, at(600), Some(40_000));
-    assert_eq!(standing(POISON), Standing::Quarantined(Duration::from_millis(900)));
-    assert_eq!(standing(OTHER), Standing::Quarantined(Duration::from_millis(900)));
+    let standing = |digest| vm.guard.send_decision(digest, at(600), Some(40_000));
+    assert_eq!(standing(POISON), SendDecision::Quarantined(Duration::from_millis(900)));
+    assert_eq!(standing(OTHER), SendDecision::Quarantined(Duration::from_millis(900)));
 }
 
 #[test]
@@ -600,14 +605,16 @@
     for digest in 0..1_025 {
         vm.hear(quarantined(RequestDigest(digest), &SEPARATE), 0);
     }
-    let held = |digest| vm.guard.standing(RequestDigest(digest), at(1), None) != Standing::Free;
+    let held = |digest| {
+        vm.guard.send_decision(RequestDigest(digest), at(1), None) != SendDecision::Allowed
+    };
     assert!(held(1_023) && !held(1_024));
 }
 
 #[test]
 fn exits_under_a_quarantined_request_are_not_counted() {
     let mut vm = Alone::arbiter(0, MANY);
-    vm.guard.entry_listed(POISON, QuarantineEntry::first(Exits::Separate, 0));
+    vm.guard.apply_entry(POISON, QuarantineEntry::first(ExitPattern::Separate, 0));
     vm.exits(POISON, &SEPARATE);
     assert_eq!(vm.decides(800), None);
 }
@@ -615,21 +622,21 @@
 #[test]
 fn a_whole_list_replaces_what_was_listed() {
     let mut vm = Alone::arbiter(2, MANY);
-    let entry = QuarantineEntry::first(Exits::Separate, 0);
-    vm.guard.entry_listed(POISON, entry);
+    let entry = QuarantineEntry::first(ExitPattern::Separate, 0);
+    vm.guard.apply_entry(POISON, entry);
     vm.guard.replace_all([(OTHER, entry)], at(0));
-    assert_eq!(vm.guard.listed().collect::<Vec<_>>(), [(OTHER, entry)]);
-    assert_eq!(vm.guard.standing(POISON, at(0), Some(0)), Standing::Free);
+    assert_eq!(vm.guard.stored_entries().collect::<Vec<_>>(), [(OTHER, entry)]);
+    assert_eq!(vm.guard.send_decision(POISON, at(0), Some(0)), SendDecision::Allowed);
 }
 
 #[test]
 fn of_too_many_entries_the_oldest_is_let_go() {
     let mut vm = Alone::arbiter(2, MANY);
-    let entry = QuarantineEntry::first(Exits::Separate, 0);
+    let entry = QuarantineEntry::first(ExitPattern::Separate, 0);
     for digest in 0..1_025 {
-        vm.guard.entry_listed(RequestDigest(digest), entry);
+        vm.guard.apply_entry(RequestDigest(digest), entry);
     }
-    assert_eq!(vm.guard.listed().count(), 1_024);
-    assert_eq!(vm.guard.standing(RequestDigest(0), at(0), Some(0)), Standing::Free);
-    assert_ne!(vm.guard.standing(RequestDigest(1), at(0), Some(0)), Standing::Free);
+    assert_eq!(vm.guard.stored_entries().count(), 1_024);
+    assert_eq!(vm.guard.send_decision(RequestDigest(0), at(0), Some(0)), SendDecision::Allowed);
+    assert_ne!(vm.guard.send_decision(RequestDigest(1), at(0), Some(0)), SendDecision::Allowed);
 }
--- a/crates/quincevalve_forwarding/tests/poison_world/world.rs
+++ b/crates/quincevalve_forwarding/tests/poison_world/world.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, fmt};
 
 use quincevalve_forwarding::{
-    poison::{Exits, PoisonGuard, PoisonMessage, QuarantineEntry, Standing},
+    poison::{ExitPattern, PoisonGuard, PoisonMessage, QuarantineEntry, SendDecision},
     request_digest::RequestDigest,
 };
 use quincevalve_names::TimePoint;
@@ -174,7 +174,7 @@
     seen: usize,
     seen_next_at: u64,
     /// What has to be written to the store.
-    unwritten: Vec<(RequestDigest, Exits)>,
+    unwritten: Vec<(RequestDigest, ExitPattern)>,
 }
 
 #[derive(Debug, Default)]
@@ -319,7 +319,7 @@
         for it in due {
             if self.is_up(it.to) && !self.is_cut(it.to) {
                 let from = self.vms[it.from].name.clone();
-                self.vms[it.to].guard.hear(&from, it.message, at(self.now));
+                self.vms[it.to].guard.receive(&from, it.message, at(self.now));
             }
         }
         for vm in 0..self.vms.len() {
@@ -348,8 +348,8 @@
             }
             let guard = &mut self.vms[vm].guard;
             match entry {
-                Some(entry) => guard.entry_listed(digest, entry),
-                None => guard.entry_removed(digest, at(self.now)),
+                Some(entry) => guard.apply_entry(digest, entry),
+                None => guard.remove_entry(digest, at(self.now)),
             }
             self.vms[vm].seen += 1;
         }
@@ -387,7 +387,7 @@
         for run in broken {
             let vm = &mut self.vms[run.vm];
             if vm.down_until <= self.now && vm.starts == run.vm_start {
-                vm.guard.server_exited(run.digest, start, at(self.now));
+                vm.guard.record_server_exit(run.digest, start, at(self.now));
             }
             if let Kind::Other { may_retry } = run.kind {
                 self.outcome.innocents_broken += 1;
@@ -423,7 +423,7 @@
             if vm.starts != run.vm_start {
                 continue;
             }
-            if vm.guard.completed(run.digest, at(self.now)) && !self.is_cut(run.vm) {
+            if vm.guard.record_completion(run.digest, at(self.now)) && !self.is_cut(run.vm) {
                 self.outcome.store_calls += 2;
                 self.store.remove(&run.digest);
                 self.changes.push((self.now, run.digest, None));
@@ -504,11 +504,11 @@
 
     fn is_admitted(&mut self, vm: usize, digest: RequestDigest) -> bool {
         let now = at(self.now);
-        match self.vms[vm].guard.standing(digest, now, Some(self.true_ms())) {
-            Standing::Free => true,
-            Standing::Quarantined(_) => false,
-            Standing::TrialDue => {
-                self.vms[vm].guard.trial_asked(digest, now);
+        match self.vms[vm].guard.send_decision(digest, now, Some(self.true_ms())) {
+            SendDecision::Allowed => true,
+            SendDecision::Quarantined(_) => false,
+            SendDecision::TrialDue => {
+                self.vms[vm].guard.record_trial_request(digest, now);
                 if self.is_cut(vm) || self.store_is_away() {
                     return false;
                 }
--- a/crates/quincevalve_forwarding/tests/store_pacing.rs
+++ b/crates/quincevalve_forwarding/tests/store_pacing.rs
@@ -5,7 +5,7 @@
 use std::{collections::HashSet, time::Duration};
 
 use quincevalve_forwarding::{
-    peer_book::{PeerBook, VmCard},
+    peer_table::{PeerTable, VmDescriptor},
     store_pacing::{ConfigSource, LackedConfig, ReadingPart},
 };
 use quincevalve_names::TimePoint;
@@ -17,8 +17,8 @@
 const CENTRES: usize = 6;
 const IN_FORCE: Duration = Duration::from_secs(4);
 
-fn card(at: usize) -> VmCard {
-    VmCard {
+fn card(at: usize) -> VmDescriptor {
+    VmDescriptor {
         name: format!("vm-{at}"),
         address: ([10, 0, (at / 200) as u8, (at % 200) as u8], 7600).into(),
         data_centre: ["a", "b", "c", "d", "e", "f"][at % CENTRES].into(),
@@ -26,14 +26,14 @@
     }
 }
 
-fn book(me: usize) -> PeerBook {
-    let mut book = PeerBook::new(card(me));
+fn book(me: usize) -> PeerTable {
+    let mut book = PeerTable::new(card(me));
     book.replace_all((0..VMS).map(card).collect());
     book
 }
 
 fn with_part(part: ReadingPart) -> Vec<usize> {
-    (0..VMS).filter(|me| book(*me).reading_part(false, ms(0)) == part).collect()
+    (0..VMS).filter(|me| book(*me).store_read_role(false, ms(0)) == part).collect()
 }
 
 /// The calls of VMs in an outage that begins at 0, when all have just had a proof.
@@ -69,10 +69,10 @@
     let next = with_part(ReadingPart::StandBy).into_iter().filter(|me| {
         let mut book = book(*me);
         for reader in &readers {
-            book.asked(card(*reader).address, ms(0));
+            book.record_datagram_sent(card(*reader).address, ms(0));
         }
-        book.reading_part(false, ms(500)) == ReadingPart::StandBy
-            && book.reading_part(false, ms(900)) == ReadingPart::Reader
+        book.store_read_role(false, ms(500)) == ReadingPart::StandBy
+            && book.store_read_role(false, ms(900)) == ReadingPart::Reader
     });
     assert!((1..=2).contains(&next.count()));
 }
@@ -83,7 +83,7 @@
 fn few_try_to_take_the_duties_over() {
     let collectors = CENTRES;
     let at_once = (0..VMS)
-        .filter(|me| book(*me).reading_part(false, ms(0)).duty_patience(VMS, 0.0).is_zero())
+        .filter(|me| book(*me).store_read_role(false, ms(0)).duty_patience(VMS, 0.0).is_zero())
         .count();
     assert_eq!(at_once, collectors);
 }
--- a/crates/quincevalve_node/src/duties.rs
+++ b/crates/quincevalve_node/src/duties.rs
@@ -52,7 +52,7 @@
                     () = act(&node, &store, &cloud, lease) => {}
                     _ = stopped.wait_for(|it| *it) => {}
                 }
-                node.duty.borrow_mut().lost();
+                node.duty.borrow_mut().record_lost();
                 log::info!("duty-lost");
                 if *stopped.borrow() {
                     // The lease runs out by itself where this fails; with it another VM need not wait.
@@ -115,7 +115,7 @@
         ..Commit::default()
     };
     store.commit(&commit).await?;
-    node.duty.borrow_mut().took(me, &before, &term, ttl, asked);
+    node.duty.borrow_mut().record_acquired(me, &before, &term, ttl, asked);
     node.peers.borrow_mut().holder_seen(Some(me.to_owned()));
     log::info!(number = term.number.0, before = before.holder; "duty-taken");
     Ok(lease)
@@ -149,7 +149,7 @@
         sleep(period).await;
         let asked = clock::now();
         match store.renew(lease).await {
-            Ok(()) => node.duty.borrow_mut().renewed(asked),
+            Ok(()) => node.duty.borrow_mut().record_renewal(asked),
             Err(StoreError::LeaseEnded) => return,
             Err(error) => log::debug!(error:% = error; "duty-not-renewed"),
         }
@@ -160,6 +160,6 @@
 }
 
 fn acting(node: &Node) -> Option<ActingHolder> {
-    let number = node.duty.borrow().may_act(clock::now())?;
+    let number = node.duty.borrow().fencing_number(clock::now())?;
     Some(ActingHolder { name: node.settings.name.as_str().to_owned(), number })
 }
--- a/crates/quincevalve_node/src/metrics.rs
+++ b/crates/quincevalve_node/src/metrics.rs
@@ -176,7 +176,7 @@
         self.vms.set(gauge(node.vms()));
         self.config_version.set(node.config().map_or(0, |it| it.version.cast_signed()));
         self.proof_age_ms.set(i64::try_from(age.as_millis()).unwrap_or(i64::MAX));
-        self.quarantined.set(gauge(node.poison.borrow().listed().count()));
+        self.quarantined.set(gauge(node.poison.borrow().stored_entries().count()));
         let mut text = String::new();
         if let Err(error) = encode(&mut text, &self.registry) {
             log::error!(error:% = error; "metrics-not-encoded");
--- a/crates/quincevalve_node/src/node.rs
+++ b/crates/quincevalve_node/src/node.rs
@@ -12,11 +12,11 @@
 use quincevalve_forwarding::{
     config::{ForwardingConfig, Route},
     demand::{MeasuredDemand, WorkRate},
-    duty::Duty,
+    duty::DutyLease,
     freshness::{Freshness, Touch},
     line_budget::LineBudget,
     load::{self, Work},
-    peer_book::VmCard,
+    peer_table::VmDescriptor,
     placement::Placement,
     poison::PoisonGuard,
     quota::QuotaBook,
@@ -78,7 +78,7 @@
     pub(crate) retries: RefCell<HashMap<ServiceName, RetryWindow>>,
     pub(crate) usage: RefCell<Usage>,
     pub(crate) wall: RefCell<WallClock<String>>,
-    pub(crate) duty: RefCell<Duty>,
+    pub(crate) duty: RefCell<DutyLease>,
     pub(crate) peers: RefCell<Peers>,
     /// Work that is taken on here, by service.
     pub(crate) demand: RefCell<IndexMap<ServiceName, WorkRate>>,
@@ -230,7 +230,7 @@
     pub(crate) fn reading_part(&self) -> ReadingPart {
         let now = clock::now();
         let peers = self.peers.borrow();
-        peers.book.reading_part(peers.has_members(now), now)
+        peers.book.store_read_role(peers.has_members(now), now)
     }
 
     /// Whether this VM passes on what it knows of the store.
@@ -261,7 +261,7 @@
 
     /// The entry VMs that are known, this one included.
     pub(crate) fn vms(&self) -> usize {
-        self.peers.borrow().book.vms()
+        self.peers.borrow().book.vm_count()
     }
 
     /// Counts a request that is sent to a server, by the server's version.
@@ -313,8 +313,8 @@
 }
 
 /// What this VM tells others of itself.
-fn card(settings: &NodeSettings) -> VmCard {
-    VmCard {
+fn card(settings: &NodeSettings) -> VmDescriptor {
+    VmDescriptor {
         name: settings.name.as_str().to_owned(),
         address: SocketAddr::new(settings.ip, settings.peer_port),
         data_centre: settings.data_centre.clone(),
--- a/crates/quincevalve_node/src/peers.rs
+++ b/crates/quincevalve_node/src/peers.rs
@@ -11,7 +11,7 @@
 
 use quincevalve_forwarding::{
     digest_pace::DigestPace,
-    peer_book::{PeerBook, Role, VmCard},
+    peer_table::{PeerTable, Role, VmDescriptor},
     sums::{Demand, Share, Sums},
 };
 use quincevalve_names::{ServiceName, TimePoint};
@@ -37,7 +37,7 @@
 /// What the other entry VMs told.
 #[derive(Debug)]
 pub(crate) struct Peers {
-    pub(crate) book: PeerBook,
+    pub(crate) book: PeerTable,
     /// The VM that holds the duties, as the store has it.
     holder: Option<String>,
     members: Sums,
@@ -62,10 +62,10 @@
 }
 
 impl Peers {
-    pub(crate) fn new(me: VmCard, link: u64) -> Self {
+    pub(crate) fn new(me: VmDescriptor, link: u64) -> Self {
         Self {
             pace: DigestPace::new(link, me.cpu),
-            book: PeerBook::new(me),
+            book: PeerTable::new(me),
             holder: None,
             members: Sums::default(),
             collectors: Sums::default(),
--- a/crates/quincevalve_node/src/peers/datagram.rs
+++ b/crates/quincevalve_node/src/peers/datagram.rs
@@ -4,8 +4,8 @@
 
 use bincode::{DefaultOptions, Options};
 use quincevalve_forwarding::{
-    part_fetch::PartsWanted, parts::Part, peer_book::VmCard, poison::PoisonMessage, sums::Share,
-    usage::Counts,
+    chunk_fetch::ChunkRequest, chunks::Chunk, peer_table::VmDescriptor, poison::PoisonMessage,
+    sums::Share, usage::Counts,
 };
 use quincevalve_names::TimePoint;
 use serde::{Deserialize, Serialize};
@@ -74,9 +74,9 @@
         above: u64,
     },
     /// A part of the sender's configuration.
-    ConfigPart(Part),
+    ConfigPart(Chunk),
     /// The sender has just started and knows nothing of the store.
-    StateWanted(PartsWanted),
+    StateWanted(ChunkRequest),
     /// Another VM should be asked for it.
     StateElsewhere {
         /// Whether the sender knows it, and only serves others at present.
@@ -86,7 +86,7 @@
     StatePart {
         /// How long ago the sender sent the question whose answer proves that this is the newest.
         age: Duration,
-        part: Part,
+        part: Chunk,
     },
     /// About a request under which servers exit.
     Poison(PoisonMessage),
@@ -100,7 +100,7 @@
 /// One datagram.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct Datagram {
-    pub(super) from: VmCard,
+    pub(super) from: VmDescriptor,
     pub(super) incarnation: u64,
     /// The sender's time of day.
     pub(super) wall_ms: i64,
--- a/crates/quincevalve_node/src/peers/receive.rs
+++ b/crates/quincevalve_node/src/peers/receive.rs
@@ -3,7 +3,9 @@
 use std::{rc::Rc, time::Duration};
 
 use bincode::Options;
-use quincevalve_forwarding::{change_log::Excerpt, signal_outbox::Source, store_contact::Contact};
+use quincevalve_forwarding::{
+    change_log::ChangeBatch, signal_outbox::Source, store_contact::Contact,
+};
 use quincevalve_names::TimePoint;
 use tokio::{net::UdpSocket, time::sleep};
 
@@ -49,7 +51,7 @@
     let name = datagram.from.name.clone();
     {
         let mut peers = node.peers.borrow_mut();
-        peers.book.heard(&datagram.from, now);
+        peers.book.record_received(&datagram.from, now);
         let newest = Newest {
             incarnation: datagram.incarnation,
             sent: datagram.sent,
@@ -122,7 +124,7 @@
                 ask_for_state(node, socket, source, wanted);
             }
         }
-        Content::Poison(message) => node.poison.borrow_mut().hear(&name, message, now),
+        Content::Poison(message) => node.poison.borrow_mut().receive(&name, message, now),
         Content::Signals { scope, servers } => {
             let from = match scope {
                 Scope::Own => Source::Member,
@@ -144,7 +146,7 @@
 /// own proof: however long the answer was on its way, it can't be taken for newer than it is.
 fn take_relayed(node: &Node, relayed: Relayed, echo: Option<Echo>) {
     let Relayed { age, version, after, upto, changes } = relayed;
-    let is_contiguous = take_excerpt(node, Excerpt { after, upto, changes });
+    let is_contiguous = take_excerpt(node, ChangeBatch { after, upto, changes });
     node.told_version.set(node.told_version.get().max(version));
     let reached = node.store_view.borrow().reached();
     let knows = node.config().is_some_and(|it| it.version >= version)
--- a/crates/quincevalve_node/src/peers/receive/tests.rs
+++ b/crates/quincevalve_node/src/peers/receive/tests.rs
@@ -1,7 +1,7 @@
 use std::future::Future;
 
 use quincevalve_forwarding::{
-    peer_book::VmCard,
+    peer_table::VmDescriptor,
     servers::{ServerEntry, ServerStart},
     store_contact::Contact,
     sums::Share,
@@ -70,7 +70,12 @@
 fn datagram(node: &Node, store: Option<ToldContact>, changes: Vec<(u64, Passed)>) -> Datagram {
     let upto = changes.last().map_or(AT, |(at, _)| *at);
     Datagram {
-        from: VmCard { name: "vm-2".into(), address: any(), data_centre: "a".into(), cpu: 250 },
+        from: VmDescriptor {
+            name: "vm-2".into(),
+            address: any(),
+            data_centre: "a".into(),
+            cpu: 250,
+        },
         incarnation: 1,
         wall_ms: 0,
         true_ms: None,
--- a/crates/quincevalve_node/src/peers/send.rs
+++ b/crates/quincevalve_node/src/peers/send.rs
@@ -4,10 +4,10 @@
 
 use bincode::Options;
 use quincevalve_forwarding::{
-    change_log::Excerpt,
+    change_log::ChangeBatch,
+    chunk_fetch::ChunkRequest,
     config::ForwardingConfig,
-    part_fetch::PartsWanted,
-    peer_book::Role,
+    peer_table::Role,
     signal_outbox::ServerKey,
     sums::{NAMED_TO_COLLECTOR, NAMED_TO_MEMBER, Share},
 };
@@ -56,7 +56,7 @@
     for turn in 0_u32.. {
         let now = clock::now();
         node.wall.borrow_mut().heard(String::new(), clock::wall_ms(), now);
-        for gone in node.peers.borrow_mut().book.forget(now) {
+        for gone in node.peers.borrow_mut().book.remove_expired(now) {
             log::info!(peer = gone; "peer-forgotten");
             node.wall.borrow_mut().forget(&gone);
         }
@@ -100,7 +100,7 @@
         let mut quota = node.quota.borrow_mut();
         quota.set_others(&others.spending, reachable_part, &config, now);
     }
-    let seat = node.peers.borrow().book.seat(LIMITS_KEY);
+    let seat = node.peers.borrow().book.rank(LIMITS_KEY);
     let true_ms = node.wall.borrow().true_ms(now).unwrap_or_else(clock::wall_ms);
     node.servers.borrow_mut().set_seat(seat, true_ms, now);
     measure_demand(node, now);
@@ -168,7 +168,7 @@
         if scope == Scope::Rest {
             peers.pace.sent(bytes);
         }
-        peers.book.asked(address, now);
+        peers.book.record_datagram_sent(address, now);
     }
 }
 
@@ -222,7 +222,7 @@
 /// Asks the best collector of the data centre again, if it was silent. The share is empty: the VM's own is
 /// counted where it is told now.
 fn ask_better_collector(node: &Node, socket: &UdpSocket, now: TimePoint) {
-    let better = node.peers.borrow().book.better_collector(now);
+    let better = node.peers.borrow().book.preferred_collector(now);
     let Some(address) = better else { return };
     let share = Box::<Share>::default();
     let content = Content::Share { scope: Scope::Own, share, relayed: None, store: None };
@@ -245,7 +245,7 @@
         peers.newest.get(name)?.seen?
     };
     let excerpt = node.store_view.borrow().since(StoreRevision(seen), PASSED_BYTES)?;
-    let Excerpt { after, upto, changes } = excerpt;
+    let ChangeBatch { after, upto, changes } = excerpt;
     Some(Relayed { age, version, after, upto, changes })
 }
 
@@ -257,9 +257,11 @@
         let holder = peers.holder.as_deref().filter(|it| *it != peers.book.me().name);
         match peers.book.role(true, clock::now()) {
             Role::Collector { others } if peers.book.is_small() => others,
-            _ => {
-                holder.and_then(|it| peers.book.card(it)).map(|it| it.address).into_iter().collect()
-            }
+            _ => holder
+                .and_then(|it| peers.book.descriptor(it))
+                .map(|it| it.address)
+                .into_iter()
+                .collect(),
         }
     };
     for address in addresses {
@@ -275,11 +277,11 @@
     }
     let messages = {
         let peers = node.peers.borrow();
-        let names: Vec<&str> = peers.book.listed_cards().map(|it| it.name.as_str()).collect();
+        let names: Vec<&str> = peers.book.listed_descriptors().map(|it| it.name.as_str()).collect();
         node.poison.borrow_mut().tick(&names, peers.reachable_part(), now)
     };
     for (name, message) in messages {
-        let address = node.peers.borrow().book.card(&name).map(|it| it.address);
+        let address = node.peers.borrow().book.descriptor(&name).map(|it| it.address);
         // A VM that was forgotten meanwhile hears of it from the store when it is back.
         let Some(address) = address else { continue };
         send(node, socket, address, Content::Poison(message));
@@ -335,7 +337,7 @@
     node: &Node,
     socket: &UdpSocket,
     address: SocketAddr,
-    wanted: PartsWanted,
+    wanted: ChunkRequest,
 ) {
     send(node, socket, address, Content::StateWanted(wanted));
 }
--- a/crates/quincevalve_node/src/peers/send/tests.rs
+++ b/crates/quincevalve_node/src/peers/send/tests.rs
@@ -1,5 +1,5 @@
 use bincode::Options;
-use quincevalve_forwarding::{load::WorkSum, peer_book::VmCard};
+use quincevalve_forwarding::{load::WorkSum, peer_table::VmDescriptor};
 use quincevalve_names::hash_text;
 
 use super::*;
@@ -8,8 +8,8 @@
 const SERVERS: u64 = 3_000;
 const MEMBERS: u16 = 160;
 
-fn card(at: u16, cpu: u32) -> VmCard {
-    VmCard {
+fn card(at: u16, cpu: u32) -> VmDescriptor {
+    VmDescriptor {
         name: format!("vm-{at}"),
         address: ([10, 1, (at / 200) as u8, (at % 200) as u8], 7600).into(),
         data_centre: "a".into(),
--- a/crates/quincevalve_node/src/quarantine.rs
+++ b/crates/quincevalve_node/src/quarantine.rs
@@ -8,7 +8,7 @@
 
 use std::time::Duration;
 
-use quincevalve_forwarding::poison::Standing;
+use quincevalve_forwarding::poison::SendDecision;
 
 pub use self::entries::{lift_quarantine, quarantined};
 pub(crate) use self::{
@@ -28,10 +28,10 @@
 pub(crate) async fn admit(node: &Node, req: &Identified) -> Result<(), Duration> {
     let standing = standing(node, req);
     let hold = match standing {
-        Standing::Free => return Ok(()),
-        Standing::Quarantined(hold) => hold,
-        Standing::TrialDue => {
-            node.poison.borrow_mut().trial_asked(req.digest(), clock::now());
+        SendDecision::Allowed => return Ok(()),
+        SendDecision::Quarantined(hold) => hold,
+        SendDecision::TrialDue => {
+            node.poison.borrow_mut().record_trial_request(req.digest(), clock::now());
             if node.quarantine.begin_trial(req.digest()).await {
                 log::info!(id = req.id, digest:% = req.digest(); "trial-begun");
                 return Ok(());
@@ -45,22 +45,22 @@
 
 /// Whether a request is kept from servers at present.
 pub(crate) fn is_quarantined(node: &Node, req: &Identified) -> bool {
-    standing(node, req) != Standing::Free
+    standing(node, req) != SendDecision::Allowed
 }
 
-fn standing(node: &Node, req: &Identified) -> Standing {
+fn standing(node: &Node, req: &Identified) -> SendDecision {
     let poison = node.poison.borrow();
     if !poison.has_quarantined() {
-        return Standing::Free;
+        return SendDecision::Allowed;
     }
     let now = clock::now();
-    poison.standing(req.digest(), now, node.wall.borrow().true_ms(now))
+    poison.send_decision(req.digest(), now, node.wall.borrow().true_ms(now))
 }
 
 /// Notes that a request ended well: it is not what ends servers.
 pub(crate) fn note_completed(node: &Node, req: &Identified) {
     let Some(digest) = req.cheap_digest() else { return };
-    if node.poison.borrow_mut().completed(digest, clock::now()) {
+    if node.poison.borrow_mut().record_completion(digest, clock::now()) {
         node.quarantine.lift(digest);
     }
 }
--- a/crates/quincevalve_node/src/quarantine/orders.rs
+++ b/crates/quincevalve_node/src/quarantine/orders.rs
@@ -3,7 +3,7 @@
 use std::{rc::Rc, time::Duration};
 
 use quincevalve_forwarding::{
-    poison::{Exits, QuarantineEntry},
+    poison::{ExitPattern, QuarantineEntry},
     request_digest::RequestDigest,
 };
 use tokio::{
@@ -29,7 +29,7 @@
 const WAITING_ORDERS: usize = 256;
 
 enum Order {
-    Write(RequestDigest, Exits),
+    Write(RequestDigest, ExitPattern),
     BeginTrial(RequestDigest, oneshot::Sender<bool>),
     Lift(RequestDigest),
 }
@@ -48,7 +48,7 @@
     }
 
     /// Writes that a request is quarantined.
-    pub(crate) fn write(&self, digest: RequestDigest, exits: Exits) {
+    pub(crate) fn write(&self, digest: RequestDigest, exits: ExitPattern) {
         self.order(Order::Write(digest, exits));
     }
 
@@ -92,7 +92,7 @@
     }
 }
 
-async fn write<S>(node: &Node, store: &S, digest: RequestDigest, exits: Exits)
+async fn write<S>(node: &Node, store: &S, digest: RequestDigest, exits: ExitPattern)
 where
     S: PlatformStore,
 {
@@ -145,7 +145,7 @@
         match lift_quarantine(store, digest).await {
             Ok(_) => {
                 log::info!(digest:% = digest; "quarantine-lifted");
-                node.poison.borrow_mut().entry_removed(digest, clock::now());
+                node.poison.borrow_mut().remove_entry(digest, clock::now());
                 return;
             }
             Err(error) => log::warn!(digest:% = digest, error:% = error; "quarantine-not-lifted"),
--- a/crates/quincevalve_node/src/request/exit_check.rs
+++ b/crates/quincevalve_node/src/request/exit_check.rs
@@ -24,7 +24,7 @@
             "server-exited"
         );
         let server = start_hash(&place.server, place.start);
-        node.poison.borrow_mut().server_exited(digest, server, clock::now());
+        node.poison.borrow_mut().record_server_exit(digest, server, clock::now());
     });
 }
 
--- a/crates/quincevalve_node/src/rollouts.rs
+++ b/crates/quincevalve_node/src/rollouts.rs
@@ -97,7 +97,7 @@
     let around = Surroundings {
         true_ms: node.wall.borrow().true_ms(now),
         has_engines: engine.is_some(),
-        seat: node.peers.borrow().book.seat(order.0),
+        seat: node.peers.borrow().book.rank(order.0),
         is_in_touch: is_in_touch(node),
     };
     let mut book = node.rollouts.borrow_mut();
--- a/crates/quincevalve_node/src/store/config_copy.rs
+++ b/crates/quincevalve_node/src/store/config_copy.rs
@@ -3,8 +3,8 @@
 use std::{net::SocketAddr, time::Duration};
 
 use quincevalve_forwarding::{
+    chunks::{Assembly, Chunk, split_into_chunks},
     config::ForwardingConfig,
-    parts::{Assembly, Part, split},
 };
 use quincevalve_names::TimePoint;
 
@@ -45,10 +45,10 @@
 }
 
 /// The parts of the configuration for a VM that has none above version `above`.
-pub(crate) fn parts_above(node: &Node, above: u64) -> Vec<Part> {
+pub(crate) fn parts_above(node: &Node, above: u64) -> Vec<Chunk> {
     let Some(config) = node.config().filter(|it| it.version > above) else { return Vec::new() };
     match bincode::serialize(&*config) {
-        Ok(value) => split(config.version, &value),
+        Ok(value) => split_into_chunks(config.version, &value),
         Err(error) => {
             log::error!(error:% = error; "config-not-encoded");
             Vec::new()
@@ -57,7 +57,7 @@
 }
 
 /// Takes a part of a configuration that another VM has.
-pub(crate) fn take_part(node: &Node, part: Part, from: SocketAddr) {
+pub(crate) fn take_part(node: &Node, part: Chunk, from: SocketAddr) {
     if node.config().is_some_and(|it| it.version >= part.version) {
         return;
     }
--- a/crates/quincevalve_node/src/store/state_copy.rs
+++ b/crates/quincevalve_node/src/store/state_copy.rs
@@ -12,9 +12,11 @@
 
 use bincode::{DefaultOptions, Options};
 use quincevalve_forwarding::{
-    part_fetch::{FetchStep, PartFetch, PartsWanted, Served, WINDOW, in_turn, patience},
-    parts::{Part, split},
-    peer_book::{VmCard, rank_at_start, vms_to_ask_at_start},
+    chunk_fetch::{
+        ChunkFetch, ChunkRequest, FetchStep, ServeSlots, WINDOW, fetch_timeout, source_order,
+    },
+    chunks::{Chunk, split_into_chunks},
+    peer_table::{VmDescriptor, startup_rank, startup_sources},
     store_pacing::ReadingPart,
 };
 use quincevalve_names::TimePoint;
@@ -50,9 +52,9 @@
 /// What comes from others while this VM starts, and what this one gives to others.
 #[derive(Debug, Default)]
 pub(crate) struct StateCopy {
-    fetch: Option<PartFetch>,
+    fetch: Option<ChunkFetch>,
     given: VecDeque<Given>,
-    served: Served,
+    served: ServeSlots,
     answered: HashMap<String, TimePoint>,
 }
 
@@ -60,7 +62,7 @@
 #[derive(Debug)]
 pub(crate) enum StateAnswer {
     /// Parts, each with the age of the proof that it is of the newest.
-    Parts(Vec<(Duration, Part)>),
+    Parts(Vec<(Duration, Chunk)>),
     /// Another should be asked.
     SendOn {
         /// Whether this VM knows all, and only serves others at present.
@@ -74,7 +76,7 @@
     encoded_at: TimePoint,
     /// Since when it is proved to be the newest.
     proved: TimePoint,
-    parts: Vec<Part>,
+    parts: Vec<Chunk>,
 }
 
 /// Gets what is known of the store from another VM. Where nobody can be asked or answers in time, this VM has to read the
@@ -92,16 +94,16 @@
     };
     note_left_lease(node, &own);
     let cards = cards(&own);
-    let first = vms_to_ask_at_start(node.peers.borrow().book.me(), &cards);
+    let first = startup_sources(node.peers.borrow().book.me(), &cards);
     if first.is_empty() {
         return;
     }
-    let patience = patience(PATIENCE, rank_at_start(node.peers.borrow().book.me(), &cards));
-    let sources = in_turn(&first, &others(node, &cards, &first));
-    node.state_copy.borrow_mut().fetch = Some(PartFetch::new(sources, patience, clock::now()));
+    let patience = fetch_timeout(PATIENCE, startup_rank(node.peers.borrow().book.me(), &cards));
+    let sources = source_order(&first, &others(node, &cards, &first));
+    node.state_copy.borrow_mut().fetch = Some(ChunkFetch::new(sources, patience, clock::now()));
     while let Some(step) = next_step(node) {
         match step {
-            FetchStep::Ask { source, wanted } => ask_for_state(node, socket, source, wanted),
+            FetchStep::Send { source, request } => ask_for_state(node, socket, source, request),
             FetchStep::Wait(wait) => sleep(wait.min(LOOK)).await,
             FetchStep::GiveUp => break,
         }
@@ -117,7 +119,7 @@
 }
 
 /// Some VMs of the data centre beside the strongest.
-fn others(node: &Node, cards: &[VmCard], first: &[SocketAddr]) -> Vec<SocketAddr> {
+fn others(node: &Node, cards: &[VmDescriptor], first: &[SocketAddr]) -> Vec<SocketAddr> {
     let me = node.peers.borrow().book.me().address;
     let others = cards.iter().map(|it| it.address);
     let mut others: Vec<_> = others.filter(|it| *it != me && !first.contains(it)).collect();
@@ -131,7 +133,7 @@
 pub(crate) fn answer_for(
     node: &Node,
     sender: &str,
-    wanted: &PartsWanted,
+    wanted: &ChunkRequest,
     now: TimePoint,
 ) -> StateAnswer {
     let mut copy = node.state_copy.borrow_mut();
@@ -148,9 +150,9 @@
     let Some(given) = copy.given.iter().find(|it| it.version() == Some(version)) else {
         return StateAnswer::SendOn { serves_others: false };
     };
-    let parts = given.parts(|at| wanted.parts.contains(&at), now);
-    if given.is_end(&wanted.parts) {
-        copy.served.ended(sender);
+    let parts = given.parts(|at| wanted.chunks.contains(&at), now);
+    if given.is_end(&wanted.chunks) {
+        copy.served.release(sender);
     }
     StateAnswer::Parts(parts)
 }
@@ -170,7 +172,7 @@
         Ok(value) => Some(Given {
             encoded_at: now,
             proved: now.earlier_by(age),
-            parts: split(now.as_micros(), &value),
+            parts: split_into_chunks(now.as_micros(), &value),
         }),
         Err(error) => {
             log::error!(error:% = error; "state-not-encoded");
@@ -190,7 +192,7 @@
     }
 
     /// The parts at these places, and the age of the proof.
-    fn parts(&self, is_wanted: impl Fn(u32) -> bool, now: TimePoint) -> Vec<(Duration, Part)> {
+    fn parts(&self, is_wanted: impl Fn(u32) -> bool, now: TimePoint) -> Vec<(Duration, Chunk)> {
         let wanted = self.parts.iter().filter(|it| is_wanted(it.at));
         wanted.map(|it| (now.since(self.proved), it.clone())).collect()
     }
@@ -200,17 +202,17 @@
 /// the newest of `proved`.
 pub(crate) fn take_part(
     node: &Node,
-    part: Part,
+    part: Chunk,
     proved: Option<TimePoint>,
     from: SocketAddr,
-) -> Option<PartsWanted> {
+) -> Option<ChunkRequest> {
     let now = clock::now();
     let value = {
         let mut copy = node.state_copy.borrow_mut();
         let fetch = copy.fetch.as_mut()?;
-        let Some(value) = fetch.take(from, part, now) else {
+        let Some(value) = fetch.receive(from, part, now) else {
             return match fetch.next(now) {
-                FetchStep::Ask { wanted, .. } => Some(wanted),
+                FetchStep::Send { request, .. } => Some(request),
                 FetchStep::Wait(_) | FetchStep::GiveUp => None,
             };
         };
@@ -237,13 +239,13 @@
 /// Takes it that a VM sends this one on to another.
 pub(crate) fn sent_on(node: &Node, from: SocketAddr, serves_others: bool) {
     if let Some(fetch) = node.state_copy.borrow_mut().fetch.as_mut() {
-        fetch.sent_on(from, serves_others, clock::now());
+        fetch.redirected(from, serves_others, clock::now());
     }
 }
 
 impl StateCopy {
     /// The first parts of the newest that this VM knows.
-    fn first_parts(&mut self, node: &Node, sender: &str, now: TimePoint) -> Vec<(Duration, Part)> {
+    fn first_parts(&mut self, node: &Node, sender: &str, now: TimePoint) -> Vec<(Duration, Chunk)> {
         if !self.may_answer(sender, now) {
             return Vec::new();
         }
--- a/crates/quincevalve_node/src/store/state_copy/tests.rs
+++ b/crates/quincevalve_node/src/store/state_copy/tests.rs
@@ -1,9 +1,9 @@
 use std::time::Duration;
 
 use quincevalve_forwarding::{
-    part_fetch::ASK_AGAIN,
-    peer_book::VmCard,
-    poison::{Exits, QuarantineEntry},
+    chunk_fetch::RETRY_INTERVAL,
+    peer_table::VmDescriptor,
+    poison::{ExitPattern, QuarantineEntry},
     request_digest::RequestDigest,
     servers::{ServerEntry, ServerStart},
 };
@@ -31,8 +31,8 @@
     }
 }
 
-fn card(at: u16) -> VmCard {
-    VmCard {
+fn card(at: u16) -> VmDescriptor {
+    VmDescriptor {
         name: format!("vm-{at}"),
         address: ([10, 1, (at / 200) as u8, (at % 200) as u8], 7600).into(),
         data_centre: "north".into(),
@@ -51,7 +51,7 @@
         unreadable: Vec::new(),
         vms: (0..300).map(card).collect(),
         holder: Some("vm-9".to_owned()),
-        quarantine: vec![(RequestDigest(7), QuarantineEntry::first(Exits::Separate, 0))],
+        quarantine: vec![(RequestDigest(7), QuarantineEntry::first(ExitPattern::Separate, 0))],
         ..Whole::default()
     };
     assert!(take_whole(&node, whole));
@@ -62,7 +62,7 @@
 fn starting() -> Node {
     let node = bare_node("vm-new");
     let sources = vec![any(), elsewhere()];
-    let fetch = PartFetch::new(sources, Duration::from_secs(1), clock::now());
+    let fetch = ChunkFetch::new(sources, Duration::from_secs(1), clock::now());
     node.state_copy.borrow_mut().fetch = Some(fetch);
     node
 }
@@ -71,14 +71,14 @@
     ([127, 0, 0, 2], 0).into()
 }
 
-fn parts_for(node: &Node, sender: &str, now: TimePoint) -> Vec<(Duration, Part)> {
-    match answer_for(node, sender, &PartsWanted::default(), now) {
+fn parts_for(node: &Node, sender: &str, now: TimePoint) -> Vec<(Duration, Chunk)> {
+    match answer_for(node, sender, &ChunkRequest::default(), now) {
         StateAnswer::Parts(parts) => parts,
         StateAnswer::SendOn { .. } => Vec::new(),
     }
 }
 
-fn parts(node: &Node) -> Vec<Part> {
+fn parts(node: &Node) -> Vec<Chunk> {
     parts_for(node, "vm-new#1", clock::now()).into_iter().map(|(_, part)| part).collect()
 }
 
@@ -96,7 +96,8 @@
             take_part(&lacking, part, Some(now), any());
         }
         assert_eq!(lacking.config().map(|it| it.version), Some(3));
-        let quarantined: Vec<_> = lacking.poison.borrow().listed().map(|(it, _)| it).collect();
+        let quarantined: Vec<_> =
+            lacking.poison.borrow().stored_entries().map(|(it, _)| it).collect();
         assert_eq!(quarantined, [RequestDigest(7)]);
         assert_eq!(lacking.store_view.borrow().reached().map(|it| it.0), Some(50));
         let servers = lacking.servers.borrow();
@@ -154,8 +155,11 @@
         let node = informed("vm-1");
         let now = clock::now();
         assert!(!parts_for(&node, "vm-new#1", now).is_empty());
-        assert!(parts_for(&node, "vm-new#1", now + ASK_AGAIN / 2).is_empty());
-        assert!(!parts_for(&node, "vm-new#2", now + ASK_AGAIN / 2).is_empty(), "another start");
+        assert!(parts_for(&node, "vm-new#1", now + RETRY_INTERVAL / 2).is_empty());
+        assert!(
+            !parts_for(&node, "vm-new#2", now + RETRY_INTERVAL / 2).is_empty(),
+            "another start"
+        );
         assert!(!parts_for(&node, "vm-new#1", now + ANSWER_AGAIN).is_empty());
     });
 }
@@ -178,14 +182,17 @@
 fn a_vm_whose_link_is_taken_sends_others_on() {
     run(|| {
         let node = informed("vm-1");
-        let (now, wanted) = (clock::now(), PartsWanted::default());
+        let (now, wanted) = (clock::now(), ChunkRequest::default());
         let answers = (0..40).map(|it| answer_for(&node, &format!("vm-{it}#1"), &wanted, now));
         let (served, sent_on): (Vec<_>, Vec<_>) =
             answers.partition(|it| matches!(it, StateAnswer::Parts(_)));
         assert_eq!(served.len(), 16);
         assert!(sent_on.iter().all(|it| matches!(it, StateAnswer::SendOn { serves_others: true })));
         let parts = |sender: &str| {
-            matches!(answer_for(&node, sender, &wanted, now + ASK_AGAIN * 2), StateAnswer::Parts(_))
+            matches!(
+                answer_for(&node, sender, &wanted, now + RETRY_INTERVAL * 2),
+                StateAnswer::Parts(_)
+            )
         };
         assert!(parts("vm-39#1"), "those who went silent are forgotten");
     });
@@ -197,8 +204,8 @@
     run(|| {
         let node = informed("vm-1");
         let first = parts(&node);
-        let now = clock::now() + ASK_AGAIN;
-        let wanted = PartsWanted { version: Some(first[0].version), parts: vec![1] };
+        let now = clock::now() + RETRY_INTERVAL;
+        let wanted = ChunkRequest { version: Some(first[0].version), chunks: vec![1] };
         let StateAnswer::Parts(again) = answer_for(&node, "vm-new#1", &wanted, now) else {
             panic!("it is served");
         };
--- a/crates/quincevalve_node/src/store/sync/tests.rs
+++ b/crates/quincevalve_node/src/store/sync/tests.rs
@@ -1,4 +1,4 @@
-use quincevalve_forwarding::peer_book::VmCard;
+use quincevalve_forwarding::peer_table::VmDescriptor;
 
 use super::*;
 use crate::{
@@ -45,7 +45,7 @@
 fn a_vm_that_is_told_nothing_new_reads_the_store() {
     run(|| {
         let node = node("vm-9");
-        let card = |at: u32| VmCard {
+        let card = |at: u32| VmDescriptor {
             name: format!("vm-{at}"),
             address: ([127, 0, 0, 1], 1).into(),
             data_centre: "a".into(),
--- a/crates/quincevalve_node/src/store/view.rs
+++ b/crates/quincevalve_node/src/store/view.rs
@@ -3,9 +3,9 @@
 use bincode::Options;
 use indexmap::{IndexMap, IndexSet};
 use quincevalve_forwarding::{
-    change_log::{ChangeLog, Excerpt},
+    change_log::{ChangeBatch, ChangeLog},
     config::ForwardingConfig,
-    peer_book::VmCard,
+    peer_table::VmDescriptor,
     poison::QuarantineEntry,
     request_digest::RequestDigest,
     rollout::record::{RolloutOrder, RolloutRecord},
@@ -34,7 +34,7 @@
 }
 
 /// The key of an entry VM.
-pub(crate) fn peer_key(card: &VmCard) -> String {
+pub(crate) fn peer_key(card: &VmDescriptor) -> String {
     peer_keys(&card.data_centre) + &card.name
 }
 
@@ -126,7 +126,7 @@
     }
 
     /// What a VM lacks that has reached `seen`.
-    pub(crate) fn since(&self, seen: StoreRevision, bytes: usize) -> Option<Excerpt<Passed>> {
+    pub(crate) fn since(&self, seen: StoreRevision, bytes: usize) -> Option<ChangeBatch<Passed>> {
         self.log.since(seen.0, bytes, Passed::bytes).filter(|_| self.complete)
     }
 
@@ -146,7 +146,7 @@
     pub(crate) servers: Vec<(BackendServerName, ServerEntry)>,
     /// Names of servers under which something stands that can't be read.
     pub(crate) unreadable: Vec<BackendServerName>,
-    pub(crate) vms: Vec<VmCard>,
+    pub(crate) vms: Vec<VmDescriptor>,
     /// The holder of the duties.
     pub(crate) holder: Option<String>,
     /// Requests that are kept from servers.
@@ -231,8 +231,8 @@
 /// The same of the system's own keys: entries of VMs that differ, and all of the few others that other VMs need.
 fn own_differences(node: &Node, snapshot: &Snapshot) -> Vec<Passed> {
     let peers = node.peers.borrow();
-    let listed: IndexMap<String, &VmCard> =
-        peers.book.listed_cards().map(|it| (peer_key(it), it)).collect();
+    let listed: IndexMap<String, &VmDescriptor> =
+        peers.book.listed_descriptors().map(|it| (peer_key(it), it)).collect();
     let is_known = |it: &&OwnItem| {
         it.key.starts_with(PEER_KEYS)
             && card(&it.key, &it.value).is_some_and(|read| listed.get(&it.key) == Some(&&read))
@@ -242,7 +242,8 @@
     let read: IndexSet<&str> = snapshot.own.iter().map(|it| it.key.as_str()).collect();
     let holder = peers.holder().map(|_| HOLDER_KEY.to_owned());
     let poison = node.poison.borrow();
-    let quarantined = poison.listed().map(|(digest, _)| format!("{QUARANTINE_KEYS}{digest}"));
+    let quarantined =
+        poison.stored_entries().map(|(digest, _)| format!("{QUARANTINE_KEYS}{digest}"));
     let me = peer_key(peers.book.me());
     let known = listed.keys().filter(|it| **it != me).cloned().chain(holder).chain(quarantined);
     let removed = known.filter(|it| !read.contains(it.as_str())).map(Passed::OwnRemoved);
@@ -269,7 +270,7 @@
     peers.book.replace_all(whole.vms);
     peers.holder_seen(whole.holder);
     let mut view = node.store_view.borrow_mut();
-    view.log.restart(whole.at);
+    view.log.reset(whole.at);
     view.read_upto = StoreRevision(whole.newest);
     view.complete = true;
     true
@@ -287,9 +288,9 @@
         config: Some((*config).clone()),
         servers: servers.listed_entries().collect(),
         unreadable: Vec::new(),
-        vms: peers.book.listed_cards().cloned().collect(),
+        vms: peers.book.listed_descriptors().cloned().collect(),
         holder: peers.holder().map(str::to_owned),
-        quarantine: node.poison.borrow().listed().collect(),
+        quarantine: node.poison.borrow().stored_entries().collect(),
         rollout_orders: owned(node.rollouts.borrow().orders()),
         rollouts: owned(node.rollouts.borrow().records()),
     })
@@ -343,7 +344,7 @@
 }
 
 /// Takes changes that another VM passed on; `false` where some before them are missing here.
-pub(crate) fn take_excerpt(node: &Node, excerpt: Excerpt<Passed>) -> bool {
+pub(crate) fn take_excerpt(node: &Node, excerpt: ChangeBatch<Passed>) -> bool {
     let reached = node.store_view.borrow().reached();
     if reached.is_none_or(|it| it.0 < excerpt.after) {
         return false;
@@ -413,12 +414,12 @@
         }
         Passed::Own { key, value } if key.starts_with(QUARANTINE_KEYS) => {
             if let Some((digest, entry)) = listed(key, value) {
-                node.poison.borrow_mut().entry_listed(digest, entry);
+                node.poison.borrow_mut().apply_entry(digest, entry);
             }
         }
         Passed::Own { key, value } => {
             if let Some(card) = card(key, value)
-                && node.peers.borrow_mut().book.listed(card)
+                && node.peers.borrow_mut().book.apply_entry(card)
             {
                 log::info!(peer = key; "peer-found");
             }
@@ -429,13 +430,13 @@
         Passed::OwnRemoved(key) if key == HOLDER_KEY => node.peers.borrow_mut().holder_seen(None),
         Passed::OwnRemoved(key) if key.starts_with(QUARANTINE_KEYS) => {
             if let Some(digest) = digest_of(key) {
-                node.poison.borrow_mut().entry_removed(digest, now);
+                node.poison.borrow_mut().remove_entry(digest, now);
             }
         }
         Passed::OwnRemoved(key) => {
             let place = key.strip_prefix(PEER_KEYS);
             if let Some((_, name)) = place.and_then(|it| it.split_once('/')) {
-                node.peers.borrow_mut().book.unlisted(name);
+                node.peers.borrow_mut().book.mark_unlisted(name);
             }
         }
     }
@@ -453,11 +454,11 @@
 }
 
 /// The cards of the VMs among these items.
-pub(crate) fn cards(own: &[OwnItem]) -> Vec<VmCard> {
+pub(crate) fn cards(own: &[OwnItem]) -> Vec<VmDescriptor> {
     own.iter().filter_map(|it| card(&it.key, &it.value)).collect()
 }
 
-fn card(key: &str, value: &[u8]) -> Option<VmCard> {
+fn card(key: &str, value: &[u8]) -> Option<VmDescriptor> {
     key.strip_prefix(PEER_KEYS)?;
     match serde_json::from_slice(value) {
         Ok(card) => Some(card),
--- a/crates/quincevalve_node/src/store/view/tests.rs
+++ b/crates/quincevalve_node/src/store/view/tests.rs
@@ -82,7 +82,7 @@
     });
 }
 
-fn snapshot_with(card: &VmCard, lease: u64) -> Snapshot {
+fn snapshot_with(card: &VmDescriptor, lease: u64) -> Snapshot {
     let item = OwnItem {
         key: peer_key(card),
         value: serde_json::to_vec(card).expect("a card"),
@@ -104,12 +104,13 @@
     });
     run(|| {
         let node = node("vm-1");
-        let card = VmCard { cpu: 1, ..node.peers.borrow().book.me().clone() };
+        let card = VmDescriptor { cpu: 1, ..node.peers.borrow().book.me().clone() };
         take_snapshot(&node, snapshot_with(&card, 31));
         assert_eq!(node.store_view.borrow().left_lease(), None);
     });
     run(|| {
-        let other = VmCard { name: "vm-2".into(), ..node("vm-1").peers.borrow().book.me().clone() };
+        let other =
+            VmDescriptor { name: "vm-2".into(), ..node("vm-1").peers.borrow().book.me().clone() };
         let node = node("vm-1");
         take_snapshot(&node, snapshot_with(&other, 31));
         assert_eq!(node.store_view.borrow().left_lease(), None);
@@ -125,11 +126,11 @@
         let key = "quarantine/00000000000000ab".to_owned();
         let value = br#"{"trials":0,"until_ms":1}"#.to_vec();
         let changes = vec![(101, Passed::Own { key: key.clone(), value })];
-        take_excerpt(&node, Excerpt { after: 100, upto: 101, changes });
-        assert_eq!(node.poison.borrow().listed().count(), 1);
+        take_excerpt(&node, ChangeBatch { after: 100, upto: 101, changes });
+        assert_eq!(node.poison.borrow().stored_entries().count(), 1);
         let changes = vec![(102, Passed::OwnRemoved(key))];
-        take_excerpt(&node, Excerpt { after: 101, upto: 102, changes });
-        assert_eq!(node.poison.borrow().listed().count(), 0);
+        take_excerpt(&node, ChangeBatch { after: 101, upto: 102, changes });
+        assert_eq!(node.poison.borrow().stored_entries().count(), 0);
     });
 }
 
@@ -234,7 +235,7 @@
             &node,
             Snapshot { own: vec![item], at: StoreRevision(7), ..Snapshot::default() },
         );
-        assert_eq!(node.poison.borrow().listed().count(), 1);
+        assert_eq!(node.poison.borrow().stored_entries().count(), 1);
     });
 }
 
@@ -245,7 +246,8 @@
 }
 
 fn vm(name: &str) -> OwnItem {
-    let card = VmCard { name: name.to_owned(), ..node("vm-0").peers.borrow().book.me().clone() };
+    let card =
+        VmDescriptor { name: name.to_owned(), ..node("vm-0").peers.borrow().book.me().clone() };
     let value = serde_json::to_vec(&card).expect("a card");
     OwnItem { key: peer_key(&card), value, revision: StoreRevision(110), lease: None }
 }
--- a/crates/quincevalve_node/tests/support/mod.rs
+++ b/crates/quincevalve_node/tests/support/mod.rs
@@ -13,7 +13,7 @@
 use indexmap::IndexMap;
 use quincevalve_forwarding::{
     config::{Account, CallerLimits, Engine, ForwardingConfig, Repeat, Route, Service, Target},
-    peer_book::VmCard,
+    peer_table::VmDescriptor,
     quota::QuotaLimits,
     retry_window::RetryLimits,
     rollout::record::{OrderId, RolloutOrder},
@@ -160,7 +160,7 @@
     /// Lists strong VMs of the same data centre that answer nobody.
     pub fn list_dead_vms(&self, count: u16) {
         let item = |at: u16| {
-            let card = VmCard {
+            let card = VmDescriptor {
                 name: format!("dead-{at}"),
                 address: ([127, 0, 0, 1], 1).into(),
                 data_centre: "a".into(),
