--- a/crates/quincevalve_forwarding/src/change_log.rs
+++ b/crates/quincevalve_forwarding/src/change_log.rs
@@ -1,11 +1,12 @@
-//! The newest changes of a store, to pass them on to those who haven't seen them.
+//! The newest changes of a store, kept to relay them to VMs that lack them.
 
 use std::collections::VecDeque;
 
-/// Changes kept: all servers of a large system may start at once. Who lags further behind reads the store itself.
-const KEPT: usize = 10_000;
+/// Maximum number of changes kept: all servers of a large system may start at once. A VM that lags further behind reads
+/// the store itself.
+const MAX_CHANGES: usize = 10_000;
 
-/// Changes after a revision up to another, without a gap.
+/// The changes between two revisions, without a gap.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ChangeLog<C> {
     after: u64,
@@ -19,14 +20,14 @@
     }
 }
 
-/// A part of a log for one reader.
+/// Consecutive changes of a log for one reader.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ChangeBatch<C> {
-    /// The revision that the reader has to have reached.
+    /// Revision that the reader must have reached before.
     pub after: u64,
-    /// The revision that it has reached then.
+    /// Revision that the reader has reached with these changes.
     pub upto: u64,
-    /// The changes between, oldest first.
+    /// Changes between the two, each with its revision, oldest first.
     pub changes: Vec<(u64, C)>,
 }
 
@@ -34,34 +35,34 @@
 where
     C: Clone,
 {
-    /// Begins anew at a revision, for instance after the whole store was read.
+    /// Drops all changes and restarts the log at a revision, for instance after the whole store was read.
     pub fn reset(&mut self, at: u64) {
         self.after = at;
         self.upto = at;
         self.changes.clear();
     }
 
-    /// The newest revision that is known.
+    /// Returns the newest known revision.
     pub fn upto(&self) -> u64 {
         self.upto
     }
 
-    /// Adds the changes that follow, up to a revision.
+    /// Appends the changes up to the revision `upto`; changes that the log already covers are dropped.
     pub fn extend(&mut self, changes: impl IntoIterator<Item = (u64, C)>, upto: u64) {
         let known = self.upto;
         self.changes.extend(changes.into_iter().filter(|(at, _)| *at > known));
         self.upto = self.upto.max(upto);
-        while self.changes.len() > KEPT {
+        while self.changes.len() > MAX_CHANGES {
             if let Some((at, _)) = self.changes.pop_front() {
                 self.after = at;
             }
         }
     }
 
-    /// What a reader that has reached `seen` lacks, as far as it weighs at most `budget`; `None` where the log
-    /// doesn't go back that far.
+    /// Returns the changes after the revision `seen`, up to a total weight of `budget` as measured by `weigh`; `None` if
+    /// the log doesn't go back that far.
     ///
-    /// The changes of the first revision are given whatever they weigh, so that a reader always gets on.
+    /// The changes of the first revision are returned whatever they weigh, so that a reader always makes progress.
     pub fn since<W>(&self, seen: u64, budget: usize, weigh: W) -> Option<ChangeBatch<C>>
     where
         W: Fn(&C) -> usize,
@@ -78,7 +79,7 @@
             weight += weigh(change);
             let is_first_revision = changes.first().is_none_or(|(first, _)| first == at);
             if weight > budget && !is_first_revision {
-                // Changes of one revision come together or not at all.
+                // Changes of one revision are returned together or not at all.
                 changes.retain(|(it, _)| it < at);
                 upto = at.saturating_sub(1);
                 break;
--- a/crates/quincevalve_forwarding/src/chunk_fetch.rs
+++ b/crates/quincevalve_forwarding/src/chunk_fetch.rs
@@ -1,9 +1,10 @@
-//! How a VM gets a large value from others, a few parts at a time.
+//! Fetches a large value from other VMs, a few chunks at a time.
 //!
-//! Load: hundreds of VMs start together and ask a few for what they know, hundreds of kilobytes each. Sent at once to all
-//! who ask, it fills links for longer than anyone waits, and one datagram that is lost costs all of it. Who asks therefore
-//! names the parts that it lacks, a few at a time, and stays with a source for as long as parts come from it. A source
-//! serves as many at once as its link bears and sends the others on; who has got all is a source for them.
+//! Hundreds of VMs may start together and request the state of a few others, hundreds of kilobytes each. Sent to all
+//! requesters at once, it would saturate links for longer than requesters wait, and one lost datagram would cost the whole
+//! value. A requester therefore names the chunks that it lacks, a few at a time, and stays with a source as long as
+//! chunks arrive from it. A source serves as many requesters at once as its link can carry and redirects the others; a VM
+//! that has the whole value is a source for them.
 
 use std::{collections::HashMap, net::SocketAddr, time::Duration};
 
@@ -12,50 +13,50 @@
 
 use crate::chunks::{Assembly, Chunk};
 
-/// Parts that are asked for at once: a hundred kilobytes, 40 ms of a link of 20 Mbit/s.
+/// Maximum number of chunks in flight: a hundred kilobytes, 40 ms on a link of 20 Mbit/s.
 pub const WINDOW: usize = 4;
-/// Time after which a question without an answer is asked again: the parts take 40 ms on the way, and as long again where
-/// the source's link is full.
+/// Time after which an unanswered request is sent again: the chunks take 40 ms to arrive, and as long again where the
+/// source's link is saturated.
 pub const RETRY_INTERVAL: Duration = Duration::from_millis(150);
-/// Questions without an answer to a source that gave parts, before the next one is asked.
-const QUESTIONS_WITH_PARTS: u32 = 3;
-/// For so long a source that didn't answer is left out.
-const SILENT_FOR: Duration = Duration::from_millis(500);
-/// Pause before the next source is asked after one that sent this VM on.
-const NEXT_PAUSE: Duration = Duration::from_millis(25);
-/// For so long a source counts one that asked among those that it serves.
-const SERVED_FOR: Duration = Duration::from_millis(200);
-/// Bytes a second that a source keeps for each that it serves: the slowest link of a VM.
-const BYTES_EACH: u64 = 2_500_000;
-/// Others that a source serves at once at most.
-const MOST_SERVED: u64 = 16;
-
-/// The parts that are asked for.
+/// Maximum number of unanswered requests to a source that has sent chunks, before the next source is tried.
+const MAX_UNANSWERED_WITH_CHUNKS: u32 = 3;
+/// How long a source that didn't answer is skipped.
+const SOURCE_SKIP_TIME: Duration = Duration::from_millis(500);
+/// Delay before the next source is tried after a redirect.
+const REDIRECT_DELAY: Duration = Duration::from_millis(25);
+/// How long a requester occupies a slot of a source after its last request.
+const SLOT_TTL: Duration = Duration::from_millis(200);
+/// Bytes per second that a source reserves for each requester: the slowest link of a VM.
+const BYTES_PER_SECOND_EACH: u64 = 2_500_000;
+/// Maximum number of requesters that a source serves at once.
+const MAX_SERVED: u64 = 16;
+
+/// A request for chunks.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChunkRequest {
-    /// The version that they belong to; `None` for the first parts of the newest.
+    /// Version of the value; `None` for the first chunks of the newest.
     pub version: Option<u64>,
-    /// Their places.
+    /// Indices of the chunks.
     pub chunks: Vec<u32>,
 }
 
-/// What to do next.
+/// The next step of a fetch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FetchStep {
-    /// Ask a source for some parts.
+    /// Send a request to a source.
     Send {
-        /// The source.
+        /// Address of the source.
         source: SocketAddr,
-        /// The parts.
+        /// The requested chunks.
         request: ChunkRequest,
     },
-    /// Look again after so long.
+    /// Check again after this time.
     Wait(Duration),
-    /// Nothing came for too long.
+    /// There was no progress for too long.
     GiveUp,
 }
 
-/// One value on its way from others.
+/// The fetch of one value from other VMs.
 ///
 /// # Examples
 ///
@@ -73,106 +74,106 @@
 #[derive(Clone, Debug)]
 pub struct ChunkFetch {
     sources: Vec<SocketAddr>,
-    /// The place of the source that is asked at present.
+    /// Index of the current source.
     source: usize,
-    /// When it is asked next, unless parts come before.
-    ask_at: TimePoint,
-    /// Questions to it that it hasn't answered.
+    /// When the next request is sent, unless chunks arrive before.
+    next_request_at: TimePoint,
+    /// Number of unanswered requests to the current source.
     unanswered: u32,
-    /// Sources that didn't answer, and when that was noticed.
-    silent: HashMap<SocketAddr, TimePoint>,
-    /// Parts that were asked for and haven't come.
-    awaited: usize,
-    /// When the last part came, or the fetch began.
+    /// Sources that didn't answer, and when that was detected.
+    unresponsive: HashMap<SocketAddr, TimePoint>,
+    /// Number of requested chunks that haven't arrived.
+    in_flight: usize,
+    /// When the last chunk arrived or the fetch began.
     progress_at: TimePoint,
-    patience: Duration,
+    timeout: Duration,
     assembly: Assembly,
 }
 
 impl ChunkFetch {
-    /// Begins at `now` to ask `sources` in turn, and gives up once nothing came for `patience`.
-    pub fn new(sources: Vec<SocketAddr>, patience: Duration, now: TimePoint) -> Self {
+    /// Starts a fetch at `now` that tries `sources` in order and gives up after `timeout` without progress.
+    pub fn new(sources: Vec<SocketAddr>, timeout: Duration, now: TimePoint) -> Self {
         Self {
             sources,
             source: 0,
-            ask_at: now,
+            next_request_at: now,
             unanswered: 0,
-            silent: HashMap::new(),
-            awaited: 0,
+            unresponsive: HashMap::new(),
+            in_flight: 0,
             progress_at: now,
-            patience,
+            timeout,
             assembly: Assembly::default(),
         }
     }
 
-    /// The next step at this moment.
+    /// Returns the next step at `now`.
     pub fn next(&mut self, now: TimePoint) -> FetchStep {
-        if self.sources.is_empty() || now.since(self.progress_at) >= self.patience {
+        if self.sources.is_empty() || now.since(self.progress_at) >= self.timeout {
             return FetchStep::GiveUp;
         }
-        if now < self.ask_at {
-            return FetchStep::Wait(self.ask_at.since(now));
+        if now < self.next_request_at {
+            return FetchStep::Wait(self.next_request_at.since(now));
         }
-        let has_parts = self.assembly.missing(1).is_some();
-        let most = if has_parts { QUESTIONS_WITH_PARTS } else { 1 };
-        if self.unanswered >= most {
-            self.silent.insert(self.sources[self.source], now);
-            self.turn_to_next(now);
+        let has_chunks = self.assembly.missing(1).is_some();
+        let max_unanswered = if has_chunks { MAX_UNANSWERED_WITH_CHUNKS } else { 1 };
+        if self.unanswered >= max_unanswered {
+            self.unresponsive.insert(self.sources[self.source], now);
+            self.switch_source(now);
         }
         self.unanswered += 1;
-        self.ask_at = now + RETRY_INTERVAL;
+        self.next_request_at = now + RETRY_INTERVAL;
         let request = match self.assembly.missing(WINDOW) {
             Some((version, chunks)) => ChunkRequest { version: Some(version), chunks },
             None => ChunkRequest::default(),
         };
-        self.awaited = request.chunks.len().max(1);
+        self.in_flight = request.chunks.len().max(1);
         FetchStep::Send { source: self.sources[self.source], request }
     }
 
-    fn turn_to_next(&mut self, now: TimePoint) {
-        let is_silent = |it: &SocketAddr| {
-            self.silent.get(it).is_some_and(|since| now.since(*since) < SILENT_FOR)
+    fn switch_source(&mut self, now: TimePoint) {
+        let is_unresponsive = |it: &SocketAddr| {
+            self.unresponsive.get(it).is_some_and(|since| now.since(*since) < SOURCE_SKIP_TIME)
         };
         let following = (1..=self.sources.len()).map(|it| (self.source + it) % self.sources.len());
-        let next = following.clone().find(|it| !is_silent(&self.sources[*it]));
+        let next = following.clone().find(|it| !is_unresponsive(&self.sources[*it]));
         self.source = next.or_else(|| following.clone().next()).unwrap_or_default();
         self.unanswered = 0;
-        // Versions are each source's own.
+        // Each source has version numbers of its own.
         self.assembly = Assembly::default();
     }
 
-    /// Takes it that a source sends this VM on. `is_serving_others` says whether it has what is asked for.
+    /// Handles a redirect by a source. `is_serving_others` says whether the source has the value but no free slot.
     pub fn redirected(&mut self, from: SocketAddr, is_serving_others: bool, now: TimePoint) {
         if self.sources.get(self.source) != Some(&from) {
             return;
         }
-        self.turn_to_next(now);
-        self.ask_at = now + NEXT_PAUSE;
+        self.switch_source(now);
+        self.next_request_at = now + REDIRECT_DELAY;
         if is_serving_others {
             self.progress_at = now;
         }
     }
 
-    /// Takes a part; the whole value once it is the last that was missing. Parts of two sources make no whole.
-    pub fn receive(&mut self, from: SocketAddr, part: Chunk, now: TimePoint) -> Option<Vec<u8>> {
+    /// Adds a chunk. Returns the whole value if it was the last missing one. Chunks of different sources aren't combined.
+    pub fn receive(&mut self, from: SocketAddr, chunk: Chunk, now: TimePoint) -> Option<Vec<u8>> {
         if self.sources.get(self.source) != Some(&from) {
             return None;
         }
         let is_first = self.assembly.missing(1).is_none();
-        let of = part.of as usize;
-        let whole = self.assembly.take(part);
+        let of = chunk.of as usize;
+        let whole = self.assembly.add(chunk);
         self.progress_at = now;
         if is_first {
-            self.awaited = of.min(WINDOW);
+            self.in_flight = of.min(WINDOW);
         }
-        self.awaited = self.awaited.saturating_sub(1);
+        self.in_flight = self.in_flight.saturating_sub(1);
         self.unanswered = 0;
-        self.ask_at = if self.awaited == 0 { now } else { now + RETRY_INTERVAL };
+        self.next_request_at = if self.in_flight == 0 { now } else { now + RETRY_INTERVAL };
         whole
     }
 }
 
-/// Whom a source serves at present.
+/// The requesters that a source currently serves.
 ///
 /// # Examples
 ///
@@ -188,49 +189,49 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct ServeSlots {
-    asked: HashMap<String, TimePoint>,
+    last_requests: HashMap<String, TimePoint>,
 }
 
 impl ServeSlots {
-    /// Whether a VM with a link of so many bytes a second serves one that asks now.
-    pub fn admit(&mut self, asker: &str, link: u64, now: TimePoint) -> bool {
-        self.asked.retain(|_, at| now.since(*at) < SERVED_FOR);
-        let most = (link / BYTES_EACH).clamp(1, MOST_SERVED) as usize;
-        if !self.asked.contains_key(asker) && self.asked.len() >= most {
+    /// Returns whether a source with a link of `link` bytes per second serves `requester`, and reserves a slot if so.
+    pub fn admit(&mut self, requester: &str, link: u64, now: TimePoint) -> bool {
+        self.last_requests.retain(|_, at| now.since(*at) < SLOT_TTL);
+        let max_served = (link / BYTES_PER_SECOND_EACH).clamp(1, MAX_SERVED) as usize;
+        if !self.last_requests.contains_key(requester) && self.last_requests.len() >= max_served {
             return false;
         }
-        self.asked.insert(asker.to_owned(), now);
+        self.last_requests.insert(requester.to_owned(), now);
         true
     }
 
-    /// Takes it that one has got all.
-    pub fn release(&mut self, asker: &str) {
-        self.asked.remove(asker);
+    /// Frees the slot of a requester that has the whole value.
+    pub fn release(&mut self, requester: &str) {
+        self.last_requests.remove(requester);
     }
 }
 
-/// What each VM before this one in the order of its data centre adds to its patience, and the most that is added.
-const PATIENCE_EACH: Duration = Duration::from_millis(30);
-const MOST_PATIENCE: Duration = Duration::from_millis(2_500);
+/// Extension of the timeout for each VM of the data centre that ranks before this one, and its maximum.
+const TIMEOUT_PER_VM: Duration = Duration::from_millis(30);
+const MAX_TIMEOUT_EXTENSION: Duration = Duration::from_millis(2_500);
 
-/// For how long a VM waits for others, where so many of its data centre come before it: where nobody has the value, the
-/// first of them read it from the store, and are sources for the rest.
+/// Returns how long a VM waits for progress of a fetch if `before` VMs of its data centre rank before it. Where no VM has
+/// the value, the first ones read it from the store and become sources for the rest.
 ///
 /// # Examples
 ///
 /// ```
 /// use std::time::Duration;
 /// use quincevalve_forwarding::chunk_fetch::fetch_timeout;
-/// let least = Duration::from_millis(600);
-/// assert!(fetch_timeout(least, 3) < fetch_timeout(least, 40));
-/// assert!(fetch_timeout(least, 400) < Duration::from_secs(4));
+/// let base = Duration::from_millis(600);
+/// assert!(fetch_timeout(base, 3) < fetch_timeout(base, 40));
+/// assert!(fetch_timeout(base, 400) < Duration::from_secs(4));
 /// ```
-pub fn fetch_timeout(least: Duration, before: usize) -> Duration {
-    least + PATIENCE_EACH.mul_f64(before as f64).min(MOST_PATIENCE)
+pub fn fetch_timeout(base: Duration, before: usize) -> Duration {
+    base + TIMEOUT_PER_VM.mul_f64(before as f64).min(MAX_TIMEOUT_EXTENSION)
 }
 
-/// The order in which a VM asks: the `first`, who know most and soonest, then by turns one of the `others`, who may have
-/// got it meanwhile, and one of the first again.
+/// Returns the order in which a VM tries sources: `first`, which have the value soonest, then alternately one of `others`,
+/// which may have received it meanwhile, and one of `first` again.
 ///
 /// # Examples
 ///
--- a/crates/quincevalve_forwarding/src/duty.rs
+++ b/crates/quincevalve_forwarding/src/duty.rs
@@ -1,24 +1,24 @@
-//! Who acts for all entry VMs: one holder at a time, by a lease and a number that only grows.
+//! The duty to act for all entry VMs, held by one VM at a time under a lease and a fencing number.
 
 use std::time::Duration;
 
 use quincevalve_names::{FencingNumber, TimePoint};
 use serde::{Deserialize, Serialize};
 
-/// What stands in the store about the duty: the last holder and the number of changes.
+/// A term of the duty, as stored: its holder and its fencing number.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Term {
-    /// Grows by one with each change of holder.
+    /// Fencing number; grows by one with each change of holder.
     pub number: FencingNumber,
     /// The holder of this term.
     pub holder: String,
-    /// The holder of the term before.
+    /// The holder of the previous term.
     pub previous: String,
 }
 
 impl Term {
-    /// The term that begins when `holder` takes over.
+    /// Returns the term that begins when `holder` takes over.
     pub fn next(&self, holder: &str) -> Self {
         Self {
             number: FencingNumber(self.number.0 + 1),
@@ -30,67 +30,69 @@
 
 /// A term that this VM holds.
 #[derive(Clone, Debug)]
-struct Held {
+struct HeldTerm {
     number: FencingNumber,
-    /// When the newest renewal that was answered was sent.
-    renewed: TimePoint,
+    /// Time at which the newest answered renewal was sent.
+    renewal_sent_at: TimePoint,
     ttl: Duration,
-    /// Not before this time: the last holder may still act, or a quick return would look like a stale one.
-    from: TimePoint,
+    /// Earliest time to act: before it, the last holder may still act, or calls after a quick return would look like
+    /// delayed ones.
+    acts_from: TimePoint,
 }
 
-/// Part of a lease that the holder uses; the rest covers calls that are on their way when it ends.
-const USED_PART: f64 = 0.8;
+/// Fraction of a lease during which the holder may act; the rest covers calls that are in flight when it ends.
+const USABLE_FRACTION: f64 = 0.8;
 
-/// Whether this VM may act, and with which number.
+/// This VM's lease on the duty, if it holds one.
 #[derive(Clone, Debug, Default)]
 pub struct DutyLease {
-    held: Option<Held>,
+    held: Option<HeldTerm>,
 }
 
 impl DutyLease {
-    /// Takes over a term whose lease was asked for at `asked`.
+    /// Records that this VM took over a term whose lease was requested at `requested`.
     ///
-    /// Failure: the duty passes from A to B and back to A within a lease. Symptom: the platform can't tell
-    /// A's new calls from old ones that were held up. A holder that held the term before last therefore
-    /// waits for a whole lease before it acts.
+    /// If the duty passes from A to B and back to A within one lease, the platform can't distinguish A's new calls from
+    /// delayed old ones. A holder that also held the term before the previous holder's therefore waits for a whole lease
+    /// before it acts.
     pub fn record_acquired(
         &mut self,
         me: &str,
         before: &Term,
         term: &Term,
         ttl: Duration,
-        asked: TimePoint,
+        requested: TimePoint,
     ) {
         let returned = before.previous == me && before.holder != me;
-        let from = if returned { asked + ttl } else { asked };
-        self.held = Some(Held { number: term.number, renewed: asked, ttl, from });
+        let acts_from = if returned { requested + ttl } else { requested };
+        self.held =
+            Some(HeldTerm { number: term.number, renewal_sent_at: requested, ttl, acts_from });
     }
 
-    /// Notes a renewal that was sent at `asked` and answered.
-    pub fn record_renewal(&mut self, asked: TimePoint) {
+    /// Records an answered renewal that was sent at `sent`.
+    pub fn record_renewal(&mut self, sent: TimePoint) {
         if let Some(held) = &mut self.held {
-            held.renewed = held.renewed.max(asked);
+            held.renewal_sent_at = held.renewal_sent_at.max(sent);
         }
     }
 
-    /// Gives the duty up.
+    /// Records that the duty was lost.
     pub fn record_lost(&mut self) {
         self.held = None;
     }
 
-    /// Whether this VM holds a term whose lease has not run out.
+    /// Returns whether this VM holds a term whose lease hasn't expired.
     pub fn is_held(&self, now: TimePoint) -> bool {
-        self.held.as_ref().is_some_and(|it| now.since(it.renewed) < it.ttl)
+        self.held.as_ref().is_some_and(|it| now.since(it.renewal_sent_at) < it.ttl)
     }
 
-    /// The number to act with; `None` where this VM may not act.
+    /// Returns the fencing number to act with, or `None` if this VM may not act.
     ///
-    /// A renewal counts from when it was sent, on a clock that counts suspension: a VM that stood still
-    /// finds its lease too old before its next call.
+    /// A renewal counts from when it was sent, on a clock that includes time spent suspended: a VM that was paused finds
+    /// its lease too old before its next call.
     pub fn fencing_number(&self, now: TimePoint) -> Option<FencingNumber> {
         let held = self.held.as_ref()?;
-        let used = held.ttl.mul_f64(USED_PART);
-        (now >= held.from && now.since(held.renewed) < used).then_some(held.number)
+        let usable = held.ttl.mul_f64(USABLE_FRACTION);
+        (now >= held.acts_from && now.since(held.renewal_sent_at) < usable).then_some(held.number)
     }
 }
--- a/crates/quincevalve_forwarding/src/peer_table.rs
+++ b/crates/quincevalve_forwarding/src/peer_table.rs
@@ -1,9 +1,9 @@
-//! Which entry VMs there are, and which of them collect what the others tell.
+//! The known entry VMs, and the choice of those that collect reports.
 //!
-//! In a small system every VM tells every other. In a large one that would cost each VM more the more there
-//! are, so in each data centre one VM collects: its members tell it what they do, collectors tell each other
-//! the sum of their members, and each member hears the sum of all others from its collector. A VM then sends
-//! and takes a few datagrams in a period, whatever the size of the system.
+//! In a small system every VM sends its reports to every other. In a large one the cost per VM would grow with their
+//! number, so one VM per data centre is the collector: its members report to it, collectors exchange the sums of their
+//! members, and each member receives the sum of all others from its collector. A VM then sends and receives a few
+//! datagrams per period, whatever the size of the system.
 
 mod ranking;
 
@@ -16,26 +16,25 @@
 use self::ranking::{Rank, Ranking};
 use crate::{shared_limit::Seat, store_pacing::ReadingPart};
 
-/// Up to this many VMs everyone tells everyone: a dozen datagrams a period are cheap, and there is no
-/// collector to lose.
-const SMALL: usize = 16;
-/// VMs that read the store for all: one, and one in case it can't.
-const READERS: usize = 2;
-/// A collector that has not answered for this long has gone or is out of reach; it answers ten times in it.
-const SILENT: Duration = Duration::from_millis(800);
-/// A VM that tells several times a second and was not heard for this long is silent.
-const LATELY: Duration = Duration::from_secs(2);
-/// A peer that is neither listed nor heard for this long is forgotten.
-const FORGET_AFTER: Duration = Duration::from_secs(10);
-
-/// What a VM says of itself.
+/// Up to this many VMs each VM reports to every other: a dozen datagrams per period are cheap, and no collector can fail.
+const MAX_VMS_OF_SMALL_SYSTEM: usize = 16;
+/// Number of VMs that read the store for all: one, and a second in case the first can't.
+const MAX_STORE_READERS: usize = 2;
+/// A VM that has not answered for this long is down or unreachable; a collector answers ten times in it.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(800);
+/// VMs report several times a second; one from which nothing was received for this long has stopped.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(2);
+/// An unlisted peer from which nothing was received for this long is removed.
+const PEER_TTL: Duration = Duration::from_secs(10);
+
+/// A VM's description of itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmDescriptor {
     /// Its name.
     pub name: String,
-    /// Where it takes datagrams.
+    /// Address at which it receives datagrams.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// Its data centre.
     pub data_centre: DataCentreName,
     /// Thousandths of a processor core that it may use.
     pub cpu: u32,
@@ -43,31 +42,31 @@
 
 #[derive(Clone, Debug)]
 struct Peer {
-    card: VmDescriptor,
-    /// The hash of its name, which costs more than all else that is done with the name.
+    descriptor: VmDescriptor,
+    /// Hash of its name, cached because it costs more than any other use of the name.
     hash: u64,
     listed: bool,
-    heard: Option<TimePoint>,
-    /// Since when it has been told things without any answer.
-    asked: Option<TimePoint>,
+    received_at: Option<TimePoint>,
+    /// Time of the first datagram sent to it since its last answer.
+    unanswered_since: Option<TimePoint>,
 }
 
 impl Peer {
-    fn is_silent(&self, now: TimePoint) -> bool {
-        let waits = self.asked.is_some_and(|it| now.since(it) > SILENT);
-        waits && self.heard.is_none_or(|it| now.since(it) > SILENT)
+    fn is_unresponsive(&self, now: TimePoint) -> bool {
+        let is_overdue = self.unanswered_since.is_some_and(|it| now.since(it) > ANSWER_TIMEOUT);
+        is_overdue && self.received_at.is_none_or(|it| now.since(it) > ANSWER_TIMEOUT)
     }
 }
 
-/// What a VM does with what it knows.
+/// A VM's role in the exchange of reports.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// It tells these VMs the sum of itself and its members.
+    /// It sends the sum of itself and its members to other collectors.
     Collector {
-        /// Collectors of other members, and in a small system all other VMs.
+        /// Addresses of the other collectors; in a small system, of all other VMs.
         others: Vec<SocketAddr>,
     },
-    /// It tells this VM what it does, and hears the rest from it.
+    /// It reports to a collector and receives the sum of all others from it.
     Member {
         /// The collector's name.
         collector: String,
@@ -76,10 +75,10 @@
     },
 }
 
-/// The entry VMs that are known.
+/// Table of the known entry VMs.
 ///
-/// Load: roles are asked for with each datagram, and hundreds of VMs are known. What that takes is kept up to date as VMs
-/// come and go, so that an answer costs the same whatever their number.
+/// Roles are looked up for each datagram, with hundreds of VMs known. The ranking that this needs is maintained as VMs are
+/// added and removed, so that a lookup costs the same whatever their number.
 #[derive(Clone, Debug)]
 pub struct PeerTable {
     me: VmDescriptor,
@@ -91,7 +90,7 @@
 }
 
 impl PeerTable {
-    /// Knows nobody but `me`.
+    /// Creates a table that holds only this VM, `me`.
     pub fn new(me: VmDescriptor) -> Self {
         let me_hash = hash_text(&me.name);
         let mut ranking = Ranking::default();
@@ -99,113 +98,122 @@
         Self { me, me_hash, peers: IndexMap::new(), names: HashMap::new(), ranking }
     }
 
-    /// This VM's own card.
+    /// Returns this VM's own descriptor.
     pub fn me(&self) -> &VmDescriptor {
         &self.me
     }
 
-    /// The entry VMs that are known, this one included.
+    /// Returns the number of known entry VMs, this one included.
     pub fn vm_count(&self) -> usize {
         self.peers.len() + 1
     }
 
-    /// Takes a VM's entry in the store; `true` if it is new.
-    pub fn apply_entry(&mut self, card: VmDescriptor) -> bool {
-        if card.name == self.me.name {
+    /// Applies a VM's entry in the store. Returns `true` if the VM is new.
+    pub fn apply_entry(&mut self, descriptor: VmDescriptor) -> bool {
+        if descriptor.name == self.me.name {
             return false;
         }
-        if let Some(peer) = self.peers.get_mut(&card.name) {
+        if let Some(peer) = self.peers.get_mut(&descriptor.name) {
             peer.listed = true;
-            if peer.card != card {
-                let (before, hash) = (std::mem::replace(&mut peer.card, card.clone()), peer.hash);
+            if peer.descriptor != descriptor {
+                let (before, hash) =
+                    (std::mem::replace(&mut peer.descriptor, descriptor.clone()), peer.hash);
                 self.unindex(&before, hash);
-                self.index(&card, hash);
+                self.index(&descriptor, hash);
             }
             return false;
         }
-        let hash = hash_text(&card.name);
-        self.index(&card, hash);
-        let name = card.name.clone();
-        self.peers.insert(name, Peer { card, hash, listed: true, heard: None, asked: None });
+        let hash = hash_text(&descriptor.name);
+        self.index(&descriptor, hash);
+        let name = descriptor.name.clone();
+        self.peers.insert(
+            name,
+            Peer { descriptor, hash, listed: true, received_at: None, unanswered_since: None },
+        );
         true
     }
 
-    fn index(&mut self, card: &VmDescriptor, hash: u64) {
-        self.ranking.insert(card, hash);
-        self.names.insert(card.address, card.name.clone());
+    fn index(&mut self, descriptor: &VmDescriptor, hash: u64) {
+        self.ranking.insert(descriptor, hash);
+        self.names.insert(descriptor.address, descriptor.name.clone());
     }
 
-    fn unindex(&mut self, card: &VmDescriptor, hash: u64) {
-        self.ranking.remove(card, hash);
-        // Another VM may have taken its address over.
-        if self.names.get(&card.address) == Some(&card.name) {
-            self.names.remove(&card.address);
+    fn unindex(&mut self, descriptor: &VmDescriptor, hash: u64) {
+        self.ranking.remove(descriptor, hash);
+        // Another VM may have taken over its address.
+        if self.names.get(&descriptor.address) == Some(&descriptor.name) {
+            self.names.remove(&descriptor.address);
         }
     }
 
-    /// Notes that a VM's entry was removed.
+    /// Records that a VM's entry was removed from the store.
     pub fn mark_unlisted(&mut self, name: &str) {
         if let Some(peer) = self.peers.get_mut(name) {
             peer.listed = false;
         }
     }
 
-    /// Takes the whole list.
-    pub fn replace_all(&mut self, cards: Vec<VmDescriptor>) {
+    /// Replaces the listed VMs by all entries of the store.
+    pub fn replace_all(&mut self, descriptors: Vec<VmDescriptor>) {
         self.peers.values_mut().for_each(|it| it.listed = false);
-        for card in cards {
-            self.apply_entry(card);
+        for descriptor in descriptors {
+            self.apply_entry(descriptor);
         }
     }
 
-    /// Notes a datagram from a VM, which may be unlisted yet.
-    pub fn record_received(&mut self, card: &VmDescriptor, now: TimePoint) {
-        if !self.peers.contains_key(&card.name) {
-            self.apply_entry(card.clone());
+    /// Records a datagram received from a VM, which may not be listed yet.
+    pub fn record_received(&mut self, descriptor: &VmDescriptor, now: TimePoint) {
+        if !self.peers.contains_key(&descriptor.name) {
+            self.apply_entry(descriptor.clone());
         }
-        if let Some(peer) = self.peers.get_mut(&card.name) {
-            peer.heard = Some(now);
-            peer.asked = None;
+        if let Some(peer) = self.peers.get_mut(&descriptor.name) {
+            peer.received_at = Some(now);
+            peer.unanswered_since = None;
         }
     }
 
-    /// Notes a datagram to a VM.
+    /// Records a datagram sent to a VM.
     pub fn record_datagram_sent(&mut self, address: SocketAddr, now: TimePoint) {
         let name = self.names.get(&address);
         if let Some(peer) = name.and_then(|it| self.peers.get_mut(it)) {
-            peer.asked.get_or_insert(now);
+            peer.unanswered_since.get_or_insert(now);
         }
     }
 
-    /// Forgets VMs that are gone and returns their names.
+    /// Removes unlisted VMs that stopped sending, and returns their names.
     pub fn remove_expired(&mut self, now: TimePoint) -> Vec<String> {
-        let is_gone =
-            |it: &Peer| !it.listed && it.heard.is_none_or(|heard| now.since(heard) > FORGET_AFTER);
-        let gone: Vec<_> =
-            self.peers.iter().filter(|(_, it)| is_gone(it)).map(|(name, _)| name.clone()).collect();
-        for name in &gone {
+        let is_expired = |it: &Peer| {
+            !it.listed && it.received_at.is_none_or(|received_at| now.since(received_at) > PEER_TTL)
+        };
+        let removed: Vec<_> = self
+            .peers
+            .iter()
+            .filter(|(_, it)| is_expired(it))
+            .map(|(name, _)| name.clone())
+            .collect();
+        for name in &removed {
             if let Some(peer) = self.peers.shift_remove(name) {
-                self.unindex(&peer.card, peer.hash);
+                self.unindex(&peer.descriptor, peer.hash);
             }
         }
-        gone
+        removed
     }
 
-    /// The card of a VM by name.
+    /// Returns the descriptor of the VM with a name.
     pub fn descriptor(&self, name: &str) -> Option<&VmDescriptor> {
         if name == self.me.name {
             return Some(&self.me);
         }
-        self.peers.get(name).map(|it| &it.card)
+        self.peers.get(name).map(|it| &it.descriptor)
     }
 
-    /// The cards of all VMs that are listed, and this one's.
+    /// Returns the descriptors of all listed VMs and of this one.
     pub fn listed_descriptors(&self) -> impl Iterator<Item = &VmDescriptor> {
-        let listed = self.peers.values().filter(|it| it.listed).map(|it| &it.card);
+        let listed = self.peers.values().filter(|it| it.listed).map(|it| &it.descriptor);
         listed.chain([&self.me])
     }
 
-    /// This VM's place among all that are listed, in an order of `key`'s own.
+    /// Returns this VM's rank among all listed VMs, in an order that depends on `key`.
     pub fn rank(&self, key: u64) -> Seat {
         let me = rendezvous_score(key, self.me_hash);
         let listed = self.peers.values().filter(|it| it.listed);
@@ -215,62 +223,63 @@
         Seat { rank: before, of: others + 1 }
     }
 
-    /// The other VMs that may still have something to tell.
+    /// Returns the names of the other VMs whose reports may still arrive.
     ///
-    /// Failure: a VM is gone for good, and what it would tell is waited for. Symptom: reports come seconds late,
-    /// or are lost when the one who waits goes too. Who is neither listed nor heard lately has nothing to tell.
+    /// VMs that are neither listed nor were received from recently are left out. Waiting for a VM that is gone for good
+    /// would delay the reports of the waiting VM by seconds, or lose them if that VM stops too.
     pub fn expected_reporters(&self, now: TimePoint) -> impl Iterator<Item = &str> {
-        let is_heard = move |it: &Peer| it.heard.is_some_and(|at| now.since(at) <= LATELY);
-        let awaited = self.peers.iter().filter(move |(_, it)| it.listed || is_heard(it));
-        awaited.map(|(name, _)| name.as_str())
+        let is_reporting =
+            move |it: &Peer| it.received_at.is_some_and(|at| now.since(at) <= REPORT_TIMEOUT);
+        let reporters = self.peers.iter().filter(move |(_, it)| it.listed || is_reporting(it));
+        reporters.map(|(name, _)| name.as_str())
     }
 
-    /// The name of the VM at an address.
+    /// Returns the name of the VM at an address.
     pub fn name_of(&self, address: SocketAddr) -> Option<&str> {
         self.names.get(&address).map(String::as_str)
     }
 
-    /// Whether every VM of a small system tells every other.
+    /// Returns whether the system is so small that every VM reports to every other.
     pub fn is_small(&self) -> bool {
-        self.vm_count() <= SMALL
+        self.vm_count() <= MAX_VMS_OF_SMALL_SYSTEM
     }
 
-    /// This VM's role at present. `has_members` says whether others have chosen it as their collector.
+    /// Returns this VM's role at `now`. `has_members` says whether others have chosen it as their collector.
     ///
-    /// Each VM chooses for itself: the strongest of its data centre that answers. VMs that differ in what
-    /// they know choose differently for a while, and both collectors then pass on what they were told.
+    /// Each VM chooses the strongest VM of its data centre that answers. VMs that know different VMs choose different
+    /// collectors for a while, and both collectors then forward the reports that they receive.
     pub fn role(&self, has_members: bool, now: TimePoint) -> Role {
         if self.is_small() {
-            let others = self.peers.values().map(|it| it.card.address).collect();
+            let others = self.peers.values().map(|it| it.descriptor.address).collect();
             return Role::Collector { others };
         }
-        let mut first = self.ranked(&self.me.data_centre).take(COLLECTORS_TRIED);
+        let mut first = self.vms_by_rank(&self.me.data_centre).take(MAX_COLLECTORS_TRIED);
         let best = first.next();
         let chosen = best
             .into_iter()
             .chain(first)
-            .find(|it| it.name == self.me.name || !self.is_silent(it, now))
+            .find(|it| it.name == self.me.name || !self.is_unresponsive(it, now))
             .or(best);
         match chosen {
-            Some(card) if card.name != self.me.name && !has_members => {
-                Role::Member { collector: card.name.clone(), address: card.address }
+            Some(descriptor) if descriptor.name != self.me.name && !has_members => {
+                Role::Member { collector: descriptor.name.clone(), address: descriptor.address }
             }
             _ => Role::Collector { others: self.other_collectors(now) },
         }
     }
 
-    /// The best collector of this VM's data centre, if it was silent and another is used.
+    /// Returns the address of the strongest collector of this VM's data centre if it doesn't answer and another is used.
     ///
-    /// Failure: all VMs start together, and the strongest takes longer than the others wait. Symptom: weak VMs
-    /// collect for good, and those of other data centres don't know them. The best one is asked again now and
-    /// then, and used once it answers.
+    /// When all VMs start together, the strongest may take longer than the others wait. Without further attempts, weak VMs
+    /// would stay collectors that VMs of other data centres don't know. Callers therefore contact the strongest one
+    /// now and then, and it is used once it answers.
     pub fn preferred_collector(&self, now: TimePoint) -> Option<SocketAddr> {
-        let best = self.ranked(&self.me.data_centre).next()?;
-        let is_better = best.name != self.me.name && self.is_silent(best, now);
+        let best = self.vms_by_rank(&self.me.data_centre).next()?;
+        let is_better = best.name != self.me.name && self.is_unresponsive(best, now);
         (!self.is_small() && is_better).then_some(best.address)
     }
 
-    /// Whether this VM passes on what it knows of the store: collectors do, and in a small system those that read it.
+    /// Returns whether this VM relays changes of the store: collectors do, and in a small system the VMs that read it.
     pub fn relays_store(&self, has_members: bool, now: TimePoint) -> bool {
         if self.is_small() {
             return self.store_read_role(has_members, now) == ReadingPart::Reader;
@@ -278,11 +287,13 @@
         matches!(self.role(has_members, now), Role::Collector { .. })
     }
 
-    /// How this VM takes part in reading the store. In a small system the first two read for all; in a large one the first
-    /// two collectors do, and the others stand by.
+    /// Returns this VM's role in reading the store.
+    ///
+    /// In a small system the first two VMs read for all; in a large one the first two collectors do, and the others are on
+    /// standby.
     pub fn store_read_role(&self, has_members: bool, now: TimePoint) -> ReadingPart {
         let candidates: Vec<&VmDescriptor> = if self.is_small() {
-            self.peers.values().map(|it| &it.card).chain([&self.me]).collect()
+            self.peers.values().map(|it| &it.descriptor).chain([&self.me]).collect()
         } else if matches!(self.role(has_members, now), Role::Collector { .. }) {
             self.ranking.centres().filter_map(|it| self.collector_of(it, now)).collect()
         } else {
@@ -297,36 +308,38 @@
         }
     }
 
-    /// The first of the candidates that answer, strongest first; the same order everywhere.
+    /// Returns the first candidates that answer, strongest first, in the same order at all VMs.
     fn first_readers<'a>(
         &self,
         candidates: Vec<&'a VmDescriptor>,
         now: TimePoint,
     ) -> impl Iterator<Item = &'a VmDescriptor> {
-        ranked(candidates.into_iter())
+        sorted_by_rank(candidates.into_iter())
             .into_iter()
-            .filter(move |it| !self.is_silent(it, now))
-            .take(READERS)
+            .filter(move |it| !self.is_unresponsive(it, now))
+            .take(MAX_STORE_READERS)
     }
 
-    /// The collector of a data centre as far as it answers: this VM, or the strongest that does.
+    /// Returns the collector of a data centre: this VM in its own, otherwise the strongest that answers.
     fn collector_of(&self, centre: &DataCentreName, now: TimePoint) -> Option<&VmDescriptor> {
         if *centre == self.me.data_centre {
             return Some(&self.me);
         }
-        self.ranked(centre).take(COLLECTORS_TRIED).find(|it| !self.is_silent(it, now))
+        self.vms_by_rank(centre)
+            .take(MAX_COLLECTORS_TRIED)
+            .find(|it| !self.is_unresponsive(it, now))
     }
 
-    /// Of each data centre the first that answers, and where the very first doesn't, also that one.
+    /// Returns, for each data centre, the strongest VM that answers and those before it that don't.
     fn other_collectors(&self, now: TimePoint) -> Vec<SocketAddr> {
         let mut collectors = Vec::new();
         for centre in self.ranking.centres() {
-            for card in self.ranked(centre).take(COLLECTORS_TRIED) {
-                if card.name == self.me.name {
+            for descriptor in self.vms_by_rank(centre).take(MAX_COLLECTORS_TRIED) {
+                if descriptor.name == self.me.name {
                     break;
                 }
-                collectors.push(card.address);
-                if !self.is_silent(card, now) {
+                collectors.push(descriptor.address);
+                if !self.is_unresponsive(descriptor, now) {
                     break;
                 }
             }
@@ -334,66 +347,68 @@
         collectors
     }
 
-    fn is_silent(&self, card: &VmDescriptor, now: TimePoint) -> bool {
-        self.peers.get(&card.name).is_some_and(|it| it.is_silent(now))
+    fn is_unresponsive(&self, descriptor: &VmDescriptor, now: TimePoint) -> bool {
+        self.peers.get(&descriptor.name).is_some_and(|it| it.is_unresponsive(now))
     }
 
-    /// The VMs of a data centre, strongest first; the same order everywhere.
-    fn ranked(&self, centre: &DataCentreName) -> impl Iterator<Item = &VmDescriptor> {
+    /// Returns the VMs of a data centre, strongest first, in the same order at all VMs.
+    fn vms_by_rank(&self, centre: &DataCentreName) -> impl Iterator<Item = &VmDescriptor> {
         self.ranking.of(centre).filter_map(|it| self.descriptor(it))
     }
 }
 
-/// VMs by rank, strongest first; the same order everywhere.
-fn ranked<'a>(cards: impl Iterator<Item = &'a VmDescriptor>) -> Vec<&'a VmDescriptor> {
-    let mut cards: Vec<_> = cards.collect();
-    cards.sort_by_cached_key(|it| Rank::new(it, hash_text(&it.name)));
-    cards
+/// Sorts VMs, strongest first, in the same order at all VMs.
+fn sorted_by_rank<'a>(
+    descriptors: impl Iterator<Item = &'a VmDescriptor>,
+) -> Vec<&'a VmDescriptor> {
+    let mut descriptors: Vec<_> = descriptors.collect();
+    descriptors.sort_by_cached_key(|it| Rank::new(it, hash_text(&it.name)));
+    descriptors
 }
 
-/// The VMs of a data centre that one of it asks for what it knows when it starts, in the order in which it asks them;
-/// none where it should read the store itself.
+/// Returns the VMs from which the starting VM `me` fetches state, in the order in which it tries them; none if it should
+/// read the store itself.
 ///
-/// The first three read the store: they collect, or are next. The others begin with different ones of these, so that each
-/// has a third of them to answer.
+/// The first three VMs of a data centre read the store: they are its collector or next in line. The others start with
+/// different ones of these, so that each serves a third of the VMs.
 ///
 /// # Examples
 ///
 /// ```
 /// use quincevalve_forwarding::peer_table::{VmDescriptor, startup_sources};
-/// let card = |at: u32| VmDescriptor {
+/// let descriptor = |at: u32| VmDescriptor {
 ///     name: format!("vm-{at}"),
 ///     address: ([10, 0, 0, at as u8], 7600).into(),
 ///     data_centre: "north".into(),
 ///     cpu: if at < 3 { 500 } else { 120 },
 /// };
-/// let cards: Vec<_> = (0..40).map(card).collect();
-/// assert!(startup_sources(&cards[1], &cards).is_empty());
-/// assert_eq!(startup_sources(&cards[30], &cards).len(), 3);
-/// assert!(startup_sources(&cards[5], &cards[..8]).is_empty());
+/// let descriptors: Vec<_> = (0..40).map(descriptor).collect();
+/// assert!(startup_sources(&descriptors[1], &descriptors).is_empty());
+/// assert_eq!(startup_sources(&descriptors[30], &descriptors).len(), 3);
+/// assert!(startup_sources(&descriptors[5], &descriptors[..8]).is_empty());
 /// ```
 pub fn startup_sources(me: &VmDescriptor, centre: &[VmDescriptor]) -> Vec<SocketAddr> {
-    if centre.len() < MANY_IN_A_CENTRE {
+    if centre.len() < MIN_VMS_FOR_STATE_FETCH {
         return Vec::new();
     }
-    let first = ranked(centre.iter()).into_iter().take(COLLECTORS_TRIED);
+    let first = sorted_by_rank(centre.iter()).into_iter().take(MAX_COLLECTORS_TRIED);
     let mut first: Vec<_> = first.collect();
     if first.iter().any(|it| it.name == me.name) {
         return Vec::new();
     }
-    let turn = hash_text(&me.name) as usize % first.len();
-    first.rotate_left(turn);
+    let offset = hash_text(&me.name) as usize % first.len();
+    first.rotate_left(offset);
     first.into_iter().map(|it| it.address).collect()
 }
 
-/// How many VMs of its data centre come before one that starts.
+/// Returns how many VMs of its data centre rank before the starting VM `me`.
 pub fn startup_rank(me: &VmDescriptor, centre: &[VmDescriptor]) -> usize {
-    ranked(centre.iter()).iter().position(|it| it.name == me.name).unwrap_or(centre.len())
+    sorted_by_rank(centre.iter()).iter().position(|it| it.name == me.name).unwrap_or(centre.len())
 }
 
-/// From so many VMs in a data centre on one that starts asks others for what it knows. Fewer read the store in little
-/// time even when all start together.
-const MANY_IN_A_CENTRE: usize = 12;
+/// Minimum number of VMs in a data centre for which a starting VM fetches state from others. Fewer read the store quickly
+/// even when all start together.
+const MIN_VMS_FOR_STATE_FETCH: usize = 12;
 
-/// Collectors of one data centre that are tried at most: the first may be down, and the second just so.
-const COLLECTORS_TRIED: usize = 3;
+/// Maximum number of collectors tried per data centre: the first may be down, and so may the second.
+const MAX_COLLECTORS_TRIED: usize = 3;
--- a/crates/quincevalve_forwarding/tests/chunks.rs
+++ b/crates/quincevalve_forwarding/tests/chunks.rs
@@ -13,20 +13,20 @@
     let (old, new) = (value(60_000, 1), value(70_000, 2));
     let (old_parts, new_parts) = (split_into_chunks(4, &old), split_into_chunks(5, &new));
     let mut assembly = Assembly::default();
-    assert_eq!(assembly.take(old_parts[0].clone()), None);
-    assert_eq!(assembly.take(new_parts[0].clone()), None);
-    assert_eq!(assembly.take(old_parts[1].clone()), None);
-    assert_eq!(assembly.take(old_parts[2].clone()), None);
-    assert_eq!(assembly.take(new_parts[1].clone()), None);
-    assert_eq!(assembly.take(new_parts[2].clone()), Some(new));
+    assert_eq!(assembly.add(old_parts[0].clone()), None);
+    assert_eq!(assembly.add(new_parts[0].clone()), None);
+    assert_eq!(assembly.add(old_parts[1].clone()), None);
+    assert_eq!(assembly.add(old_parts[2].clone()), None);
+    assert_eq!(assembly.add(new_parts[1].clone()), None);
+    assert_eq!(assembly.add(new_parts[2].clone()), Some(new));
 }
 
 #[test]
 fn parts_that_claim_too_much_are_left_out() {
     let mut assembly = Assembly::default();
-    assert_eq!(assembly.take(Chunk { version: 1, at: 3, of: 2, bytes: vec![0] }), None);
-    assert_eq!(assembly.take(Chunk { version: 1, at: 0, of: u32::MAX, bytes: vec![0] }), None);
-    assert_eq!(assembly.take(Chunk { version: 1, at: 0, of: 1, bytes: vec![9] }), Some(vec![9]));
+    assert_eq!(assembly.add(Chunk { version: 1, at: 3, of: 2, bytes: vec![0] }), None);
+    assert_eq!(assembly.add(Chunk { version: 1, at: 0, of: u32::MAX, bytes: vec![0] }), None);
+    assert_eq!(assembly.add(Chunk { version: 1, at: 0, of: 1, bytes: vec![9] }), Some(vec![9]));
 }
 
 proptest! {
@@ -48,7 +48,7 @@
         let mut assembly = Assembly::default();
         let sent = order.iter().filter(|(_, lost)| !lost).map(|(at, _)| at % parts.len());
         for at in sent.chain(0..parts.len()) {
-            if let Some(whole) = assembly.take(parts[at].clone()) {
+            if let Some(whole) = assembly.add(parts[at].clone()) {
                 prop_assert_eq!(&whole, &value);
                 return Ok(());
             }
--- a/crates/quincevalve_node/src/store/config_copy.rs
+++ b/crates/quincevalve_node/src/store/config_copy.rs
@@ -61,7 +61,7 @@
     if node.config().is_some_and(|it| it.version >= part.version) {
         return;
     }
-    let Some(value) = node.config_copy.borrow_mut().assembly.take(part) else { return };
+    let Some(value) = node.config_copy.borrow_mut().assembly.add(part) else { return };
     match bincode::deserialize::<ForwardingConfig>(&value) {
         Ok(config) => {
             log::info!(peer:% = from, version = config.version; "config-from-peer");
