--- a/crates/quincevalve_forwarding/src/poison/cases.rs
+++ b/crates/quincevalve_forwarding/src/poison/cases.rs
@@ -164,7 +164,7 @@
 pub(super) enum Step {
     /// Ask all VMs whether the request completed.
     Inquire { digest: RequestDigest, servers: ExitedServers },
-    /// Don't send it to servers from this VM until other VMs can be sent_at.
+    /// Don't send it to servers from this VM until other VMs can be asked.
     BlockLocally(RequestDigest),
     /// Quarantine it at all VMs.
     Quarantine { digest: RequestDigest, servers: ExitedServers, exits: ExitPattern },
