--- a/crates/quincevalve_forwarding/tests/duty.rs
+++ b/crates/quincevalve_forwarding/tests/duty.rs
@@ -1,4 +1,4 @@
-//! One holder at a time, and what it may do when.
+//! When the holder of the duty may act.
 
 mod support;
 
@@ -12,9 +12,9 @@
     Term { number: FencingNumber(number), holder: holder.to_owned(), previous: previous.to_owned() }
 }
 
-fn taken(before: &Term, asked_ms: u64) -> DutyLease {
+fn acquired(before: &Term, requested_ms: u64) -> DutyLease {
     let mut duty = DutyLease::default();
-    duty.record_acquired("vm-a", before, &before.next("vm-a"), TTL, ms(asked_ms));
+    duty.record_acquired("vm-a", before, &before.next("vm-a"), TTL, ms(requested_ms));
     duty
 }
 
@@ -27,15 +27,15 @@
 }
 
 #[test]
-fn who_never_took_the_duty_may_not_act() {
+fn a_vm_that_never_acquired_the_duty_may_not_act() {
     assert_eq!(DutyLease::default().fencing_number(ms(0)), None);
 }
 
-// The platform gets an order from a VM whose lease had run out: it stood still between two renewals, and
-// another had taken over. The renewal counts from when it was sent, on a clock that counts the stand-still.
+// A holder that was paused between two renewals would send orders to the platform after another VM took over. A renewal
+// counts from when it was sent, on a clock that includes the pause.
 #[test]
-fn a_holder_that_stood_still_may_not_act() {
-    let duty = taken(&Term::default(), 0);
+fn a_holder_whose_lease_expired_during_a_pause_may_not_act() {
+    let duty = acquired(&Term::default(), 0);
     assert_eq!(duty.fencing_number(ms(1_000)), Some(FencingNumber(1)));
     assert_eq!(duty.fencing_number(ms(2_400)), None);
     assert!(duty.is_held(ms(2_999)));
@@ -44,7 +44,7 @@
 
 #[test]
 fn a_renewal_counts_from_when_it_was_sent() {
-    let mut duty = taken(&Term::default(), 0);
+    let mut duty = acquired(&Term::default(), 0);
     duty.record_renewal(ms(1_000));
     assert_eq!(duty.fencing_number(ms(3_300)), Some(FencingNumber(1)));
     assert_eq!(duty.fencing_number(ms(3_401)), None);
@@ -52,11 +52,11 @@
     assert_eq!(duty.fencing_number(ms(3_300)), Some(FencingNumber(1)));
 }
 
-// The platform sees A, B and A again within a lease, and can't tell A's new orders from old ones that were
-// held up. A waits a whole lease before it acts again.
+// If the duty passes from A to B and back to A within a lease, the platform can't distinguish A's new orders from delayed
+// old ones. A waits for a whole lease before it acts again.
 #[test]
 fn a_holder_that_returns_after_another_waits_for_a_lease() {
-    let mut duty = taken(&term(6, "vm-b", "vm-a"), 10_000);
+    let mut duty = acquired(&term(6, "vm-b", "vm-a"), 10_000);
     for at in [10_500, 11_000, 12_000, 12_900] {
         duty.record_renewal(ms(at));
         assert_eq!(duty.fencing_number(ms(at)), None);
@@ -66,18 +66,18 @@
 }
 
 fn acts_at_once(holder: &str, previous: &str) {
-    let duty = taken(&term(6, holder, previous), 0);
+    let duty = acquired(&term(6, holder, previous), 0);
     assert_eq!(duty.fencing_number(ms(1)), Some(FencingNumber(7)));
 }
 
 cases! { acts_at_once:
     a_holder_that_follows_itself_acts_at_once => "vm-a", "vm-b";
-    a_holder_that_follows_a_third_acts_at_once => "vm-b", "vm-c";
+    a_holder_that_follows_a_third_vm_acts_at_once => "vm-b", "vm-c";
 }
 
 #[test]
-fn a_lost_duty_is_lost() {
-    let mut duty = taken(&Term::default(), 0);
+fn a_vm_that_lost_the_duty_may_not_act() {
+    let mut duty = acquired(&Term::default(), 0);
     duty.record_lost();
     assert_eq!(duty.fencing_number(ms(1)), None);
     assert!(!duty.is_held(ms(1)));
--- a/crates/quincevalve_forwarding/tests/poison_world/world.rs
+++ b/crates/quincevalve_forwarding/tests/poison_world/world.rs
@@ -1,4 +1,4 @@
-//! Many VMs with their real decision cores, and servers, a network and a store in virtual time.
+//! Simulates VMs with their real [`PoisonGuard`], servers, a network and a store in virtual time.
 
 use std::{collections::BTreeMap, fmt};
 
@@ -10,138 +10,139 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Milliseconds of a step.
+/// Milliseconds of a simulation step.
 const STEP: u64 = 10;
-/// Milliseconds between two turns of a VM.
+/// Milliseconds between two ticks of a VM.
 const PERIOD: u64 = 60;
-/// Milliseconds until a server that exited is back.
-const BACK_AFTER: u64 = 3_000;
-/// Milliseconds until a VM whose process was killed is back.
-const VM_BACK_AFTER: u64 = 1_500;
-/// Milliseconds that a change of the store takes to each VM, from and to.
+/// Milliseconds until a server that exited has restarted.
+const RESTART_TIME: u64 = 3_000;
+/// Milliseconds until a VM whose process was killed has restarted.
+const VM_RESTART_TIME: u64 = 1_500;
+/// Milliseconds that a change of the store takes to reach a VM, minimum and maximum.
 const STORE_DELAY: (u64, u64) = (20, 400);
-/// Milliseconds that a datagram takes, from and to.
+/// Latency of a datagram in milliseconds, minimum and maximum.
 const DATAGRAM_DELAY: (u64, u64) = (1, 8);
-/// Milliseconds until the server exits that runs a poison request, from and to.
+/// Milliseconds until a server that runs a poison request exits, minimum and maximum.
 const CRASH_TIME: (u64, u64) = (60, 250);
-/// Milliseconds that any other run takes, from and to.
+/// Duration of any other run in milliseconds, minimum and maximum.
 const RUN_TIME: (u64, u64) = (200, 2_000);
-/// Milliseconds after which a caller whose answer broke off asks again, once.
+/// Milliseconds after which a caller whose answer was interrupted retries, once.
 const CALLER_RETRY: u64 = 100;
-/// Bytes of a datagram about a request, with what each datagram carries of its sender.
+/// Bytes of a datagram about a request, including the description of its sender.
 const DATAGRAM_BYTES: u64 = 130;
-/// The time of day at the start, in milliseconds.
+/// Wall-clock time at the start, in Unix milliseconds.
 const START_MS: i64 = 1_700_000_000_000;
 
 /// A span of time, in milliseconds.
-pub(crate) type Span = std::ops::Range<u64>;
+pub(crate) type TimeSpan = std::ops::Range<u64>;
 
-/// What happens in a world.
+/// The parameters of a simulation.
 #[derive(Clone, Debug)]
-pub(crate) struct Plan {
+pub(crate) struct Scenario {
     pub(crate) vms: usize,
     pub(crate) servers: usize,
-    /// Whether VMs keep quarantined requests from servers.
+    /// Whether VMs refuse quarantined requests.
     pub(crate) guarded: bool,
-    /// The part of datagrams that is lost.
+    /// Fraction of datagrams that are lost.
     pub(crate) loss: f64,
-    /// Milliseconds until the end.
-    pub(crate) length: u64,
-    /// When the poison request comes, and how many copies at once.
+    /// Duration of the simulation in milliseconds.
+    pub(crate) duration_ms: u64,
+    /// Times in milliseconds at which the poison request arrives, each with the number of copies.
     pub(crate) poison: Vec<(u64, usize)>,
-    /// A third of all servers exits in one moment, and then most of the others one by one.
-    pub(crate) wave: Option<Span>,
-    /// Requests that many callers ask, each of them so often a second.
+    /// Burst of exits: a third of all servers at its start, and then most of the others one by one.
+    pub(crate) burst: Option<TimeSpan>,
+    /// Number of different requests that many callers send.
     pub(crate) popular: usize,
+    /// Rate per second of each of them.
     pub(crate) popular_rate: f64,
-    /// From when on they are asked.
+    /// Time in milliseconds from which they are sent.
     pub(crate) popular_from: u64,
-    /// Requests that one caller asks, in a second, all together.
+    /// Rate per second of requests that only one caller sends.
     pub(crate) single_rate: f64,
-    /// VMs that hear nobody and can't read the store meanwhile.
-    pub(crate) cut: Option<(usize, Span)>,
-    /// All VMs are killed then, and know nothing when they are back.
-    pub(crate) all_killed: Option<u64>,
-    /// The VM that decides about the poison request is killed then.
-    pub(crate) arbiter_killed: Option<u64>,
-    /// The store can't be written.
-    pub(crate) store_away: Option<Span>,
-    /// From then on servers bear the poison request.
-    pub(crate) cured: Option<u64>,
+    /// Number of VMs that are partitioned from other VMs and the store, and when.
+    pub(crate) partitioned: Option<(usize, TimeSpan)>,
+    /// Time at which all VMs are killed; they lose their state.
+    pub(crate) all_killed_at: Option<u64>,
+    /// Time at which the first arbiter of the poison request is killed.
+    pub(crate) arbiter_killed_at: Option<u64>,
+    /// When the store can't be written.
+    pub(crate) store_outage: Option<TimeSpan>,
+    /// Time from which servers can run the poison request.
+    pub(crate) fixed_at: Option<u64>,
 }
 
-impl Plan {
+impl Scenario {
     pub(crate) fn new(vms: usize, servers: usize) -> Self {
         Self {
             vms,
             servers,
             guarded: true,
             loss: 0.01,
-            length: 45_000,
+            duration_ms: 45_000,
             poison: Vec::new(),
-            wave: None,
+            burst: None,
             popular: 0,
             popular_rate: 0.0,
             popular_from: 0,
             single_rate: 0.0,
-            cut: None,
-            all_killed: None,
-            arbiter_killed: None,
-            store_away: None,
-            cured: None,
+            partitioned: None,
+            all_killed_at: None,
+            arbiter_killed_at: None,
+            store_outage: None,
+            fixed_at: None,
         }
     }
 }
 
-/// What came of it.
+/// The results of a simulation.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Outcome {
-    /// Servers that exited under the poison request.
-    pub(crate) ended: usize,
-    /// When the third of them did, in milliseconds.
-    pub(crate) third_end: Option<u64>,
-    /// Sendings of the poison request, each with its time and whether its VM was in touch.
-    pub(crate) sendings: Vec<(u64, bool)>,
-    /// When the poison request was kept from servers for the first time.
-    pub(crate) first_withheld: Option<u64>,
-    /// Answers that the poison request got from servers that bear it.
-    pub(crate) cured_answers: usize,
-    /// Other requests that were kept from servers.
+    /// Number of servers that exited under the poison request.
+    pub(crate) crashed: usize,
+    /// Time of the third of these exits, in milliseconds.
+    pub(crate) third_exit: Option<u64>,
+    /// Attempts of the poison request, each with its time and whether its VM was connected.
+    pub(crate) attempts: Vec<(u64, bool)>,
+    /// Time at which the poison request was first refused.
+    pub(crate) first_refused: Option<u64>,
+    /// Number of answers to the poison request from fixed servers.
+    pub(crate) fixed_answers: usize,
+    /// Number of other requests that were refused.
     pub(crate) innocents_refused: usize,
-    /// When the first of them was, in milliseconds.
+    /// Time of the first of these refusals, in milliseconds.
     first_refusal: Option<u64>,
-    /// Milliseconds from the first of them to the last.
+    /// Milliseconds from the first to the last of these refusals.
     pub(crate) refused_for: u64,
     pub(crate) innocents_served: usize,
-    pub(crate) innocents_broken: usize,
-    pub(crate) bytes_told: u64,
+    pub(crate) innocents_interrupted: usize,
+    pub(crate) bytes_sent: u64,
     pub(crate) store_calls: usize,
 }
 
 impl Outcome {
-    /// Sendings of VMs in touch later than `contact` milliseconds after the third end.
-    pub(crate) fn late_sendings(&self, contact: u64) -> usize {
-        let Some(third) = self.third_end else { return 0 };
-        let is_late = |(at, in_touch): &&(u64, bool)| *in_touch && *at > third + contact;
-        self.sendings.iter().filter(is_late).count()
+    /// Returns the number of attempts by connected VMs later than `late_after` milliseconds after the third exit.
+    pub(crate) fn late_attempts(&self, late_after: u64) -> usize {
+        let Some(third) = self.third_exit else { return 0 };
+        let is_late = |(at, is_connected): &&(u64, bool)| *is_connected && *at > third + late_after;
+        self.attempts.iter().filter(is_late).count()
     }
 }
 
 impl fmt::Display for Outcome {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let known =
-            self.first_withheld.zip(self.third_end).map(|(at, third)| at.saturating_sub(third));
+            self.first_refused.zip(self.third_exit).map(|(at, third)| at.saturating_sub(third));
         write!(
             f,
-            "servers ended {:3}  sendings 3 s after the third {:3}  withheld first {:>5} ms after it  \
-             others: {} refused, {} served, {} broken off  told {} kB  store calls {}",
-            self.ended,
-            self.late_sendings(3_000),
+            "servers crashed {:3}  attempts 3 s after the third {:3}  first refused {:>5} ms after it  \
+             others: {} refused, {} served, {} interrupted  sent {} kB  store calls {}",
+            self.crashed,
+            self.late_attempts(3_000),
             known.map_or("-".to_owned(), |it| it.to_string()),
             self.innocents_refused,
             self.innocents_served,
-            self.innocents_broken,
-            self.bytes_told / 1_000,
+            self.innocents_interrupted,
+            self.bytes_sent / 1_000,
             self.store_calls,
         )
     }
@@ -168,12 +169,13 @@
     name: String,
     guard: PoisonGuard,
     starts: u32,
-    /// Until when its process is down.
+    /// Time until which its process is down.
     down_until: u64,
-    /// The newest change of the store that it has, with the time at which the next is there.
-    seen: usize,
-    seen_next_at: u64,
-    /// What has to be written to the store.
+    /// Number of changes of the store that it has applied; `usize::MAX` before it reads the whole store.
+    applied_changes: usize,
+    /// Time at which the next change arrives.
+    next_change_at: u64,
+    /// Quarantines that have to be written to the store.
     unwritten: Vec<(RequestDigest, ExitPattern)>,
 }
 
@@ -191,14 +193,14 @@
     message: PoisonMessage,
 }
 
-/// A change of the store: when, of which request, and its entry, if it still has one.
+/// A change of the store: its time, the request, and the new entry unless it was removed.
 type StoreChange = (u64, RequestDigest, Option<QuarantineEntry>);
 
 /// The poison request.
 pub(crate) const POISON: RequestDigest = RequestDigest(0x00de_ad00);
 
 pub(crate) struct World {
-    plan: Plan,
+    scenario: Scenario,
     rng: Pcg64Mcg,
     now: u64,
     vms: Vec<Vm>,
@@ -207,7 +209,7 @@
     datagrams: Vec<Datagram>,
     store: BTreeMap<RequestDigest, QuarantineEntry>,
     changes: Vec<StoreChange>,
-    /// Callers that ask again.
+    /// Times of callers' retries.
     retries: Vec<(u64, RequestDigest)>,
     next_single: u64,
     outcome: Outcome,
@@ -218,8 +220,8 @@
     TimePoint::from_millis(1_000_000 + millis)
 }
 
-/// Plays a plan.
-pub(crate) fn play(plan: Plan, seed: u64) -> Outcome {
+/// Runs a simulation.
+pub(crate) fn simulate(scenario: Scenario, seed: u64) -> Outcome {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let vm = |at| {
         let name = format!("vm-{at}");
@@ -229,16 +231,16 @@
             guard,
             starts: 0,
             down_until: 0,
-            seen: 0,
-            seen_next_at: 0,
+            applied_changes: 0,
+            next_change_at: 0,
             unwritten: Vec::new(),
         }
     };
-    let vms = (0..plan.vms).map(vm).collect();
+    let vms = (0..scenario.vms).map(vm).collect();
     let servers =
-        (0..plan.servers).map(|_| Server { start: rng.random(), down_until: 0 }).collect();
+        (0..scenario.servers).map(|_| Server { start: rng.random(), down_until: 0 }).collect();
     let mut world = World {
-        plan,
+        scenario,
         rng,
         now: 0,
         vms,
@@ -251,7 +253,7 @@
         next_single: 1 << 40,
         outcome: Outcome::default(),
     };
-    while world.now < world.plan.length {
+    while world.now < world.scenario.duration_ms {
         world.step();
         world.now += STEP;
     }
@@ -264,26 +266,26 @@
         self.deliver();
         self.crash_servers();
         self.end_runs();
-        self.arrive();
-        self.tell();
+        self.add_arrivals();
+        self.tick_vms();
     }
 
     fn random(&mut self, (from, to): (u64, u64)) -> u64 {
         self.rng.random_range(from..to)
     }
 
-    fn is_cut(&self, vm: usize) -> bool {
-        let cut = self.plan.cut.as_ref();
-        cut.is_some_and(|(count, span)| vm < *count && span.contains(&self.now))
+    fn is_partitioned(&self, vm: usize) -> bool {
+        let partitioned = self.scenario.partitioned.as_ref();
+        partitioned.is_some_and(|(count, span)| vm < *count && span.contains(&self.now))
     }
 
-    /// Whether a VM has been up and reachable for the last three seconds.
-    fn is_in_touch(&self, vm: usize) -> bool {
-        let was_cut = self.plan.cut.as_ref().is_some_and(|(count, span)| {
+    /// Returns whether a VM has been up and connected for the last three seconds.
+    fn is_connected(&self, vm: usize) -> bool {
+        let was_partitioned = self.scenario.partitioned.as_ref().is_some_and(|(count, span)| {
             vm < *count && self.now >= span.start && self.now < span.end + 3_000
         });
         let was_down = self.vms[vm].down_until + 3_000 > self.now && self.vms[vm].down_until > 0;
-        !was_cut && !was_down
+        !was_partitioned && !was_down
     }
 
     fn is_up(&self, vm: usize) -> bool {
@@ -293,10 +295,10 @@
     fn kill_vms(&mut self) {
         let is_now = |it: Option<u64>| it.is_some_and(|it| it / STEP == self.now / STEP);
         let mut killed = Vec::new();
-        if is_now(self.plan.all_killed) {
+        if is_now(self.scenario.all_killed_at) {
             killed.extend(0..self.vms.len());
         }
-        if is_now(self.plan.arbiter_killed) {
+        if is_now(self.scenario.arbiter_killed_at) {
             let names: Vec<&str> = self.vms.iter().map(|it| it.name.as_str()).collect();
             let first = quincevalve_forwarding::poison::arbiters(POISON, &names)[0].to_owned();
             killed.extend(self.vms.iter().position(|it| it.name == first));
@@ -305,10 +307,10 @@
             let start = &mut self.vms[vm];
             start.guard = PoisonGuard::new(&start.name);
             start.starts += 1;
-            start.down_until = self.now + VM_BACK_AFTER;
+            start.down_until = self.now + VM_RESTART_TIME;
             start.unwritten.clear();
             // It reads the whole store before it serves.
-            start.seen = usize::MAX;
+            start.applied_changes = usize::MAX;
         }
     }
 
@@ -317,30 +319,32 @@
             std::mem::take(&mut self.datagrams).into_iter().partition(|it| it.due <= self.now);
         self.datagrams = later;
         for it in due {
-            if self.is_up(it.to) && !self.is_cut(it.to) {
+            if self.is_up(it.to) && !self.is_partitioned(it.to) {
                 let from = self.vms[it.from].name.clone();
                 self.vms[it.to].guard.receive(&from, it.message, at(self.now));
             }
         }
         for vm in 0..self.vms.len() {
-            if self.is_up(vm) && !self.is_cut(vm) {
+            if self.is_up(vm) && !self.is_partitioned(vm) {
                 self.read_store(vm);
             }
         }
     }
 
     fn read_store(&mut self, vm: usize) {
-        if self.vms[vm].seen == usize::MAX {
-            self.vms[vm].seen = self.changes.len();
+        if self.vms[vm].applied_changes == usize::MAX {
+            self.vms[vm].applied_changes = self.changes.len();
             let entries: Vec<_> = self.store.iter().map(|(digest, it)| (*digest, *it)).collect();
             self.vms[vm].guard.replace_all(entries, at(self.now));
             return;
         }
-        while let Some((changed, digest, entry)) = self.changes.get(self.vms[vm].seen).copied() {
-            let known_at = self.vms[vm].seen_next_at.max(changed);
-            if self.vms[vm].seen_next_at < changed {
+        while let Some((changed, digest, entry)) =
+            self.changes.get(self.vms[vm].applied_changes).copied()
+        {
+            let known_at = self.vms[vm].next_change_at.max(changed);
+            if self.vms[vm].next_change_at < changed {
                 let delay = self.random(STORE_DELAY);
-                self.vms[vm].seen_next_at = changed + delay;
+                self.vms[vm].next_change_at = changed + delay;
                 continue;
             }
             if known_at > self.now {
@@ -351,20 +355,20 @@
                 Some(entry) => guard.apply_entry(digest, entry),
                 None => guard.remove_entry(digest, at(self.now)),
             }
-            self.vms[vm].seen += 1;
+            self.vms[vm].applied_changes += 1;
         }
     }
 
     fn crash_servers(&mut self) {
-        let Some(wave) = self.plan.wave.clone() else { return };
-        if wave.start / STEP == self.now / STEP {
+        let Some(burst) = self.scenario.burst.clone() else { return };
+        if burst.start / STEP == self.now / STEP {
             for server in 0..self.servers.len() / 3 {
                 self.exit(server);
             }
         }
-        if wave.contains(&self.now) {
-            // Four in five of the others exit once within the wave.
-            let chance = 0.8 * STEP as f64 / (wave.end - wave.start) as f64;
+        if burst.contains(&self.now) {
+            // Four in five of the others exit once during the burst.
+            let chance = 0.8 * STEP as f64 / (burst.end - burst.start) as f64;
             for server in 0..self.servers.len() {
                 if self.rng.random::<f64>() < chance {
                     self.exit(server);
@@ -373,24 +377,24 @@
         }
     }
 
-    /// Ends a server; all its runs break off, and their VMs see that it has exited.
+    /// Makes a server exit. All its runs are interrupted, and their VMs observe the exit.
     fn exit(&mut self, server: usize) {
         if self.servers[server].down_until > self.now {
             return;
         }
         let start = self.servers[server].start;
         self.servers[server] =
-            Server { start: self.rng.random(), down_until: self.now + BACK_AFTER };
-        let (broken, kept): (Vec<_>, Vec<_>) =
+            Server { start: self.rng.random(), down_until: self.now + RESTART_TIME };
+        let (interrupted, kept): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.runs).into_iter().partition(|it| it.server == server);
         self.runs = kept;
-        for run in broken {
+        for run in interrupted {
             let vm = &mut self.vms[run.vm];
             if vm.down_until <= self.now && vm.starts == run.vm_start {
                 vm.guard.record_server_exit(run.digest, start, at(self.now));
             }
             if let Kind::Other { may_retry } = run.kind {
-                self.outcome.innocents_broken += 1;
+                self.outcome.innocents_interrupted += 1;
                 if may_retry {
                     self.retries.push((self.now + CALLER_RETRY, run.digest));
                 }
@@ -402,12 +406,12 @@
         let (due, later): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.runs).into_iter().partition(|it| it.ends <= self.now);
         self.runs = later;
-        let is_cured = self.plan.cured.is_some_and(|it| it <= self.now);
+        let is_fixed = self.scenario.fixed_at.is_some_and(|it| it <= self.now);
         for run in due {
-            if run.kind == Kind::Poison && !is_cured {
-                self.outcome.ended += 1;
-                if self.outcome.ended == 3 {
-                    self.outcome.third_end = Some(self.now);
+            if run.kind == Kind::Poison && !is_fixed {
+                self.outcome.crashed += 1;
+                if self.outcome.crashed == 3 {
+                    self.outcome.third_exit = Some(self.now);
                 }
                 self.runs.push(Run { ends: u64::MAX, ..run });
                 let server = self.runs[self.runs.len() - 1].server;
@@ -415,7 +419,7 @@
                 continue;
             }
             if run.kind == Kind::Poison {
-                self.outcome.cured_answers += 1;
+                self.outcome.fixed_answers += 1;
             } else {
                 self.outcome.innocents_served += 1;
             }
@@ -423,7 +427,8 @@
             if vm.starts != run.vm_start {
                 continue;
             }
-            if vm.guard.record_completion(run.digest, at(self.now)) && !self.is_cut(run.vm) {
+            if vm.guard.record_completion(run.digest, at(self.now)) && !self.is_partitioned(run.vm)
+            {
                 self.outcome.store_calls += 2;
                 self.store.remove(&run.digest);
                 self.changes.push((self.now, run.digest, None));
@@ -431,47 +436,50 @@
         }
     }
 
-    fn arrive(&mut self) {
+    fn add_arrivals(&mut self) {
         let poison: usize = self
-            .plan
+            .scenario
             .poison
             .iter()
             .filter(|(at, _)| at / STEP == self.now / STEP)
             .map(|(_, copies)| copies)
             .sum();
         for _ in 0..poison {
-            self.ask(POISON, Kind::Poison);
+            self.send_request(POISON, Kind::Poison);
         }
-        let popular = if self.now < self.plan.popular_from { 0 } else { self.plan.popular };
+        let popular = if self.now < self.scenario.popular_from { 0 } else { self.scenario.popular };
         for popular in 0..popular {
-            if self.rng.random::<f64>() < self.plan.popular_rate * STEP as f64 / 1_000.0 {
-                self.ask(RequestDigest(popular as u64 + 1), Kind::Other { may_retry: true });
+            if self.rng.random::<f64>() < self.scenario.popular_rate * STEP as f64 / 1_000.0 {
+                self.send_request(
+                    RequestDigest(popular as u64 + 1),
+                    Kind::Other { may_retry: true },
+                );
             }
         }
-        let singles = self.plan.single_rate * STEP as f64 / 1_000.0;
+        let singles = self.scenario.single_rate * STEP as f64 / 1_000.0;
         let singles = singles as usize + usize::from(self.rng.random::<f64>() < singles.fract());
         for _ in 0..singles {
             self.next_single += 1;
-            self.ask(RequestDigest(self.next_single), Kind::Other { may_retry: true });
+            self.send_request(RequestDigest(self.next_single), Kind::Other { may_retry: true });
         }
         let (due, later): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.retries).into_iter().partition(|(at, _)| *at <= self.now);
         self.retries = later;
         for (_, digest) in due {
-            self.ask(digest, Kind::Other { may_retry: false });
+            self.send_request(digest, Kind::Other { may_retry: false });
         }
     }
 
-    /// A request comes to some VM that is up.
-    fn ask(&mut self, digest: RequestDigest, kind: Kind) {
+    /// Sends a request to some VM that is up.
+    fn send_request(&mut self, digest: RequestDigest, kind: Kind) {
         let up: Vec<usize> = (0..self.vms.len()).filter(|it| self.is_up(*it)).collect();
         if up.is_empty() {
             return;
         }
         let vm = up[self.rng.random_range(0..up.len())];
-        if self.plan.guarded && !self.is_admitted(vm, digest) {
+        if self.scenario.guarded && !self.is_admitted(vm, digest) {
             if kind == Kind::Poison {
-                self.outcome.first_withheld.get_or_insert(self.now);
+                self.outcome.first_refused.get_or_insert(self.now);
             } else {
                 self.outcome.innocents_refused += 1;
                 let since = *self.outcome.first_refusal.get_or_insert(self.now);
@@ -487,7 +495,7 @@
         let server = live[self.rng.random_range(0..live.len())];
         let takes = self.random(if kind == Kind::Poison { CRASH_TIME } else { RUN_TIME });
         if kind == Kind::Poison {
-            self.outcome.sendings.push((self.now, self.is_in_touch(vm)));
+            self.outcome.attempts.push((self.now, self.is_connected(vm)));
         }
         let vm_start = self.vms[vm].starts;
         let ends = self.now + takes;
@@ -498,8 +506,8 @@
         START_MS + self.now.cast_signed()
     }
 
-    fn store_is_away(&self) -> bool {
-        self.plan.store_away.as_ref().is_some_and(|it| it.contains(&self.now))
+    fn is_store_unreachable(&self) -> bool {
+        self.scenario.store_outage.as_ref().is_some_and(|it| it.contains(&self.now))
     }
 
     fn is_admitted(&mut self, vm: usize, digest: RequestDigest) -> bool {
@@ -509,7 +517,7 @@
             SendDecision::Quarantined(_) => false,
             SendDecision::TrialDue => {
                 self.vms[vm].guard.record_trial_request(digest, now);
-                if self.is_cut(vm) || self.store_is_away() {
+                if self.is_partitioned(vm) || self.is_store_unreachable() {
                     return false;
                 }
                 self.outcome.store_calls += 2;
@@ -526,29 +534,30 @@
         self.changes.push((self.now, digest, Some(entry)));
     }
 
-    fn tell(&mut self) {
+    fn tick_vms(&mut self) {
         for vm in 0..self.vms.len() {
-            let has_turn = (self.now / STEP + vm as u64).is_multiple_of(PERIOD / STEP);
-            if !has_turn || !self.is_up(vm) {
+            let has_tick = (self.now / STEP + vm as u64).is_multiple_of(PERIOD / STEP);
+            if !has_tick || !self.is_up(vm) {
                 continue;
             }
             if self.vms[vm].guard.is_due(at(self.now)) {
-                self.tell_others(vm);
+                self.send_messages(vm);
             }
             self.write_quarantines(vm);
         }
     }
 
-    fn tell_others(&mut self, vm: usize) {
+    fn send_messages(&mut self, vm: usize) {
         let names: Vec<String> = self.vms.iter().map(|it| it.name.clone()).collect();
         let names: Vec<&str> = names.iter().map(String::as_str).collect();
-        let heard = (0..self.vms.len())
-            .filter(|it| *it == vm || (self.is_up(*it) && !self.is_cut(*it) && !self.is_cut(vm)));
-        let heard_part = heard.count() as f64 / self.vms.len() as f64;
-        let told = self.vms[vm].guard.tick(&names, heard_part, at(self.now));
-        for (name, message) in told {
-            self.outcome.bytes_told += DATAGRAM_BYTES;
-            if self.is_cut(vm) || self.rng.random::<f64>() < self.plan.loss {
+        let connected = (0..self.vms.len()).filter(|it| {
+            *it == vm || (self.is_up(*it) && !self.is_partitioned(*it) && !self.is_partitioned(vm))
+        });
+        let connected_fraction = connected.count() as f64 / self.vms.len() as f64;
+        let messages = self.vms[vm].guard.tick(&names, connected_fraction, at(self.now));
+        for (name, message) in messages {
+            self.outcome.bytes_sent += DATAGRAM_BYTES;
+            if self.is_partitioned(vm) || self.rng.random::<f64>() < self.scenario.loss {
                 continue;
             }
             let to = name.strip_prefix("vm-").and_then(|it| it.parse().ok()).expect("a VM");
@@ -560,7 +569,7 @@
     fn write_quarantines(&mut self, vm: usize) {
         let unwritten = self.vms[vm].guard.take_unwritten();
         self.vms[vm].unwritten.extend(unwritten);
-        if self.is_cut(vm) || self.store_is_away() {
+        if self.is_partitioned(vm) || self.is_store_unreachable() {
             return;
         }
         for (digest, exits) in std::mem::take(&mut self.vms[vm].unwritten) {
