--- a/crates/quincevalve_forwarding/src/peer_table.rs
+++ b/crates/quincevalve_forwarding/src/peer_table.rs
@@ -14,7 +14,7 @@
 use serde::{Deserialize, Serialize};
 
 use self::ranking::{Rank, Ranking};
-use crate::{shared_limit::Seat, store_pacing::ReadingPart};
+use crate::{shared_limit::VmRank, store_pacing::StoreReadRole};
 
 /// Up to this many VMs each VM reports to every other: a dozen datagrams per period are cheap, and no collector can fail.
 const MAX_VMS_OF_SMALL_SYSTEM: usize = 16;
@@ -214,13 +214,13 @@
     }
 
     /// Returns this VM's rank among all listed VMs, in an order that depends on `key`.
-    pub fn rank(&self, key: u64) -> Seat {
+    pub fn rank(&self, key: u64) -> VmRank {
         let me = rendezvous_score(key, self.me_hash);
         let listed = self.peers.values().filter(|it| it.listed);
         let (before, others) = listed.fold((0, 0), |(before, others), it| {
             (before + usize::from(rendezvous_score(key, it.hash) > me), others + 1)
         });
-        Seat { rank: before, of: others + 1 }
+        VmRank { rank: before, vm_count: others + 1 }
     }
 
     /// Returns the names of the other VMs whose reports may still arrive.
@@ -282,7 +282,7 @@
     /// Returns whether this VM relays changes of the store: collectors do, and in a small system the VMs that read it.
     pub fn relays_store(&self, has_members: bool, now: TimePoint) -> bool {
         if self.is_small() {
-            return self.store_read_role(has_members, now) == ReadingPart::Reader;
+            return self.store_read_role(has_members, now) == StoreReadRole::Reader;
         }
         matches!(self.role(has_members, now), Role::Collector { .. })
     }
@@ -291,20 +291,20 @@
     ///
     /// In a small system the first two VMs read for all; in a large one the first two collectors do, and the others are on
     /// standby.
-    pub fn store_read_role(&self, has_members: bool, now: TimePoint) -> ReadingPart {
+    pub fn store_read_role(&self, has_members: bool, now: TimePoint) -> StoreReadRole {
         let candidates: Vec<&VmDescriptor> = if self.is_small() {
             self.peers.values().map(|it| &it.descriptor).chain([&self.me]).collect()
         } else if matches!(self.role(has_members, now), Role::Collector { .. }) {
             self.ranking.centres().filter_map(|it| self.collector_of(it, now)).collect()
         } else {
-            return ReadingPart::Told;
+            return StoreReadRole::Follower;
         };
         if self.first_readers(candidates, now).any(|it| it.name == self.me.name) {
-            ReadingPart::Reader
+            StoreReadRole::Reader
         } else if self.is_small() {
-            ReadingPart::Told
+            StoreReadRole::Follower
         } else {
-            ReadingPart::StandBy
+            StoreReadRole::Standby
         }
     }
 
--- a/crates/quincevalve_forwarding/tests/chunk_fetch.rs
+++ b/crates/quincevalve_forwarding/tests/chunk_fetch.rs
@@ -36,7 +36,7 @@
 struct Scenario {
     vms: usize,
     value: usize,
-    /// Fraction of datagrams that are loss.
+    /// Fraction of datagrams that are lost.
     loss: f64,
     /// Whether the first sources are down.
     first_are_down: bool,
--- a/crates/quincevalve_forwarding/tests/poison_world/main.rs
+++ b/crates/quincevalve_forwarding/tests/poison_world/main.rs
@@ -160,7 +160,7 @@
             ..Scenario::new(vms, servers)
         };
         let outcome = simulate(scenario.clone(), 1);
-        print("fixed_at", &scenario, 1, &outcome);
+        print("fixed", &scenario, 1, &outcome);
         assert!(outcome.crashed <= 6 && outcome.fixed_answers > 20, "{outcome:?}");
     }
 }
--- a/crates/quincevalve_node/src/node.rs
+++ b/crates/quincevalve_node/src/node.rs
@@ -13,19 +13,19 @@
     config::{ForwardingConfig, Route},
     demand::{MeasuredDemand, WorkRate},
     duty::DutyLease,
-    freshness::{Freshness, Touch},
+    freshness::{Freshness, FreshnessState},
     line_budget::LineBudget,
     load::{self, Work},
     peer_table::VmDescriptor,
     placement::Placement,
     poison::PoisonGuard,
-    quota::QuotaBook,
-    retry_window::RetryWindow,
-    rollout::book::RolloutBook,
+    quota::QuotaTable,
+    retry_budget::RetryBudget,
+    rollout::table::RolloutTable,
     servers::ServerTable,
     signal_outbox::SignalOutbox,
     store_contact::StoreContact,
-    store_pacing::ReadingPart,
+    store_pacing::StoreReadRole,
     usage::Usage,
     wall_clock::WallClock,
 };
@@ -74,8 +74,8 @@
     pub(crate) config: RefCell<Option<Rc<ForwardingConfig>>>,
     pub(crate) freshness: Cell<Freshness>,
     pub(crate) servers: RefCell<ServerTable>,
-    pub(crate) quota: RefCell<QuotaBook>,
-    pub(crate) retries: RefCell<HashMap<ServiceName, RetryWindow>>,
+    pub(crate) quota: RefCell<QuotaTable>,
+    pub(crate) retries: RefCell<HashMap<ServiceName, RetryBudget>>,
     pub(crate) usage: RefCell<Usage>,
     pub(crate) wall: RefCell<WallClock<String>>,
     pub(crate) duty: RefCell<DutyLease>,
@@ -92,7 +92,7 @@
     pub(crate) poison: RefCell<PoisonGuard>,
     pub(crate) quarantine: QuarantineStore,
     /// What is known of services that are moved to another version.
-    pub(crate) rollouts: RefCell<RolloutBook>,
+    pub(crate) rollouts: RefCell<RolloutTable>,
     pub(crate) lines: RefCell<LineBudget>,
     pub(crate) refusal_lines: RefCell<LineBudget>,
     pub(crate) metrics: Metrics,
@@ -126,7 +126,7 @@
             config: RefCell::default(),
             freshness: Cell::default(),
             servers: RefCell::default(),
-            quota: RefCell::new(QuotaBook::new(settings.quotas, clock::now())),
+            quota: RefCell::new(QuotaTable::new(settings.quotas, clock::now())),
             retries: RefCell::default(),
             usage: RefCell::default(),
             wall: RefCell::default(),
@@ -140,7 +140,7 @@
             mover,
             poison: RefCell::new(PoisonGuard::new(settings.name.as_str())),
             quarantine,
-            rollouts: RefCell::new(RolloutBook::new(settings.exposure)),
+            rollouts: RefCell::new(RolloutTable::new(settings.exposure)),
             lines: RefCell::default(),
             refusal_lines: RefCell::new(LineBudget::for_refusals()),
             metrics: Metrics::default(),
@@ -181,20 +181,20 @@
     }
 
     /// How far this VM is in touch with removals of keys.
-    fn touch(&self) -> Touch {
+    fn touch(&self) -> FreshnessState {
         let bounds = self.settings.bounds;
         if !self.was_proved() {
-            return Touch::Lost;
+            return FreshnessState::Expired;
         }
         if !bounds.keys_fail_closed {
-            return Touch::Kept;
+            return FreshnessState::Fresh;
         }
-        self.freshness.get().touch(bounds.key_removed, clock::now())
+        self.freshness.get().state(bounds.key_removed, clock::now())
     }
 
     /// Whether what is known here can't have been taken away too long ago.
     pub(crate) fn keys_are_proved(&self) -> bool {
-        self.touch() != Touch::Lost
+        self.touch() != FreshnessState::Expired
     }
 
     /// Whether what is unknown here can't have been added too long ago.
@@ -205,7 +205,7 @@
 
     /// Whether callers should go to other VMs, since keys are refused here or will be soon.
     pub(crate) fn is_losing_touch(&self) -> bool {
-        self.touch() != Touch::Kept
+        self.touch() != FreshnessState::Fresh
     }
 
     /// Whether callers should be sent here.
@@ -222,12 +222,12 @@
     /// caller comes back to another VM.
     pub(crate) fn can_finish(&self, route: &Route) -> bool {
         let Phase::Draining { until } = self.phase.get() else { return true };
-        let needs = if route.repeat.is_stream() { STREAM_TIME } else { route.timeout };
+        let needs = if route.retry_safety.is_stream() { STREAM_TIME } else { route.timeout };
         left(until) >= needs.min(route.timeout)
     }
 
     /// How this VM takes part in reading the store.
-    pub(crate) fn reading_part(&self) -> ReadingPart {
+    pub(crate) fn reading_part(&self) -> StoreReadRole {
         let now = clock::now();
         let peers = self.peers.borrow();
         peers.book.store_read_role(peers.has_members(now), now)
@@ -244,7 +244,7 @@
     pub(crate) fn may_tell_refusal(&self) -> bool {
         let may = self.refusal_lines.borrow_mut().take(clock::now());
         if !may {
-            self.lines.borrow_mut().leave_out(1);
+            self.lines.borrow_mut().record_suppressed(1);
         }
         may
     }
@@ -254,7 +254,7 @@
         let mut lines = self.lines.borrow_mut();
         let may = lines.take(clock::now());
         if !may {
-            lines.leave_out(1);
+            lines.record_suppressed(1);
         }
         may
     }
@@ -269,7 +269,7 @@
         let servers = self.servers.borrow();
         let Some(server) = servers.get(&place.server) else { return };
         let service = &server.entry.service;
-        self.rollouts.borrow_mut().sent(service, &place.version);
+        self.rollouts.borrow_mut().record_sent(service, &place.version);
         self.metrics.sent_to(service.as_str(), place.version.as_str());
     }
 
@@ -278,15 +278,15 @@
         let vms = self.vms();
         let mut windows = self.retries.borrow_mut();
         let window = windows.entry(service.clone()).or_default();
-        window.spend(&self.settings.retries, vms, clock::now())
+        window.try_spend(&self.settings.retries, vms, clock::now())
     }
 
     /// Notes a request that began to run, in the window of true time.
     pub(crate) fn note_began(&self, account: Option<&ClientAccountName>) {
         let Some(account) = account else { return };
-        let Some(now_ms) = self.wall.borrow().true_ms(clock::now()) else { return };
+        let Some(now_ms) = self.wall.borrow().estimate_ms(clock::now()) else { return };
         let length = self.settings.duties.usage_window.as_millis().max(1) as i64;
-        self.usage.borrow_mut().began((now_ms / length) as u64, account);
+        self.usage.borrow_mut().record_start((now_ms / length) as u64, account);
     }
 
     /// Notes work that was asked of `service`, and whether a server had room for it.
@@ -308,7 +308,7 @@
 
     /// Seconds for which a request of a service keeps a server busy, as seen here lately.
     pub(crate) fn busy_each(&self, service: &ServiceName) -> Option<f64> {
-        self.demand.borrow().get(service)?.busy_each(clock::now())
+        self.demand.borrow().get(service)?.busy_seconds_per_request(clock::now())
     }
 }
 
--- a/crates/quincevalve_node/src/peers/datagram.rs
+++ b/crates/quincevalve_node/src/peers/datagram.rs
@@ -5,7 +5,7 @@
 use bincode::{DefaultOptions, Options};
 use quincevalve_forwarding::{
     chunk_fetch::ChunkRequest, chunks::Chunk, peer_table::VmDescriptor, poison::PoisonMessage,
-    sums::Share, usage::Counts,
+    sums::PartialSum, usage::Counts,
 };
 use quincevalve_names::TimePoint;
 use serde::{Deserialize, Serialize};
@@ -62,7 +62,7 @@
 pub(super) enum Content {
     Share {
         scope: Scope,
-        share: Box<Share>,
+        share: Box<PartialSum>,
         relayed: Option<Relayed>,
         store: Option<ToldContact>,
     },
--- a/crates/quincevalve_node/src/request/exchange.rs
+++ b/crates/quincevalve_node/src/request/exchange.rs
@@ -8,7 +8,7 @@
 use hyper::body::Incoming;
 use quincevalve_forwarding::{
     placement::Placement,
-    servers::{Leaving, Server},
+    servers::{LeaveReason, Server},
 };
 use quincevalve_names::TimePoint;
 use tokio::time::{Instant, timeout_at};
@@ -69,7 +69,7 @@
         Ok(Err(error)) => {
             log::warn!(id = req.id, server = place.server.as_str(), error:% = error; "connect-failed");
             let mut servers = node.servers.borrow_mut();
-            let out_of_reach = servers.unreachable(&place.server, place.start, clock::now());
+            let out_of_reach = servers.mark_unreachable(&place.server, place.start, clock::now());
             node.backends.forget_all(out_of_reach);
             return Err(Failed::NotRun);
         }
@@ -86,7 +86,7 @@
     let sent = connection.sender.try_send_request(outgoing);
     let response = match timeout_at(req.deadline, sent).await {
         Err(_) => {
-            about(node, place, |it, _| it.load.failed());
+            about(node, place, |it, _| it.load.record_failure());
             node.metrics.sending(service, "timed-out");
             return Err(Failed::TimedOut);
         }
@@ -105,7 +105,7 @@
             node.metrics.sending(service, "lost");
             // Other connections of the same age are likely to be gone too.
             node.backends.forget(place);
-            about(node, place, |it, now| it.load.unreachable(now));
+            about(node, place, |it, now| it.load.record_unreachable(now));
             connection_broke(node, req, place);
             return Err(Failed::MayHaveRun);
         }
@@ -144,10 +144,14 @@
             "server-refused"
         );
         if status == StatusCode::MISDIRECTED_REQUEST {
-            node.servers.borrow_mut().leaves(&place.server, place.start, Leaving::Replaced);
+            node.servers.borrow_mut().mark_leaving(
+                &place.server,
+                place.start,
+                LeaveReason::Replaced,
+            );
             node.backends.forget(place);
         } else {
-            about(node, place, |it, now| it.load.full(FULL_PAUSE, now));
+            about(node, place, |it, now| it.load.pause(FULL_PAUSE, now));
         }
         node.metrics.sending(req.service.as_str(), "refused");
         return Err(Failed::NotRun);
@@ -191,7 +195,7 @@
     let Some(picked) = picked else { return false };
     let book = node.rollouts.borrow();
     let now = clock::now();
-    servers.may_take(picked, now)
+    servers.is_eligible(picked, now)
         && !picked.is_resting(now)
         && book.admits(&picked.entry.service, &place.version)
 }
@@ -205,7 +209,7 @@
 
 /// Takes the time to a first answer into the server's record.
 pub(crate) fn note_answered(node: &Node, place: &Placement, sent: Instant) {
-    about(node, place, |it, _| it.load.answered(sent.elapsed(), place.predicted));
+    about(node, place, |it, _| it.load.record_answer(sent.elapsed(), place.predicted));
 }
 
 /// A server's answer as the caller gets it.
--- a/crates/quincevalve_node/src/store/state_copy.rs
+++ b/crates/quincevalve_node/src/store/state_copy.rs
@@ -17,7 +17,7 @@
     },
     chunks::{Chunk, split_into_chunks},
     peer_table::{VmDescriptor, startup_rank, startup_sources},
-    store_pacing::ReadingPart,
+    store_pacing::StoreReadRole,
 };
 use quincevalve_names::TimePoint;
 use rand::seq::SliceRandom;
@@ -159,7 +159,7 @@
 
 /// Whether this VM has a new proof that what it knows is the newest.
 fn is_newest(node: &Node, now: TimePoint) -> bool {
-    let longest = ReadingPart::StandBy.longest_told_age(node.settings.bounds.change_in_force);
+    let longest = StoreReadRole::Standby.max_confirmation_age(node.settings.bounds.change_in_force);
     let is_proved = node.freshness.get().age(now).is_some_and(|it| it <= longest);
     // What is known here must be all that the proof is for.
     is_proved && node.config().is_some_and(|it| it.version >= node.told_version.get())
