--- a/crates/quincevalve_forwarding/src/lib.rs
+++ b/crates/quincevalve_forwarding/src/lib.rs
@@ -1,10 +1,12 @@
-//! Decisions of the forwarding path: requests that are passed on to backend servers unchanged.
+//! Decision logic of the forwarding path, which passes requests unchanged to backend servers.
 //!
-//! Everything here is a plain state machine without I/O and without a clock of its own, so that a test
-//! drives each decision in virtual time. `quincevalve_node` wraps these cores in HTTP.
+//! All types are state machines without I/O and without a clock, so that tests can drive each decision in virtual time.
+//! `quincevalve_node` connects them to HTTP.
 
 pub mod allowance;
 pub mod change_log;
+pub mod chunk_fetch;
+pub mod chunks;
 pub mod config;
 pub mod demand;
 pub mod digest_pace;
@@ -13,15 +15,13 @@
 pub mod freshness;
 pub mod line_budget;
 pub mod load;
-pub mod part_fetch;
-pub mod parts;
-pub mod peer_book;
+pub mod peer_table;
 pub mod placement;
 pub mod poison;
 pub mod quota;
 pub mod rate;
 pub mod request_digest;
-pub mod retry_window;
+pub mod retry_budget;
 pub mod rollout;
 pub mod server_signals;
 pub mod servers;
--- a/crates/quincevalve_forwarding/src/rollout/table.rs
+++ b/crates/quincevalve_forwarding/src/rollout/table.rs
@@ -24,7 +24,7 @@
         verdict::{Judgement, Verdict},
     },
     servers::ServerTable,
-    shared_limit::{Seat, SharedLimit},
+    shared_limit::{SharedLimit, VmRank},
 };
 
 /// The servers that a request may be sent to.
@@ -46,7 +46,7 @@
     /// Whether the service's servers are model engines.
     pub has_engines: bool,
     /// This VM's rank among all VMs.
-    pub vm_rank: Seat,
+    pub vm_rank: VmRank,
     /// Whether the known state of the store is recent and at least half of the VMs are reachable.
     pub is_connected: bool,
 }
--- a/crates/quincevalve_forwarding/src/rollout/table/state.rs
+++ b/crates/quincevalve_forwarding/src/rollout/table/state.rs
@@ -19,7 +19,7 @@
         verdict::{Judgement, Verdict, judge},
     },
     servers::{Server, ServerTable, start_hash},
-    shared_limit::{Seat, SharedLimit},
+    shared_limit::{SharedLimit, VmRank},
 };
 
 /// Fraction of the exposure limit that may be used when the first server of the new version appears. It rises to 1 until
@@ -94,7 +94,7 @@
     new_since: Option<TimePoint>,
     /// Fraction of the exposure limit that may be used now.
     allowed_fraction: f64,
-    vm_rank: Option<Seat>,
+    vm_rank: Option<VmRank>,
     is_connected: bool,
     has_engines: bool,
     canaries: Option<Arc<VersionScope>>,
--- a/crates/quincevalve_forwarding/tests/rollout.rs
+++ b/crates/quincevalve_forwarding/tests/rollout.rs
@@ -19,7 +19,7 @@
         verdict::{Judgement, Verdict, judge},
     },
     servers::{ServerEntry, ServerTable, start_hash},
-    shared_limit::{Seat, SharedLimit},
+    shared_limit::{SharedLimit, VmRank},
 };
 use quincevalve_names::{ServiceName, TimePoint};
 use support::{START, entry, ms, server};
@@ -46,7 +46,7 @@
         let of_vm = |rank: usize| {
             let mut exposure = Exposure::new(true);
             (0..requests).for_each(|_| exposure.record_request());
-            let vm_rank = Seat { rank, of: 295 };
+            let vm_rank = VmRank { rank, vm_count: 295 };
             usize::from(exposure.may_send(&limit, vm_rank, 1.0))
         };
         (0..295).map(of_vm).sum()
@@ -58,7 +58,7 @@
 
 #[test]
 fn gives_no_slack_to_a_vm_that_started_after_the_order() {
-    let vm_rank = Seat { rank: 0, of: 2 };
+    let vm_rank = VmRank { rank: 0, vm_count: 2 };
     let mut late = Exposure::new(false);
     assert!(!late.may_send(&LIMIT, vm_rank, 1.0));
     assert!(Exposure::new(true).may_send(&LIMIT, vm_rank, 1.0));
@@ -395,7 +395,7 @@
     let mut server_table = ServerTable::default();
     for at in 0..8 {
         let version = if at < 4 { "v1" } else { "v2" };
-        server_table.listed(
+        server_table.apply_entry(
             &server(at),
             ServerEntry { version: version.into(), ..entry("a") },
             ms(0),
@@ -407,7 +407,7 @@
 const CONTEXT: RefreshContext = RefreshContext {
     wall_clock_ms: Some(ORDERED_MS),
     has_engines: true,
-    vm_rank: Seat { rank: 0, of: 1 },
+    vm_rank: VmRank { rank: 0, vm_count: 1 },
     is_connected: true,
 };
 
@@ -666,7 +666,7 @@
         let mut all = 0;
         for (rank, asked) in asked.iter().take(vms).enumerate() {
             let mut exposure = Exposure::new(true);
-            let vm_rank = Seat { rank, of: vms };
+            let vm_rank = VmRank { rank, vm_count: vms };
             for _ in 0..*asked {
                 exposure.record_request();
                 if exposure.may_send(&limit, vm_rank, 1.0) {
--- a/crates/quincevalve_forwarding/tests/store_contact.rs
+++ b/crates/quincevalve_forwarding/tests/store_contact.rs
@@ -98,9 +98,9 @@
 fn keeps_removed_servers_usable_only_after_a_long_outage() {
     let after = |outage: u64| {
         let mut table = table(4);
-        table.store_lost(ms(1_000));
-        table.store_found(ms(1_000 + outage));
-        table.removed(&server(0), ms(1_050 + outage));
+        table.begin_store_outage(ms(1_000));
+        table.end_store_outage(ms(1_000 + outage));
+        table.remove_entry(&server(0), ms(1_050 + outage));
         usable(&table, ms(1_600 + outage))
     };
     let min_outage = MIN_OUTAGE_FOR_EXPIRY.as_millis() as u64;
@@ -113,17 +113,17 @@
 #[test]
 fn treats_a_removed_server_as_leaving_once_the_outage_is_denied() {
     let mut table = table(4);
-    table.store_lost(ms(1_000));
-    table.store_found(ms(9_000));
-    assert_eq!(table.removed(&server(0), ms(9_000)), Some(Removal::MayHaveLapsed));
+    table.begin_store_outage(ms(1_000));
+    table.end_store_outage(ms(9_000));
+    assert_eq!(table.remove_entry(&server(0), ms(9_000)), Some(Removal::MayHaveExpired));
     assert!(usable(&table, ms(9_700)));
-    assert_eq!(table.goes_at(&server(0), START), None);
-    table.store_never_away(ms(9_710));
+    assert_eq!(table.expected_stop(&server(0), START), None);
+    table.cancel_store_outage(ms(9_710));
     assert!(!usable(&table, ms(9_710)));
-    assert!(!table.may_lack_entries(ms(9_710)));
-    assert!(table.goes_at(&server(0), START).is_some_and(|it| it > ms(9_710)));
-    assert_eq!(table.goes_at(&server(1), START), None, "it is listed");
-    assert_eq!(table.removed(&server(1), ms(9_800)), Some(Removal::Leaving));
+    assert!(!table.may_be_incomplete(ms(9_710)));
+    assert!(table.expected_stop(&server(0), START).is_some_and(|it| it > ms(9_710)));
+    assert_eq!(table.expected_stop(&server(1), START), None, "it is listed");
+    assert_eq!(table.remove_entry(&server(1), ms(9_800)), Some(Removal::Leaving));
 }
 
 // After a VM got no processor time for three seconds, its first answer of the store looks like the end of an outage,
@@ -132,13 +132,13 @@
 #[test]
 fn does_not_use_removed_servers_before_other_vms_could_deny_the_outage() {
     let mut table = table(4);
-    table.store_lost(ms(1_000));
-    table.store_found(ms(4_000));
-    table.removed(&server(0), ms(4_000));
+    table.begin_store_outage(ms(1_000));
+    table.end_store_outage(ms(4_000));
+    table.remove_entry(&server(0), ms(4_000));
     assert!(!usable(&table, ms(4_599)));
     assert!(usable(&table, ms(4_600)));
     for at in 1..4 {
-        table.removed(&server(at), ms(4_000));
+        table.remove_entry(&server(at), ms(4_000));
     }
     assert_eq!(table.usable(&"engines".into(), ms(4_100)).count(), 4, "no other server is listed");
 }
@@ -146,12 +146,12 @@
 #[test]
 fn does_not_consider_the_store_unreachable_when_it_answered_other_vms() {
     let mut table = table(4);
-    assert!(!table.is_store_away());
-    table.store_lost(ms(1_000));
-    assert!(table.is_store_away());
-    table.store_never_away(ms(4_000));
-    assert!(!table.is_store_away());
-    assert_eq!(table.removed(&server(0), ms(4_100)), Some(Removal::Leaving));
+    assert!(!table.is_store_unreachable());
+    table.begin_store_outage(ms(1_000));
+    assert!(table.is_store_unreachable());
+    table.cancel_store_outage(ms(4_000));
+    assert!(!table.is_store_unreachable());
+    assert_eq!(table.remove_entry(&server(0), ms(4_100)), Some(Removal::Leaving));
     assert!(!usable(&table, ms(4_800)));
 }
 
@@ -159,12 +159,12 @@
 #[test]
 fn treats_a_server_as_leaving_when_removed_before_entries_can_expire() {
     let mut table = table(1);
-    table.removed(&server(0), ms(900));
-    table.store_lost(ms(1_000));
+    table.remove_entry(&server(0), ms(900));
+    table.begin_store_outage(ms(1_000));
     assert!(!usable(&table, ms(3_100)), "it was removed before the outage");
     let mut table = self::table(1);
-    table.store_lost(ms(1_000));
-    assert_eq!(table.removed(&server(0), ms(1_500)), Some(Removal::Leaving));
+    table.begin_store_outage(ms(1_000));
+    assert_eq!(table.remove_entry(&server(0), ms(1_500)), Some(Removal::Leaving));
     assert!(!usable(&table, ms(1_500)), "no entry expires that soon");
 }
 
@@ -172,7 +172,7 @@
 fn a_server_reports_how_long_its_entry_is_missing() {
     let mut table = table(1);
     assert_eq!(table.get(&server(0)).unwrap().unlisted_for(ms(100)), None);
-    table.removed(&server(0), ms(100));
+    table.remove_entry(&server(0), ms(100));
     assert_eq!(table.get(&server(0)).unwrap().unlisted_for(ms(350)), Some(millis(250)));
 }
 
@@ -181,11 +181,11 @@
 #[test]
 fn merges_outages_in_quick_succession() {
     let mut table = table(1);
-    table.store_lost(ms(1_000));
-    table.store_found(ms(5_000));
-    table.removed(&server(0), ms(5_000));
-    table.store_lost(ms(5_500));
-    table.store_found(ms(8_000));
+    table.begin_store_outage(ms(1_000));
+    table.end_store_outage(ms(5_000));
+    table.remove_entry(&server(0), ms(5_000));
+    table.begin_store_outage(ms(5_500));
+    table.end_store_outage(ms(8_000));
     assert!(usable(&table, ms(10_299)));
     assert!(!usable(&table, ms(10_300)));
 }
@@ -193,11 +193,11 @@
 #[test]
 fn does_not_merge_an_outage_long_after_another() {
     let mut table = table(1);
-    table.store_lost(ms(1_000));
-    table.store_found(ms(5_000));
-    table.removed(&server(0), ms(5_000));
-    table.store_lost(ms(7_300));
-    table.store_found(ms(10_000));
+    table.begin_store_outage(ms(1_000));
+    table.end_store_outage(ms(5_000));
+    table.remove_entry(&server(0), ms(5_000));
+    table.begin_store_outage(ms(7_300));
+    table.end_store_outage(ms(10_000));
     assert!(!usable(&table, ms(10_000)), "its time to return has passed");
 }
 
@@ -206,13 +206,13 @@
 #[test]
 fn drops_servers_a_minute_after_they_left() {
     let mut table = table(3);
-    table.removed(&server(0), ms(0));
-    table.removed(&server(1), ms(59_999));
+    table.remove_entry(&server(0), ms(0));
+    table.remove_entry(&server(1), ms(59_999));
     assert!(table.get(&server(0)).is_some());
-    table.removed(&server(2), ms(60_000));
+    table.remove_entry(&server(2), ms(60_000));
     assert!(table.get(&server(0)).is_none());
     assert!(table.get(&server(1)).is_some() && table.get(&server(2)).is_some());
-    assert!(table.listed(&server(0), entry("a"), ms(70_000)), "it is new again");
+    assert!(table.apply_entry(&server(0), entry("a"), ms(70_000)), "it is new again");
 }
 
 /// Number of VMs in the model.
--- a/crates/quincevalve_forwarding/tests/store_pacing.rs
+++ b/crates/quincevalve_forwarding/tests/store_pacing.rs
@@ -5,7 +5,7 @@
 use std::{collections::HashSet, time::Duration};
 
 use quincevalve_forwarding::{
-    peer_book::{PeerBook, VmCard},
+    peer_table::{PeerTable, VmDescriptor},
     store_pacing::{ConfigSource, MissingConfig, StoreReadRole},
 };
 use quincevalve_names::TimePoint;
@@ -17,8 +17,8 @@
 const CENTRES: usize = 6;
 const IN_FORCE: Duration = Duration::from_secs(4);
 
-fn card(at: usize) -> VmCard {
-    VmCard {
+fn card(at: usize) -> VmDescriptor {
+    VmDescriptor {
         name: format!("vm-{at}"),
         address: ([10, 0, (at / 200) as u8, (at % 200) as u8], 7600).into(),
         data_centre: ["a", "b", "c", "d", "e", "f"][at % CENTRES].into(),
@@ -26,14 +26,14 @@
     }
 }
 
-fn book(me: usize) -> PeerBook {
-    let mut book = PeerBook::new(card(me));
+fn book(me: usize) -> PeerTable {
+    let mut book = PeerTable::new(card(me));
     book.replace_all((0..VMS).map(card).collect());
     book
 }
 
 fn vms_with_role(role: StoreReadRole) -> Vec<usize> {
-    (0..VMS).filter(|me| book(*me).reading_part(false, ms(0)) == role).collect()
+    (0..VMS).filter(|me| book(*me).store_read_role(false, ms(0)) == role).collect()
 }
 
 /// Returns the number of calls in an outage that begins at 0, when all VMs have just had a freshness confirmation.
@@ -69,10 +69,10 @@
     let next = vms_with_role(StoreReadRole::Standby).into_iter().filter(|me| {
         let mut book = book(*me);
         for reader in &readers {
-            book.asked(card(*reader).address, ms(0));
+            book.record_datagram_sent(card(*reader).address, ms(0));
         }
-        book.reading_part(false, ms(500)) == StoreReadRole::Standby
-            && book.reading_part(false, ms(900)) == StoreReadRole::Reader
+        book.store_read_role(false, ms(500)) == StoreReadRole::Standby
+            && book.store_read_role(false, ms(900)) == StoreReadRole::Reader
     });
     assert!((1..=2).contains(&next.count()));
 }
@@ -83,7 +83,9 @@
 fn only_collectors_attempt_a_duty_takeover_at_once() {
     let collectors = CENTRES;
     let at_once = (0..VMS)
-        .filter(|me| book(*me).reading_part(false, ms(0)).duty_takeover_delay(VMS, 0.0).is_zero())
+        .filter(|me| {
+            book(*me).store_read_role(false, ms(0)).duty_takeover_delay(VMS, 0.0).is_zero()
+        })
         .count();
     assert_eq!(at_once, collectors);
 }
--- a/crates/quincevalve_forwarding/tests/support/mod.rs
+++ b/crates/quincevalve_forwarding/tests/support/mod.rs
@@ -113,7 +113,7 @@
     let mut table = ServerTable::default();
     for at in 0..count {
         let centre = ["a", "b", "c", "d"][at % 4];
-        table.listed(&server(at), entry(centre), TimePoint::ZERO);
+        table.apply_entry(&server(at), entry(centre), TimePoint::ZERO);
     }
     table
 }
@@ -127,37 +127,37 @@
 }
 
 /// What a request asks that comes to an entry VM of data centre `a`.
-pub struct Asking {
+pub struct TestRequest {
     pub service: ServiceName,
     pub data_centre: DataCentreName,
     pub prompt: Option<Prompt>,
     pub urgency: u8,
-    pub within: Duration,
-    pub had: Vec<BackendServerName>,
+    pub latency_budget: Duration,
+    pub tried: Vec<BackendServerName>,
 }
 
-impl Default for Asking {
+impl Default for TestRequest {
     fn default() -> Self {
         Self {
             service: "engines".into(),
             data_centre: "a".into(),
             prompt: Some(prompt(2_000, None)),
             urgency: 1,
-            within: millis(800),
-            had: Vec::new(),
+            latency_budget: millis(800),
+            tried: Vec::new(),
         }
     }
 }
 
-impl Asking {
+impl TestRequest {
     pub fn ask(&self) -> PlacementRequest<'_> {
         PlacementRequest {
             service: &self.service,
             prompt: self.prompt.map(|it| (it, engine())),
             urgency: self.urgency,
-            latency_budget: self.within,
+            latency_budget: self.latency_budget,
             data_centre: &self.data_centre,
-            tried: &self.had,
+            tried: &self.tried,
             scope: None,
         }
     }
--- a/crates/quincevalve_node/src/peers/receive/tests.rs
+++ b/crates/quincevalve_node/src/peers/receive/tests.rs
@@ -1,7 +1,7 @@
 use std::future::Future;
 
 use quincevalve_forwarding::{
-    peer_book::VmCard,
+    peer_table::VmDescriptor,
     servers::{ServerEntry, ServerStart},
     store_contact::ContactSpan,
     sums::PartialSum,
@@ -70,7 +70,12 @@
 fn datagram(node: &Node, store: Option<ToldContact>, changes: Vec<(u64, Passed)>) -> Datagram {
     let upto = changes.last().map_or(AT, |(at, _)| *at);
     Datagram {
-        from: VmCard { name: "vm-2".into(), address: any(), data_centre: "a".into(), cpu: 250 },
+        from: VmDescriptor {
+            name: "vm-2".into(),
+            address: any(),
+            data_centre: "a".into(),
+            cpu: 250,
+        },
         incarnation: 1,
         wall_ms: 0,
         true_ms: None,
@@ -115,7 +120,7 @@
         assert!(usable(&node).is_empty());
         heard_of_store(&node, ContactSpan::at(clock::now()));
         assert!(usable(&node).is_empty());
-        assert!(!node.servers.borrow().is_store_away());
+        assert!(!node.servers.borrow().is_store_unreachable());
     });
 }
 
@@ -139,7 +144,7 @@
     run(async {
         let node = node(3_000);
         note_away(&node);
-        assert!(node.servers.borrow().is_store_away());
+        assert!(node.servers.borrow().is_store_unreachable());
         hear(&node, &socket().await, datagram(&node, None, removed()));
         assert!(!usable(&node).is_empty());
     });
--- a/crates/quincevalve_node/tests/support/mod.rs
+++ b/crates/quincevalve_node/tests/support/mod.rs
@@ -15,9 +15,9 @@
     config::{
         Account, CallerLimits, Engine, ForwardingConfig, RetrySafety, Route, Service, Target,
     },
-    peer_book::VmCard,
+    peer_table::VmDescriptor,
     quota::QuotaLimits,
-    retry_window::RetryLimits,
+    retry_budget::RetryLimits,
     rollout::record::{OrderId, RolloutOrder},
     server_signals::{RequestRate, ServerSignals},
     servers::ServerEntry,
@@ -162,7 +162,7 @@
     /// Lists strong VMs of the same data centre that answer nobody.
     pub fn list_dead_vms(&self, count: u16) {
         let item = |at: u16| {
-            let card = VmCard {
+            let card = VmDescriptor {
                 name: format!("dead-{at}"),
                 address: ([127, 0, 0, 1], 1).into(),
                 data_centre: "a".into(),
