--- a/crates/quincevalve_forwarding/src/chunk_fetch.rs
+++ b/crates/quincevalve_forwarding/src/chunk_fetch.rs
@@ -1,10 +1,10 @@
 //! Fetches a large value from other VMs, a few chunks at a time.
 //!
 //! Hundreds of VMs may start together and request the state of a few others, hundreds of kilobytes each. Sent to all
-//! requesters at once, it would saturate links for longer than requesters wait, and one lost datagram would cost the whole
-//! value. A requester therefore names the chunks that it lacks, a few at a time, and stays with a source as long as
-//! chunks arrive from it. A source serves as many requesters at once as its link can carry and redirects the others; a VM
-//! that has the whole value is a source for them.
+//! requesters at once, it would saturate links for longer than requesters wait, and one lost datagram would cost the
+//! whole value. A requester therefore names the chunks that it lacks, a few at a time, and stays with a source as long
+//! as chunks arrive from it. A source serves as many requesters at once as its link can carry and redirects the others;
+//! a VM that has the whole value is a source for them.
 
 use std::{collections::HashMap, net::SocketAddr, time::Duration};
 
@@ -154,7 +154,8 @@
         }
     }
 
-    /// Adds a chunk. Returns the whole value if it was the last missing one. Chunks of different sources aren't combined.
+    /// Adds a chunk. Returns the whole value if it was the last missing one. Chunks of different sources aren't
+    /// combined.
     pub fn receive(&mut self, from: SocketAddr, chunk: Chunk, now: TimePoint) -> Option<Vec<u8>> {
         if self.sources.get(self.source) != Some(&from) {
             return None;
@@ -214,8 +215,8 @@
 const TIMEOUT_PER_VM: Duration = Duration::from_millis(30);
 const MAX_TIMEOUT_EXTENSION: Duration = Duration::from_millis(2_500);
 
-/// Returns how long a VM waits for progress of a fetch if `before` VMs of its data centre rank before it. Where no VM has
-/// the value, the first ones read it from the store and become sources for the rest.
+/// Returns how long a VM waits for progress of a fetch if `before` VMs of its data centre rank before it. Where no VM
+/// has the value, the first ones read it from the store and become sources for the rest.
 ///
 /// # Examples
 ///
@@ -230,8 +231,8 @@
     base + TIMEOUT_PER_VM.mul_f64(before as f64).min(MAX_TIMEOUT_EXTENSION)
 }
 
-/// Returns the order in which a VM tries sources: `first`, which have the value soonest, then alternately one of `others`,
-/// which may have received it meanwhile, and one of `first` again.
+/// Returns the order in which a VM tries sources: `first`, which have the value soonest, then alternately one of
+/// `others`, which may have received it meanwhile, and one of `first` again.
 ///
 /// # Examples
 ///
--- a/crates/quincevalve_forwarding/src/chunks.rs
+++ b/crates/quincevalve_forwarding/src/chunks.rs
@@ -2,8 +2,8 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Size of one chunk in bytes: two hundred of them hold a value of the largest size that the platform's store accepts, and
-/// one is less than half of the largest datagram.
+/// Size of one chunk in bytes: two hundred of them hold a value of the largest size that the platform's store accepts,
+/// and one is less than half of the largest datagram.
 const CHUNK_BYTES: usize = 24 << 10;
 /// Maximum number of chunks per value; a value that claims more is rejected.
 const MAX_CHUNKS: u32 = 256;
@@ -46,7 +46,8 @@
 }
 
 impl Assembly {
-    /// Returns the version being assembled and the indices of its first `max` missing chunks; `None` before any arrived.
+    /// Returns the version being assembled and the indices of its first `max` missing chunks; `None` before any
+    /// arrived.
     pub fn missing(&self, max: usize) -> Option<(u64, Vec<u32>)> {
         let missing = (0..).zip(&self.chunks).filter(|(_, it)| it.is_none()).map(|(at, _)| at);
         (!self.chunks.is_empty()).then(|| (self.version, missing.take(max).collect()))
--- a/crates/quincevalve_forwarding/src/duty.rs
+++ b/crates/quincevalve_forwarding/src/duty.rs
@@ -53,8 +53,8 @@
     /// Records that this VM took over a term whose lease was requested at `requested`.
     ///
     /// If the duty passes from A to B and back to A within one lease, the platform can't distinguish A's new calls from
-    /// delayed old ones. A holder that also held the term before the previous holder's therefore waits for a whole lease
-    /// before it acts.
+    /// delayed old ones. A holder that also held the term before the previous holder's therefore waits for a whole
+    /// lease before it acts.
     pub fn record_acquired(
         &mut self,
         me: &str,
@@ -88,8 +88,8 @@
 
     /// Returns the fencing number to act with, or `None` if this VM may not act.
     ///
-    /// A renewal counts from when it was sent, on a clock that includes time spent suspended: a VM that was paused finds
-    /// its lease too old before its next call.
+    /// A renewal counts from when it was sent, on a clock that includes time spent suspended: a VM that was paused
+    /// finds its lease too old before its next call.
     pub fn fencing_number(&self, now: TimePoint) -> Option<FencingNumber> {
         let held = self.held.as_ref()?;
         let usable = held.ttl.mul_f64(USABLE_FRACTION);
--- a/crates/quincevalve_forwarding/src/peer_table.rs
+++ b/crates/quincevalve_forwarding/src/peer_table.rs
@@ -16,7 +16,8 @@
 use self::ranking::{Rank, Ranking};
 use crate::{shared_limit::VmRank, store_pacing::StoreReadRole};
 
-/// Up to this many VMs each VM reports to every other: a dozen datagrams per period are cheap, and no collector can fail.
+/// Up to this many VMs each VM reports to every other: a dozen datagrams per period are cheap, and no collector can
+/// fail.
 const MAX_VMS_OF_SMALL_SYSTEM: usize = 16;
 /// Number of VMs that read the store for all: one, and a second in case the first can't.
 const MAX_STORE_READERS: usize = 2;
@@ -77,8 +78,8 @@
 
 /// Table of the known entry VMs.
 ///
-/// Roles are looked up for each datagram, with hundreds of VMs known. The ranking that this needs is maintained as VMs are
-/// added and removed, so that a lookup costs the same whatever their number.
+/// Roles are looked up for each datagram, with hundreds of VMs known. The ranking that this needs is maintained as VMs
+/// are added and removed, so that a lookup costs the same whatever their number.
 #[derive(Clone, Debug)]
 pub struct PeerTable {
     me: VmDescriptor,
@@ -225,7 +226,7 @@
 
     /// Returns the names of the other VMs whose reports may still arrive.
     ///
-    /// VMs that are neither listed nor were received from recently are left out. Waiting for a VM that is gone for good
+    /// Excludes unlisted VMs from which nothing was received recently. Waiting for a VM that is gone for good
     /// would delay the reports of the waiting VM by seconds, or lose them if that VM stops too.
     pub fn expected_reporters(&self, now: TimePoint) -> impl Iterator<Item = &str> {
         let is_reporting =
@@ -268,10 +269,11 @@
         }
     }
 
-    /// Returns the address of the strongest collector of this VM's data centre if it doesn't answer and another is used.
+    /// Returns the address of the strongest collector of this VM's data centre if it doesn't answer and another is
+    /// used.
     ///
-    /// When all VMs start together, the strongest may take longer than the others wait. Without further attempts, weak VMs
-    /// would stay collectors that VMs of other data centres don't know. Callers therefore contact the strongest one
+    /// When all VMs start together, the strongest may take longer than the others wait. Without further attempts, weak
+    /// VMs would stay collectors that VMs of other data centres don't know. Callers therefore contact the strongest one
     /// now and then, and it is used once it answers.
     pub fn preferred_collector(&self, now: TimePoint) -> Option<SocketAddr> {
         let best = self.vms_by_rank(&self.me.data_centre).next()?;
@@ -289,8 +291,8 @@
 
     /// Returns this VM's role in reading the store.
     ///
-    /// In a small system the first two VMs read for all; in a large one the first two collectors do, and the others are on
-    /// standby.
+    /// In a small system the first two VMs read for all; in a large one the first two collectors do, and the others are
+    /// on standby.
     pub fn store_read_role(&self, has_members: bool, now: TimePoint) -> StoreReadRole {
         let candidates: Vec<&VmDescriptor> = if self.is_small() {
             self.peers.values().map(|it| &it.descriptor).chain([&self.me]).collect()
@@ -366,8 +368,8 @@
     descriptors
 }
 
-/// Returns the VMs from which the starting VM `me` fetches state, in the order in which it tries them; none if it should
-/// read the store itself.
+/// Returns the VMs from which the starting VM `me` fetches state, in the order in which it tries them; none if it
+/// should read the store itself.
 ///
 /// The first three VMs of a data centre read the store: they are its collector or next in line. The others start with
 /// different ones of these, so that each serves a third of the VMs.
@@ -406,8 +408,8 @@
     sorted_by_rank(centre.iter()).iter().position(|it| it.name == me.name).unwrap_or(centre.len())
 }
 
-/// Minimum number of VMs in a data centre for which a starting VM fetches state from others. Fewer read the store quickly
-/// even when all start together.
+/// Minimum number of VMs in a data centre for which a starting VM fetches state from others. Fewer read the store
+/// quickly even when all start together.
 const MIN_VMS_FOR_STATE_FETCH: usize = 12;
 
 /// Maximum number of collectors tried per data centre: the first may be down, and so may the second.
--- a/crates/quincevalve_forwarding/src/poison.rs
+++ b/crates/quincevalve_forwarding/src/poison.rs
@@ -1,9 +1,9 @@
 //! Quarantines requests that crash the servers that run them.
 //!
-//! A caller repeats a request that crashes its server, each time as a new attempt and at another VM. Server after server
-//! exits, and every caller whose request ran beside it loses its answer, although each attempt and each VM stays within
-//! its own limits. Exits are therefore counted by the content of the request ([`RequestDigest`]) instead of by attempt,
-//! and over all VMs:
+//! A caller repeats a request that crashes its server, each time as a new attempt and at another VM. Server after
+//! server exits, and every caller whose request ran beside it loses its answer, although each attempt and each VM stays
+//! within its own limits. Exits are therefore counted by the content of the request ([`RequestDigest`]) instead of by
+//! attempt, and over all VMs:
 //!
 //! 1. A VM that observes the exit of a server that ran one of its requests reports it to the request's arbiters: three
 //!    VMs that every VM derives from the digest in the same way ([`arbiters`]).
@@ -11,12 +11,12 @@
 //!    that did isn't the cause: popular requests run on servers that exit now and then. If several requests ran on the
 //!    same servers, the arbiter waits for an exit that distinguishes them.
 //! 3. If it completed nowhere, the request is quarantined: the arbiter notifies all VMs, and an entry in the platform's
-//!    store informs VMs that start later. From then on the request reaches servers only in trials. Trials are counted in
-//!    the entry, so that all VMs together make no more of them than one VM would; a trial that completes lifts the
+//!    store informs VMs that start later. From then on the request reaches servers only in trials. Trials are counted
+//!    in the entry, so that all VMs together make no more of them than one VM would; a trial that completes lifts the
 //!    quarantine.
 //!
-//! This suffices because each exit is counted once however many VMs observe it, two of the three arbiters may be down or
-//! partitioned, and a conditional write keeps the number of trials.
+//! This suffices because each exit is counted once however many VMs observe it, two of the three arbiters may be down
+//! or partitioned, and a conditional write keeps the number of trials.
 
 mod cases;
 mod completed;
@@ -132,7 +132,7 @@
 
     /// Records that a server exited while it ran a request of this VM.
     pub fn record_server_exit(&mut self, digest: RequestDigest, server: u64, now: TimePoint) {
-        if self.completed.has(digest, now) || self.quarantine.is_known(digest, now) {
+        if self.completed.contains(digest, now) || self.quarantine.is_known(digest, now) {
             return;
         }
         self.outbox.report_exit(digest, server, now);
@@ -149,17 +149,17 @@
         self.quarantine.is_known(digest, now)
     }
 
-    /// Returns whether a request may be sent to a server. `true_ms` is the wall-clock time in Unix milliseconds.
+    /// Returns whether a request may be sent to a server. `wall_clock_ms` is in Unix milliseconds; `None` if unknown.
     pub fn send_decision(
         &self,
         digest: RequestDigest,
         now: TimePoint,
-        true_ms: Option<i64>,
+        wall_clock_ms: Option<i64>,
     ) -> SendDecision {
         if self.blocked_locally.contains(&digest) && self.cases.is_suspected(digest) {
             return SendDecision::Quarantined(LOCAL_BLOCK_RETRY_DELAY);
         }
-        self.quarantine.send_decision(digest, now, true_ms)
+        self.quarantine.send_decision(digest, now, wall_clock_ms)
     }
 
     /// Returns whether any request is quarantined or blocked here, so that digests have to be compared.
@@ -202,7 +202,8 @@
         }
     }
 
-    /// Records that a trial is requested from the store, so that repeats of the request don't ask for it again meanwhile.
+    /// Records that a trial is requested from the store, so that repeats of the request don't ask for it again
+    /// meanwhile.
     pub fn record_trial_request(&mut self, digest: RequestDigest, now: TimePoint) {
         self.quarantine.record_trial_request(digest, now);
     }
@@ -217,7 +218,7 @@
             }
             PoisonMessage::Inquiry { digest, servers } => {
                 self.cases.apply_competing_inquiry(digest, &servers);
-                if self.completed.has(digest, now) {
+                if self.completed.contains(digest, now) {
                     let answer = PoisonMessage::Completed(digest);
                     self.outbox.send(Recipient::Vm(from.to_owned()), answer, now);
                 } else {
@@ -241,8 +242,8 @@
 
     /// Makes the decisions that are due and returns the messages to send, each with its recipient.
     ///
-    /// `names` are all listed VMs, this one included; `connected_fraction` is the fraction of them that this VM received
-    /// datagrams from recently.
+    /// `names` are all listed VMs, this one included; `connected_fraction` is the fraction of them that this VM
+    /// received datagrams from recently.
     pub fn tick(
         &mut self,
         names: &[&str],
@@ -276,7 +277,7 @@
 
     fn apply_step(&mut self, step: Step, now: TimePoint) {
         match step {
-            Step::Inquire { digest, .. } if self.completed.has(digest, now) => {
+            Step::Inquire { digest, .. } if self.completed.contains(digest, now) => {
                 self.cases.mark_cleared(digest, now);
             }
             Step::Inquire { digest, servers } => {
--- a/crates/quincevalve_forwarding/src/poison/cases.rs
+++ b/crates/quincevalve_forwarding/src/poison/cases.rs
@@ -9,8 +9,8 @@
 use super::{arbiters, completed::COMPLETION_TTL};
 use crate::request_digest::RequestDigest;
 
-/// Number of exits under a request that make it a suspect. Two happen to a request by chance whenever many servers crash,
-/// and each further one costs another server.
+/// Number of exits under a request that make it a suspect. Two happen to a request by chance whenever many servers
+/// crash, and each further one costs another server.
 const MIN_EXITS: usize = 3;
 /// Number of exits after which two requests that ran on the same servers are both suspects. An innocent request runs on
 /// each of so many exiting servers by chance only where nearly all servers run it, and then it completes on others.
@@ -19,9 +19,9 @@
 const SAME_EVENT_WINDOW: Duration = Duration::from_millis(300);
 /// Time for VMs to report a completion of the same request: three transmissions of the inquiry and their latency.
 const INQUIRY_TIMEOUT: Duration = Duration::from_millis(220);
-/// The same where servers exited together. When a rack loses power, callers may just have begun to send a popular request
-/// of which no run has completed yet; a run that starts now completes in most cases within this time. Copies of a poison
-/// request that arrive at once have all been sent before anything can be known about them.
+/// The same where servers exited together. When a rack loses power, callers may just have begun to send a popular
+/// request of which no run has completed yet; a run that starts now completes in most cases within this time. Copies of
+/// a poison request that arrive at once have all been sent before anything can be known about them.
 pub(super) const MAX_INQUIRY_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Time that the second arbiter waits for the verdict of the first; the third waits twice as long.
 const ARBITER_DELAY: Duration = Duration::from_millis(250);
@@ -29,8 +29,8 @@
 const EXIT_TTL: Duration = Duration::from_secs(3_600);
 /// Maximum number of servers that a message about a suspect names: as many as some tens of simultaneous copies crash.
 const MAX_REPORTED_SERVERS: usize = 24;
-/// Up to this number of VMs all arbiters inquire at once. With few servers, popular requests often run on those that exit
-/// under another request, and the arbiters of both have to receive each other's inquiries.
+/// Up to this number of VMs all arbiters inquire at once. With few servers, popular requests often run on those that
+/// exit under another request, and the arbiters of both have to receive each other's inquiries.
 const MAX_VMS_OF_SMALL_SYSTEM: usize = 16;
 /// Maximum number of cases; the oldest is dropped first. Covers all requests that ran on a hundred servers that exit
 /// within the hour, as far as this VM is their arbiter, in half a megabyte.
@@ -224,11 +224,11 @@
     /// Applies an inquiry about another request that is suspected of the exits of `servers`.
     ///
     /// A popular request that happens to run on each of the first three servers that a poison request crashes would be
-    /// quarantined with it. The evidence against both is the same, so a suspect whose exits are all explained by the other
-    /// request goes back to open: the next exit is under only one of them and makes that one the suspect.
+    /// quarantined with it. The evidence against both is the same, so a suspect whose exits are all explained by the
+    /// other request goes back to open: the next exit is under only one of them and makes that one the suspect.
     ///
-    /// Two poison requests that share a prompt are placed on the same servers, and by this rule alone neither would ever
-    /// stay a suspect. From [`MIN_EXITS_WITH_COMPETITOR`] exits on, competing requests are ignored.
+    /// Two poison requests that share a prompt are placed on the same servers, and by this rule alone neither would
+    /// ever stay a suspect. From [`MIN_EXITS_WITH_COMPETITOR`] exits on, competing requests are ignored.
     pub(super) fn apply_competing_inquiry(
         &mut self,
         competitor: RequestDigest,
@@ -269,14 +269,14 @@
         self.cases.values().any(Case::is_suspected)
     }
 
-    /// Returns the steps that are due. The position of `me` among the arbiters of a request, chosen from `names`, says how
-    /// long it waits for the arbiters before it.
+    /// Returns the steps that are due. The position of `me` among the arbiters of a request, chosen from `names`, says
+    /// how long it waits for the arbiters before it.
     ///
     /// An arbiter that is partitioned together with a few other VMs, none of which completed a popular request, would
     /// take their silence for that of all VMs and quarantine an innocent request. An arbiter that is connected to a
     /// minority therefore leaves decisions to arbiters that aren't, or postpones them until it is connected again.
-    /// Until then it blocks requests locally, without notifying any VM, if it observed enough exits itself, since no other
-    /// VM may know of these. An arbiter that lacks some VMs waits for one more exit.
+    /// Until then it blocks requests locally, without notifying any VM, if it observed enough exits itself, since no
+    /// other VM may know of these. An arbiter that lacks some VMs waits for one more exit.
     pub(super) fn tick(
         &mut self,
         names: &[&str],
@@ -331,8 +331,8 @@
     }
 }
 
-/// Returns how long this arbiter leaves the decision to the arbiters before it. A VM that isn't an arbiter by its own list
-/// of VMs, but is by that of others, decides last.
+/// Returns how long this arbiter leaves the decision to the arbiters before it. A VM that isn't an arbiter by its own
+/// list of VMs, but is by that of others, decides last.
 fn arbiter_delay(digest: RequestDigest, names: &[&str], me: &str) -> Duration {
     let chosen = arbiters(digest, names);
     let rank = chosen.iter().position(|it| *it == me).unwrap_or(chosen.len());
--- a/crates/quincevalve_forwarding/src/poison/completed.rs
+++ b/crates/quincevalve_forwarding/src/poison/completed.rs
@@ -9,8 +9,8 @@
 
 use crate::request_digest::RequestDigest;
 
-/// How long a completion protects a request from being suspected. A popular request completes many times within it, while
-/// a request that only the previous version of the servers could run isn't protected for long.
+/// How long a completion protects a request from being suspected. A popular request completes many times within it,
+/// while a request that only the previous version of the servers could run isn't protected for long.
 pub(super) const COMPLETION_TTL: Duration = Duration::from_secs(120);
 /// Maximum number of completions kept; the oldest is dropped first. Covers the requests of one VM in two minutes at ten
 /// times its usual rate, in half a megabyte.
@@ -36,7 +36,7 @@
         }
     }
 
-    pub(super) fn has(&self, digest: RequestDigest, now: TimePoint) -> bool {
+    pub(super) fn contains(&self, digest: RequestDigest, now: TimePoint) -> bool {
         self.newest.get(&digest).is_some_and(|at| now.since(*at) <= COMPLETION_TTL)
     }
 }
--- a/crates/quincevalve_forwarding/src/poison/outbox.rs
+++ b/crates/quincevalve_forwarding/src/poison/outbox.rs
@@ -19,7 +19,8 @@
 /// learn of it from the store.
 const MESSAGE_DELAYS: [Duration; 3] =
     [Duration::ZERO, Duration::from_millis(70), Duration::from_millis(140)];
-/// Maximum number of queued messages; further ones are dropped. Covers some hundred requests at servers that exit together.
+/// Maximum number of queued messages; further ones are dropped. Covers some hundred requests at servers that exit
+/// together.
 const MAX_QUEUED: usize = 4_096;
 
 /// The recipient of a message.
--- a/crates/quincevalve_forwarding/src/poison/quarantine.rs
+++ b/crates/quincevalve_forwarding/src/poison/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests that aren't sent to servers.
+//! Quarantined requests: which there are, for how long, and when a trial is due.
 
 use std::time::Duration;
 
@@ -9,10 +9,10 @@
 use super::cases::ExitPattern;
 use crate::request_digest::RequestDigest;
 
-/// Quarantine periods before the first trial and after each. A request that was caught in a burst of crashes by chance is
-/// served again when the burst is over. Few requests are, and each trial of a request that does crash servers costs all
-/// callers of that server their answers, so the periods grow: such a request crashes three more servers in about an hour,
-/// and then one a day, by when a new version of the servers may have been released.
+/// Quarantine periods before the first trial and after each. A request that was caught in a burst of crashes by chance
+/// is served again when the burst is over. Few requests are, and each trial of a request that does crash servers costs
+/// all callers of that server their answers, so the periods grow: such a request crashes three more servers in about an
+/// hour, and then one a day, by when a new version of the servers may have been released.
 const QUARANTINE_PERIODS: [Duration; 4] = [
     Duration::from_secs(30),
     Duration::from_secs(300),
@@ -42,12 +42,12 @@
 
 impl QuarantineEntry {
     /// Creates the first entry of a request.
-    pub fn first(exits: ExitPattern, true_ms: i64) -> Self {
+    pub fn first(exits: ExitPattern, wall_clock_ms: i64) -> Self {
         let period_ms = match exits {
             ExitPattern::Together => SHORT_QUARANTINE_PERIOD.as_millis() as i64,
             ExitPattern::Separate => quarantine_period_ms(0),
         };
-        Self { trials: 0, until_ms: true_ms + period_ms }
+        Self { trials: 0, until_ms: wall_clock_ms + period_ms }
     }
 
     /// Returns the entry that begins the next trial, or `None` if none is due yet.
@@ -61,10 +61,10 @@
     /// let begun = first.next_trial(30_000).unwrap();
     /// assert_eq!((begun.trials, begun.until_ms), (1, 330_000));
     /// ```
-    pub fn next_trial(&self, true_ms: i64) -> Option<Self> {
+    pub fn next_trial(&self, wall_clock_ms: i64) -> Option<Self> {
         let trials = self.trials + 1;
-        let next = Self { trials, until_ms: true_ms + quarantine_period_ms(trials) };
-        (true_ms >= self.until_ms).then_some(next)
+        let next = Self { trials, until_ms: wall_clock_ms + quarantine_period_ms(trials) };
+        (wall_clock_ms >= self.until_ms).then_some(next)
     }
 }
 
@@ -133,8 +133,9 @@
 
     /// Applies a VM's report that a request is quarantined.
     ///
-    /// If a quarantine is lifted a moment after it began, the last of the datagrams that report it may arrive after that,
-    /// and some VMs would block an innocent request for a minute. Reports of a quarantine that was lifted less than
+    /// If a quarantine is lifted a moment after it began, the last of the datagrams that report it may arrive after
+    /// that, and some VMs would block an innocent request for a minute. Reports of a quarantine that was lifted less
+    /// than
     /// [`STALE_REPORT_WINDOW`] ago are therefore ignored.
     pub(super) fn apply_report(&mut self, digest: RequestDigest, now: TimePoint) {
         self.reported.retain(|_, until| *until > now);
@@ -156,7 +157,7 @@
         &self,
         digest: RequestDigest,
         now: TimePoint,
-        true_ms: Option<i64>,
+        wall_clock_ms: Option<i64>,
     ) -> SendDecision {
         let reported = self.reported.get(&digest).filter(|it| **it > now);
         let Some(entry) = self.listed.get(&digest) else {
@@ -166,7 +167,7 @@
         if let Some(until) = self.requested_trials.get(&digest).filter(|it| **it > now) {
             return SendDecision::Quarantined(until.since(now));
         }
-        match true_ms.map(|it| entry.until_ms - it) {
+        match wall_clock_ms.map(|it| entry.until_ms - it) {
             Some(remaining_ms) if remaining_ms <= 0 => SendDecision::TrialDue,
             Some(remaining_ms) => {
                 SendDecision::Quarantined(Duration::from_millis(remaining_ms as u64))
--- a/crates/quincevalve_forwarding/src/request_digest.rs
+++ b/crates/quincevalve_forwarding/src/request_digest.rs
@@ -7,8 +7,8 @@
 
 /// Digest of a request's account, path and body: the same for every attempt of the same request, at any VM.
 ///
-/// Attempt ids differ for each attempt, so they can't identify a repeated request. The hash is cryptographic, so that no
-/// account can forge a request with the digest of another account's.
+/// Attempt ids differ for each attempt, so they can't identify a repeated request. The hash is cryptographic, so that
+/// no account can forge a request with the digest of another account's.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
--- a/crates/quincevalve_forwarding/tests/chunk_fetch.rs
+++ b/crates/quincevalve_forwarding/tests/chunk_fetch.rs
@@ -1,4 +1,5 @@
-//! Simulates many VMs that start together and fetch state from others over links of limited bandwidth that lose datagrams.
+//! Simulates many VMs that start together and fetch state from others over links of limited bandwidth that lose
+//! datagrams.
 
 mod support;
 
@@ -46,7 +47,7 @@
 
 enum Datagram {
     Request(ChunkRequest),
-    Part(Chunk),
+    Chunk(Chunk),
     Redirect { is_serving_others: bool },
 }
 
@@ -111,7 +112,7 @@
     fn send(&mut self, from: usize, to: usize, datagram: Datagram) {
         let bytes = match &datagram {
             Datagram::Request(_) | Datagram::Redirect { .. } => 120,
-            Datagram::Part(part) => part.bytes.len() + 120,
+            Datagram::Chunk(chunk) => chunk.bytes.len() + 120,
         };
         let bandwidth = |vm: usize| if vm < FIRST_SOURCES { STRONG_LINK } else { WEAK_LINK };
         let starts_at = self.now.max(self.link_free[from]);
@@ -173,13 +174,13 @@
                 };
                 let chunks = split_into_chunks(version, &self.value);
                 chunks.into_iter().filter(is_requested).for_each(|it| {
-                    self.send(to, from, Datagram::Part(it));
+                    self.send(to, from, Datagram::Chunk(it));
                 });
             }
-            Datagram::Part(part) => {
+            Datagram::Chunk(chunk) => {
                 let at = self.at();
                 let Some(fetch) = &mut self.fetches[to] else { return };
-                if let Some(whole) = fetch.receive(address(from), part, at) {
+                if let Some(whole) = fetch.receive(address(from), chunk, at) {
                     assert_eq!(whole, self.value);
                     self.finished_at[to] = Some(self.now);
                     self.fetches[to] = None;
@@ -189,7 +190,8 @@
         }
     }
 
-    /// Runs until all VMs have the value. Returns how many read the store, when the last one had the value, and the bytes sent.
+    /// Runs until all VMs have the value. Returns how many read the store, when the last one had the value in
+    /// milliseconds, and the bytes sent.
     fn simulate(mut self) -> (usize, f64, u64) {
         while self.finished_at.iter().any(Option::is_none) && self.now < 20_000.0 {
             for vm in 0..self.scenario.vms {
--- a/crates/quincevalve_forwarding/tests/duty.rs
+++ b/crates/quincevalve_forwarding/tests/duty.rs
@@ -52,8 +52,8 @@
     assert_eq!(duty.fencing_number(ms(3_300)), Some(FencingNumber(1)));
 }
 
-// If the duty passes from A to B and back to A within a lease, the platform can't distinguish A's new orders from delayed
-// old ones. A waits for a whole lease before it acts again.
+// If the duty passes from A to B and back to A within a lease, the platform can't distinguish A's new orders from
+// delayed old ones. A waits for a whole lease before it acts again.
 #[test]
 fn a_holder_that_returns_after_another_waits_for_a_lease() {
     let mut duty = acquired(&term(6, "vm-b", "vm-a"), 10_000);
--- a/crates/quincevalve_forwarding/tests/peer_ranking.rs
+++ b/crates/quincevalve_forwarding/tests/peer_ranking.rs
@@ -60,8 +60,8 @@
         ..ProptestConfig::default()
     })]
 
-    // After VMs are added, removed or changed, a stale ranking would make VMs report to a VM that is no longer the collector,
-    // or divide a limit by VMs that no longer exist.
+    // After VMs are added, removed or changed, a stale ranking would make VMs report to a VM that is no longer the
+    // collector, or divide a limit by VMs that no longer exist.
     #[test]
     fn roles_and_ranks_match_the_known_vms(events in prop::collection::vec(event(), 1..120)) {
         let me = descriptor(0, 1);
--- a/crates/quincevalve_forwarding/tests/poison.rs
+++ b/crates/quincevalve_forwarding/tests/poison.rs
@@ -54,7 +54,8 @@
         self.guard.tick(&refs, self.connected_fraction, at(millis))
     }
 
-    /// Returns the time after `from` at which it quarantines a request, and the exit pattern; ticks every 10 ms for ten seconds.
+    /// Returns the time after `from` at which it quarantines a request, and the exit pattern. Ticks every 10 ms for ten
+    /// seconds.
     fn time_to_quarantine(&mut self, from: u64) -> Option<(u64, ExitPattern)> {
         (0..1_000).map(|it| from + it * 10).find_map(|millis| {
             self.tick(millis);
@@ -129,8 +130,8 @@
     assert_eq!(arbiter.time_to_quarantine(1_600), None);
 }
 
-// Copies of a request that has just become popular run in a rack that loses power. The longer inquiry gives the next run
-// time to complete before the decision.
+// Copies of a request that has just become popular run in a rack that loses power. The longer inquiry gives the next
+// run time to complete before the decision.
 #[test]
 fn an_inquiry_takes_longer_when_exits_belong_to_one_event() {
     let mut arbiter = TestVm::arbiter(0, MANY_VMS);
@@ -337,8 +338,8 @@
     assert_eq!(arbiter.time_to_quarantine(20_000), Some((220, ExitPattern::Separate)));
 }
 
-// Callers repeat a request at a VM that is partitioned from all others, and no other VM observes the exits. The VM blocks
-// the request locally and doesn't quarantine it before it can ask the others.
+// Callers repeat a request at a VM that is partitioned from all others, and no other VM observes the exits. The VM
+// blocks the request locally and doesn't quarantine it before it can ask the others.
 #[test]
 fn a_partitioned_vm_blocks_a_request_by_exits_that_it_observed() {
     let is_blocked = |vm: &TestVm, millis| {
@@ -517,7 +518,8 @@
     let mut vm = TestVm::arbiter(2, MANY_VMS);
     vm.receive(quarantined(POISON, &SEPARATE), 0);
     vm.guard.apply_entry(POISON, QuarantineEntry::first(ExitPattern::Separate, 1_000));
-    let decision = |vm: &TestVm, true_ms| vm.guard.send_decision(POISON, at(100), Some(true_ms));
+    let decision =
+        |vm: &TestVm, wall_clock_ms| vm.guard.send_decision(POISON, at(100), Some(wall_clock_ms));
     assert_eq!(decision(&vm, 1_000), SendDecision::Quarantined(Duration::from_secs(30)));
     assert_eq!(decision(&vm, 30_999), SendDecision::Quarantined(Duration::from_millis(1)));
     assert_eq!(decision(&vm, 31_000), SendDecision::TrialDue);
--- a/crates/quincevalve_forwarding/tests/poison_world/main.rs
+++ b/crates/quincevalve_forwarding/tests/poison_world/main.rs
@@ -19,8 +19,8 @@
 const LATE_AFTER: u64 = 3_000;
 /// Maximum number of late attempts of all VMs together.
 const MAX_LATE_ATTEMPTS: usize = 3;
-/// Maximum time in milliseconds for which an innocent request may be refused. This happens where the only VMs at which the
-/// request completed are partitioned and can't be asked; its first completion elsewhere lifts the quarantine.
+/// Maximum time in milliseconds for which an innocent request may be refused. This happens where the only VMs at which
+/// the request completed are partitioned and can't be asked; its first completion elsewhere lifts the quarantine.
 const MAX_REFUSED_TIME: u64 = 1_000;
 /// Numbers of VMs and servers.
 const SIZES: [(usize, usize); 3] = [(8, 12), (88, 90), (295, 204)];
@@ -120,8 +120,9 @@
     poison_in_a_burst_of_exits: |scenario| Scenario { poison: repeated(), burst: Some(5_000..15_000), ..scenario };
 }
 
-// An innocent popular request is refused: by chance it ran on each of the first four servers that another request crashed,
-// and the VMs at which it completed just before are partitioned. Its next completion at any other VM lifts the quarantine.
+// An innocent popular request is refused: by chance it ran on each of the first four servers that another request
+// crashed, and the VMs at which it completed just before are partitioned. Its next completion at any other VM lifts the
+// quarantine.
 #[test]
 fn an_innocent_request_is_allowed_after_its_next_completion() {
     let scenario = with_callers(Scenario::new(8, 12));
--- a/crates/quincevalve_forwarding/tests/poison_world/world.rs
+++ b/crates/quincevalve_forwarding/tests/poison_world/world.rs
@@ -502,7 +502,7 @@
         self.runs.push(Run { vm, vm_start, server, digest, kind, ends });
     }
 
-    fn true_ms(&self) -> i64 {
+    fn wall_clock_ms(&self) -> i64 {
         START_MS + self.now.cast_signed()
     }
 
@@ -512,7 +512,7 @@
 
     fn is_admitted(&mut self, vm: usize, digest: RequestDigest) -> bool {
         let now = at(self.now);
-        match self.vms[vm].guard.send_decision(digest, now, Some(self.true_ms())) {
+        match self.vms[vm].guard.send_decision(digest, now, Some(self.wall_clock_ms())) {
             SendDecision::Allowed => true,
             SendDecision::Quarantined(_) => false,
             SendDecision::TrialDue => {
@@ -521,7 +521,8 @@
                     return false;
                 }
                 self.outcome.store_calls += 2;
-                let next = self.store.get(&digest).and_then(|it| it.next_trial(self.true_ms()));
+                let next =
+                    self.store.get(&digest).and_then(|it| it.next_trial(self.wall_clock_ms()));
                 let Some(next) = next else { return false };
                 self.write(digest, next);
                 true
@@ -575,7 +576,7 @@
         for (digest, exits) in std::mem::take(&mut self.vms[vm].unwritten) {
             self.outcome.store_calls += 1;
             if !self.store.contains_key(&digest) {
-                self.write(digest, QuarantineEntry::first(exits, self.true_ms()));
+                self.write(digest, QuarantineEntry::first(exits, self.wall_clock_ms()));
             }
         }
     }
