--- a/crates/quincevalve_forwarding/src/poison.rs
+++ b/crates/quincevalve_forwarding/src/poison.rs
@@ -61,7 +61,7 @@
     Inquiry {
         /// The request.
         digest: RequestDigest,
-        /// ExitedServers that exited under it.
+        /// Servers that exited under it.
         servers: ExitedServers,
     },
     /// The request completed recently.
@@ -70,7 +70,7 @@
     Quarantined {
         /// The request.
         digest: RequestDigest,
-        /// ExitedServers that exited under it.
+        /// Servers that exited under it.
         servers: ExitedServers,
     },
 }
