--- a/crates/quincevalve_forwarding/src/store_pacing.rs
+++ b/crates/quincevalve_forwarding/src/store_pacing.rs
@@ -26,9 +26,10 @@
 const MAX_FAILURE_PAUSE: Duration = Duration::from_millis(700);
 /// Pause of a follower in a large system after each failure.
 ///
-/// When the store is down, or a data centre is cut off from it, no VM there receives reports. Fifty followers would
-/// send seventy requests a second to an unreachable store. Their collector calls it as often as a reader does and
-/// reports its first answer at once; followers call the store only in case it rejects just that collector.
+/// When the store is down, or a data centre is cut off from it, no VM there receives reports. With the pauses of a
+/// reader, fifty followers would send seventy requests a second to an unreachable store. Their collector calls it as
+/// often as a reader does and reports its first answer at once; followers call the store only in case it rejects just
+/// that collector.
 const FOLLOWER_FAILURE_PAUSE: Duration = Duration::from_millis(1_500);
 /// A VM waits for this fraction of the time in which a configuration must be in force before it reads the configuration
 /// from the store: peers relay it within a few tenths of a second.
--- a/crates/quincevalve_forwarding/tests/store_pacing.rs
+++ b/crates/quincevalve_forwarding/tests/store_pacing.rs
@@ -120,23 +120,18 @@
 #[test]
 fn reads_a_missing_configuration_consistently_after_one_second() {
     let mut missing = MissingConfig::new(7, ms(0));
-    let mut consistent_read_at = None;
+    let mut read_at = None;
     let mut stale_reads = 0;
     for at in (0..4_000).step_by(100) {
         match missing.next_source(7, IN_FORCE, ms(at)) {
             ConfigSource::StaleRead => stale_reads += 1,
             ConfigSource::Peers => {}
-            ConfigSource::ConsistentRead => {
-                consistent_read_at = consistent_read_at.or(Some(ms(at)))
-            }
+            ConfigSource::ConsistentRead => read_at = read_at.or(Some(ms(at))),
         }
     }
     assert_eq!(stale_reads, 1);
-    let consistent_read_at: TimePoint = consistent_read_at.expect("a consistent read is requested");
-    assert!(
-        consistent_read_at >= ms(1_000) && consistent_read_at <= ms(2_000),
-        "{consistent_read_at:?}",
-    );
+    let read_at: TimePoint = read_at.expect("a consistent read is requested");
+    assert!(read_at >= ms(1_000) && read_at <= ms(2_000), "{read_at:?}");
 }
 
 // New configurations arrive three times a second, and no stale read returns the newest. A VM that postponed the
--- a/crates/quincevalve_forwarding/tests/sums.rs
+++ b/crates/quincevalve_forwarding/tests/sums.rs
@@ -25,11 +25,11 @@
 }
 
 fn any_partial_sum() -> impl Strategy<Value = PartialSum> {
-    let works = prop::collection::vec((0_u64..6, work()), 0..6);
+    let server_work = prop::collection::vec((0_u64..6, work()), 0..6);
     let rates = || prop::collection::vec((0_usize..4, 0.1_f64..100_000.0), 0..4);
-    (works, rates(), rates()).prop_map(|(works, spending, demand)| PartialSum {
+    (server_work, rates(), rates()).prop_map(|(server_work, spending, demand)| PartialSum {
         vms: 1,
-        server_work: works.into_iter().collect(),
+        server_work: server_work.into_iter().collect(),
         spending: spending
             .into_iter()
             .map(|(at, rate)| (ClientAccountName::from(format!("desk-{at}").as_str()), rate))
@@ -100,8 +100,8 @@
         memory: it * 97 % 60_000,
         recent: it * 131 % 20_000,
     };
-    let works = (0..servers).map(|it| (hash_text(&it.to_string()), work(it))).collect();
-    PartialSum { server_work: works, ..PartialSum::default() }
+    let server_work = (0..servers).map(|it| (hash_text(&it.to_string()), work(it))).collect();
+    PartialSum { server_work, ..PartialSum::default() }
 }
 
 /// Returns the size of a digest in bytes, in the encoding of datagrams.
@@ -160,8 +160,8 @@
 #[test]
 fn detects_begin_and_end_of_requests_as_changes() {
     let work = |requests, recent| WorkSum { requests, recent, ..WorkSum::default() };
-    let partial_sum = |works: &[(u64, WorkSum)]| PartialSum {
-        server_work: works.iter().copied().collect(),
+    let partial_sum = |server_work: &[(u64, WorkSum)]| PartialSum {
+        server_work: server_work.iter().copied().collect(),
         ..PartialSum::default()
     };
     let before = partial_sum(&[(1, work(1, 900)), (2, work(2, 0))]);
@@ -188,9 +188,9 @@
     let config = config(1, Vec::new());
     let kept_accounts = |name: &str, rate: f64| {
         let spending = [(ClientAccountName::from(name), rate)].into_iter().collect();
-        let mut share = PartialSum { spending, ..PartialSum::default() };
-        share.drop_low_spending(&config);
-        share.spending.len()
+        let mut partial_sum = PartialSum { spending, ..PartialSum::default() };
+        partial_sum.drop_low_spending(&config);
+        partial_sum.spending.len()
     };
     assert_eq!(kept_accounts("desk", 250.0), 1);
     assert_eq!(kept_accounts("desk", 249.0), 0);
