--- a/crates/quincevalve_forwarding/src/rollout/table/state.rs
+++ b/crates/quincevalve_forwarding/src/rollout/table/state.rs
@@ -19,7 +19,7 @@
         verdict::{Judgement, Verdict, judge},
     },
     servers::{Server, ServerTable, start_hash},
-    shared_limit::{Seat, SharedLimit},
+    shared_limit::{SharedLimit, VmRank},
 };
 
 /// The part of what the limit allows that may be used when the first server of the new version is there; it rises to
@@ -92,7 +92,7 @@
     new_since: Option<TimePoint>,
     /// The part of what the limit allows that may be used by now.
     part: f64,
-    seat: Option<Seat>,
+    seat: Option<VmRank>,
     is_in_touch: bool,
     has_engines: bool,
     canaries: Option<Arc<VersionScope>>,
@@ -248,7 +248,7 @@
         let Some(to) = self.to() else { return 0 };
         let of_service = servers.all().filter(|(_, it)| it.entry.service == *service);
         let old = of_service.filter(|(_, it)| it.entry.version != *to);
-        old.map(|(_, it)| it.load.own(now).requests).sum()
+        old.map(|(_, it)| it.load.own_work(now).requests).sum()
     }
 
     /// Whether this VM sends nothing to the old version any more.
--- a/crates/quincevalve_forwarding/src/sums.rs
+++ b/crates/quincevalve_forwarding/src/sums.rs
@@ -97,7 +97,7 @@
     /// decay of recently sent work over time doesn't count as a change.
     pub fn has_changed_since(&self, before: &Self) -> bool {
         let is_unchanged = |(server, work): (&u64, &WorkSum)| {
-            before.server_work.get(server).is_some_and(|it| it.is_same_but_faded(*work))
+            before.server_work.get(server).is_some_and(|it| it.differs_only_by_decay(*work))
         };
         let has_ended = |(server, work): (&u64, &WorkSum)| {
             work.requests > 0 && !self.server_work.contains_key(server)
--- a/crates/quincevalve_forwarding/tests/sums.rs
+++ b/crates/quincevalve_forwarding/tests/sums.rs
@@ -14,12 +14,12 @@
 fn work() -> impl Strategy<Value = WorkSum> {
     let tokens = 0_u64..100_000;
     (1_u32..40, tokens.clone(), tokens.clone(), tokens.clone(), tokens).prop_map(
-        |(requests, prefill, urgent_prefill, memory, recent)| WorkSum {
+        |(requests, prefill, urgent_prefill, memory, recent_prefill)| WorkSum {
             requests,
             prefill,
             urgent_prefill,
             memory,
-            recent,
+            recent_prefill,
         },
     )
 }
@@ -98,7 +98,7 @@
         prefill: it * 37 % 9_000,
         urgent_prefill: it * 11 % 2_000,
         memory: it * 97 % 60_000,
-        recent: it * 131 % 20_000,
+        recent_prefill: it * 131 % 20_000,
     };
     let server_work = (0..servers).map(|it| (hash_text(&it.to_string()), work(it))).collect();
     PartialSum { server_work, ..PartialSum::default() }
@@ -159,7 +159,8 @@
 // If the begin or end of a request isn't detected as a change, the other VMs learn of it a second late.
 #[test]
 fn detects_begin_and_end_of_requests_as_changes() {
-    let work = |requests, recent| WorkSum { requests, recent, ..WorkSum::default() };
+    let work =
+        |requests, recent_prefill| WorkSum { requests, recent_prefill, ..WorkSum::default() };
     let partial_sum = |server_work: &[(u64, WorkSum)]| PartialSum {
         server_work: server_work.iter().copied().collect(),
         ..PartialSum::default()
--- a/crates/quincevalve_node/src/node.rs
+++ b/crates/quincevalve_node/src/node.rs
@@ -12,15 +12,15 @@
 use quincevalve_forwarding::{
     config::{ForwardingConfig, Route},
     demand::{MeasuredDemand, WorkRate},
-    duty::Duty,
+    duty::DutyLease,
     freshness::{Freshness, FreshnessState},
     line_budget::LineBudget,
     load::{self, Work},
-    peer_book::VmCard,
+    peer_table::VmDescriptor,
     placement::Placement,
     poison::PoisonGuard,
-    quota::QuotaBook,
-    retry_window::RetryWindow,
+    quota::QuotaTable,
+    retry_budget::RetryBudget,
     rollout::table::RolloutTable,
     servers::ServerTable,
     signal_outbox::SignalOutbox,
@@ -74,11 +74,11 @@
     pub(crate) config: RefCell<Option<Rc<ForwardingConfig>>>,
     pub(crate) freshness: Cell<Freshness>,
     pub(crate) servers: RefCell<ServerTable>,
-    pub(crate) quota: RefCell<QuotaBook>,
-    pub(crate) retries: RefCell<HashMap<ServiceName, RetryWindow>>,
+    pub(crate) quota: RefCell<QuotaTable>,
+    pub(crate) retries: RefCell<HashMap<ServiceName, RetryBudget>>,
     pub(crate) usage: RefCell<Usage>,
     pub(crate) wall: RefCell<WallClock<String>>,
-    pub(crate) duty: RefCell<Duty>,
+    pub(crate) duty: RefCell<DutyLease>,
     pub(crate) peers: RefCell<Peers>,
     /// Work that is taken on here, by service.
     pub(crate) demand: RefCell<IndexMap<ServiceName, WorkRate>>,
@@ -126,7 +126,7 @@
             config: RefCell::default(),
             freshness: Cell::default(),
             servers: RefCell::default(),
-            quota: RefCell::new(QuotaBook::new(settings.quotas, clock::now())),
+            quota: RefCell::new(QuotaTable::new(settings.quotas, clock::now())),
             retries: RefCell::default(),
             usage: RefCell::default(),
             wall: RefCell::default(),
@@ -222,7 +222,7 @@
     /// caller comes back to another VM.
     pub(crate) fn can_finish(&self, route: &Route) -> bool {
         let Phase::Draining { until } = self.phase.get() else { return true };
-        let needs = if route.repeat.is_stream() { STREAM_TIME } else { route.timeout };
+        let needs = if route.retry_safety.is_stream() { STREAM_TIME } else { route.timeout };
         left(until) >= needs.min(route.timeout)
     }
 
@@ -230,7 +230,7 @@
     pub(crate) fn reading_part(&self) -> StoreReadRole {
         let now = clock::now();
         let peers = self.peers.borrow();
-        peers.book.reading_part(peers.has_members(now), now)
+        peers.book.store_read_role(peers.has_members(now), now)
     }
 
     /// Whether this VM passes on what it knows of the store.
@@ -261,7 +261,7 @@
 
     /// The entry VMs that are known, this one included.
     pub(crate) fn vms(&self) -> usize {
-        self.peers.borrow().book.vms()
+        self.peers.borrow().book.vm_count()
     }
 
     /// Counts a request that is sent to a server, by the server's version.
@@ -278,7 +278,7 @@
         let vms = self.vms();
         let mut windows = self.retries.borrow_mut();
         let window = windows.entry(service.clone()).or_default();
-        window.spend(&self.settings.retries, vms, clock::now())
+        window.try_spend(&self.settings.retries, vms, clock::now())
     }
 
     /// Notes a request that began to run, in the window of true time.
@@ -308,13 +308,13 @@
 
     /// Seconds for which a request of a service keeps a server busy, as seen here lately.
     pub(crate) fn busy_each(&self, service: &ServiceName) -> Option<f64> {
-        self.demand.borrow().get(service)?.busy_each(clock::now())
+        self.demand.borrow().get(service)?.busy_seconds_per_request(clock::now())
     }
 }
 
 /// What this VM tells others of itself.
-fn card(settings: &NodeSettings) -> VmCard {
-    VmCard {
+fn card(settings: &NodeSettings) -> VmDescriptor {
+    VmDescriptor {
         name: settings.name.as_str().to_owned(),
         address: SocketAddr::new(settings.ip, settings.peer_port),
         data_centre: settings.data_centre.clone(),
--- a/crates/quincevalve_node/src/rollouts.rs
+++ b/crates/quincevalve_node/src/rollouts.rs
@@ -97,7 +97,7 @@
     let around = RefreshContext {
         wall_clock_ms: node.wall.borrow().estimate_ms(now),
         has_engines: engine.is_some(),
-        vm_rank: node.peers.borrow().book.seat(order.0),
+        vm_rank: node.peers.borrow().book.rank(order.0),
         is_connected: is_in_touch(node),
     };
     let mut book = node.rollouts.borrow_mut();
@@ -152,10 +152,10 @@
             route: RouteKey::of(&req.route.name),
             version: &place.version,
             server: start_hash(&place.server, place.start),
-            expected: place.expected,
+            expected: place.baseline,
         };
         let ticket = book.start_tracking(run, clock::now())?;
-        Some(Self { node: node.clone(), ticket, running: place.seen.requests })
+        Some(Self { node: node.clone(), ticket, running: place.known_load.requests })
     }
 
     /// Notes the first part of its answer.
