--- a/crates/quincevalve_node/src/duties.rs
+++ b/crates/quincevalve_node/src/duties.rs
@@ -84,7 +84,7 @@
     let now = clock::now();
     let draw = node.rng.borrow_mut().random();
     let Vacancy { since, draw } = *vacancy.get_or_insert(Vacancy { since: now, draw });
-    let is_small = node.peers.borrow().book.is_small();
+    let is_small = node.peers.borrow().table.is_small();
     is_small || now.since(since) >= node.reading_part().duty_takeover_delay(node.vms(), draw)
 }
 
@@ -116,7 +116,7 @@
     };
     store.commit(&commit).await?;
     node.duty.borrow_mut().record_acquired(me, &before, &term, ttl, asked);
-    node.peers.borrow_mut().holder_seen(Some(me.to_owned()));
+    node.peers.borrow_mut().set_holder(Some(me.to_owned()));
     log::info!(number = term.number.0, before = before.holder; "duty-taken");
     Ok(lease)
 }
--- a/crates/quincevalve_node/src/duties/orders.rs
+++ b/crates/quincevalve_node/src/duties/orders.rs
@@ -64,7 +64,7 @@
                 planner.set_demand(measured.clone());
             }
             let present = present(node, name, scaling.prices.keys());
-            let part = node.peers.borrow().reachable_part();
+            let part = node.peers.borrow().reachable_fraction();
             let busy = planner.observe(node.demand_of(name), part, promised, &present, now);
             for _ in 0..KINDS {
                 for order in planner.due_orders(scaling, busy, &present, clock::now()) {
--- a/crates/quincevalve_node/src/duties/reports.rs
+++ b/crates/quincevalve_node/src/duties/reports.rs
@@ -240,8 +240,11 @@
     let begin = next.cast_signed() * length;
     let told_since = begin + length + TOLD_AFTER_MS;
     let peers = node.peers.borrow();
-    let missing =
-        node.usage.borrow().missing_fraction(peers.book.expected_reporters(now), begin, told_since);
+    let missing = node.usage.borrow().missing_fraction(
+        peers.table.expected_reporters(now),
+        begin,
+        told_since,
+    );
     let complete = missing <= MAY_BE_MISSING;
     (complete || since_end_ms >= REPORT_ANYWAY_MS).then_some(next)
 }
--- a/crates/quincevalve_node/src/duties/rollouts.rs
+++ b/crates/quincevalve_node/src/duties/rollouts.rs
@@ -153,7 +153,7 @@
             has_old_servers: old > 0,
             vms: PromotionProgress {
                 vms,
-                reachable: (peers.reachable_part() * vms as f64).round() as usize,
+                reachable: (peers.reachable_fraction() * vms as f64).round() as usize,
                 switched: (told.switched + is_own_follower) as usize,
                 old_in_flight: told.old_in_flight,
             },
--- a/crates/quincevalve_node/src/lib.rs
+++ b/crates/quincevalve_node/src/lib.rs
@@ -13,8 +13,8 @@
 mod quarantine;
 mod request;
 mod rollouts;
-mod server_news;
 pub mod settings;
+mod signal_reports;
 mod start;
 mod store;
 #[cfg(test)]
--- a/crates/quincevalve_node/src/node.rs
+++ b/crates/quincevalve_node/src/node.rs
@@ -230,14 +230,14 @@
     pub(crate) fn reading_part(&self) -> StoreReadRole {
         let now = clock::now();
         let peers = self.peers.borrow();
-        peers.book.store_read_role(peers.has_members(now), now)
+        peers.table.store_read_role(peers.has_members(now), now)
     }
 
     /// Whether this VM passes on what it knows of the store.
     pub(crate) fn relays_store(&self) -> bool {
         let now = clock::now();
         let peers = self.peers.borrow();
-        peers.book.relays_store(peers.has_members(now), now)
+        peers.table.relays_store(peers.has_members(now), now)
     }
 
     /// Whether one more line of a refusal may be written; one that may not is counted.
@@ -261,7 +261,7 @@
 
     /// The entry VMs that are known, this one included.
     pub(crate) fn vms(&self) -> usize {
-        self.peers.borrow().book.vm_count()
+        self.peers.borrow().table.vm_count()
     }
 
     /// Counts a request that is sent to a server, by the server's version.
@@ -303,7 +303,7 @@
     /// The work that all entry VMs take on for a service at present, in busy servers.
     pub(crate) fn demand_of(&self, service: &ServiceName) -> f64 {
         let own = self.demand.borrow().get(service).map_or(0.0, |it| it.busy(clock::now()));
-        own + self.peers.borrow().others_demand(service)
+        own + self.peers.borrow().peer_demand(service)
     }
 
     /// Seconds for which a request of a service keeps a server busy, as seen here lately.
--- a/crates/quincevalve_node/src/peers/datagram.rs
+++ b/crates/quincevalve_node/src/peers/datagram.rs
@@ -10,7 +10,7 @@
 use quincevalve_names::TimePoint;
 use serde::{Deserialize, Serialize};
 
-use crate::{server_news::ServerNews, store::view::Passed};
+use crate::{signal_reports::SignalReport, store::view::RelayedChange};
 
 /// The largest datagram that is taken, in bytes.
 pub(super) const MAX_DATAGRAM: usize = 60 << 10;
@@ -28,14 +28,14 @@
 
 /// What the sender knows of the store.
 #[derive(Debug, Serialize, Deserialize)]
-pub(super) struct Relayed {
+pub(super) struct StoreReport {
     /// How long ago the sender sent the question whose answer proves that this is the newest.
     pub(super) age: Duration,
     /// The newest version of the configuration that the sender knows of.
     pub(super) version: u64,
     pub(super) after: u64,
     pub(super) upto: u64,
-    pub(super) changes: Vec<(u64, Passed)>,
+    pub(super) changes: Vec<(u64, RelayedChange)>,
 }
 
 /// The newest datagram that the sender has of the receiver.
@@ -51,49 +51,49 @@
 
 /// When the store answered the sender or one that it hears.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub(super) struct ToldContact {
+pub(super) struct ReportedContact {
     /// How long ago the newest answer was asked for.
     pub(super) age: Duration,
     /// For how long before it the store had answered without a gap.
-    pub(super) steady: Duration,
+    pub(super) uninterrupted: Duration,
 }
 
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) enum Content {
-    Share {
+    Digest {
         scope: Scope,
-        share: Box<PartialSum>,
-        relayed: Option<Relayed>,
-        store: Option<ToldContact>,
+        sum: Box<PartialSum>,
+        store_report: Option<StoreReport>,
+        store_contact: Option<ReportedContact>,
     },
     Usage {
         counts: Counts,
     },
     /// The sender lacks a configuration above this version.
-    ConfigWanted {
+    ConfigRequest {
         above: u64,
     },
     /// A part of the sender's configuration.
-    ConfigPart(Chunk),
+    ConfigChunk(Chunk),
     /// The sender has just started and knows nothing of the store.
-    StateWanted(ChunkRequest),
+    StateRequest(ChunkRequest),
     /// Another VM should be asked for it.
-    StateElsewhere {
+    StateRedirect {
         /// Whether the sender knows it, and only serves others at present.
         serves_others: bool,
     },
     /// A part of what the sender knows of the store.
-    StatePart {
+    StateChunk {
         /// How long ago the sender sent the question whose answer proves that this is the newest.
         age: Duration,
-        part: Chunk,
+        chunk: Chunk,
     },
     /// About a request under which servers exit.
     Poison(PoisonMessage),
     /// What servers said of themselves.
     Signals {
         scope: Scope,
-        servers: Vec<ServerNews>,
+        servers: Vec<SignalReport>,
     },
 }
 
@@ -105,12 +105,12 @@
     /// The sender's time of day.
     pub(super) wall_ms: i64,
     /// True time as the sender reckons it.
-    pub(super) true_ms: Option<i64>,
+    pub(super) estimated_ms: Option<i64>,
     /// The sender's clock.
     pub(super) sent: TimePoint,
     pub(super) echo: Option<Echo>,
     /// The revision of the store that the sender has reached.
-    pub(super) seen: Option<u64>,
+    pub(super) revision: Option<u64>,
     pub(super) content: Content,
 }
 
--- a/crates/quincevalve_node/src/peers/receive.rs
+++ b/crates/quincevalve_node/src/peers/receive.rs
@@ -10,19 +10,21 @@
 use tokio::{net::UdpSocket, time::sleep};
 
 use super::{
-    Newest,
-    datagram::{Content, Datagram, Echo, MAX_DATAGRAM, Relayed, Scope, ToldContact, encoding},
-    send::{PERIOD, ask_for_state, send},
+    LastDatagram,
+    datagram::{
+        Content, Datagram, Echo, MAX_DATAGRAM, ReportedContact, Scope, StoreReport, encoding,
+    },
+    send::{DIGEST_INTERVAL, request_state, send},
 };
 use crate::{
     clock,
     node::Node,
-    server_news::take_news,
+    signal_reports::apply_signal_reports,
     store::{
         config_copy,
         state_copy::{self, StateAnswer},
-        sync::{heard_of_store, prove},
-        view::take_excerpt,
+        sync::{confirm_freshness, record_store_contact},
+        view::apply_batch,
     },
 };
 
@@ -34,44 +36,44 @@
             Ok(received) => received,
             Err(error) => {
                 log::debug!(error:% = error; "hear-failed");
-                sleep(PERIOD).await;
+                sleep(DIGEST_INTERVAL).await;
                 continue;
             }
         };
         match encoding().deserialize::<Datagram>(&buf[..length]) {
-            Ok(datagram) => hear(&node, &socket, datagram),
+            Ok(datagram) => handle_datagram(&node, &socket, datagram),
             Err(error) => log::warn!(from:% = from, error:% = error; "datagram-unreadable"),
         }
     }
 }
 
-fn hear(node: &Node, socket: &UdpSocket, datagram: Datagram) {
+fn handle_datagram(node: &Node, socket: &UdpSocket, datagram: Datagram) {
     let now = clock::now();
     let sender = datagram.sender();
     let name = datagram.from.name.clone();
     {
         let mut peers = node.peers.borrow_mut();
-        peers.book.record_received(&datagram.from, now);
-        let newest = Newest {
+        peers.table.record_received(&datagram.from, now);
+        let last = LastDatagram {
             incarnation: datagram.incarnation,
             sent: datagram.sent,
-            at: now,
-            seen: datagram.seen,
+            received_at: now,
+            revision: datagram.revision,
         };
-        peers.newest.insert(name.clone(), newest);
+        peers.last_datagrams.insert(name.clone(), last);
     }
     node.wall.borrow_mut().record(name.clone(), datagram.wall_ms, now);
     match datagram.content {
-        Content::Share { scope, share, relayed, store } => {
+        Content::Digest { scope, sum, store_report, store_contact } => {
             // What is relayed may say that servers are gone, and the contact whether that may be a lapse.
-            if let Some(told) = store {
-                take_contact(node, told, datagram.echo);
+            if let Some(reported) = store_contact {
+                apply_store_contact(node, reported, datagram.echo);
             }
-            if let Some(relayed) = relayed {
-                take_relayed(node, relayed, datagram.echo);
-                if config_copy::is_wanted(node, now) {
+            if let Some(store_report) = store_report {
+                apply_store_report(node, store_report, datagram.echo);
+                if config_copy::should_request(node, now) {
                     let above = node.config().map_or(0, |it| it.version);
-                    send(node, socket, datagram.from.address, Content::ConfigWanted { above });
+                    send(node, socket, datagram.from.address, Content::ConfigRequest { above });
                 }
             }
             // Two collectors would tell the same twice.
@@ -88,40 +90,43 @@
                     Scope::Members => &mut peers.collectors,
                     Scope::Rest => &mut peers.rest,
                 };
-                sums.insert(&sender, *share, now);
-                peers.has_news = true;
+                sums.insert(&sender, *sum, now);
+                peers.has_new_sums = true;
             }
             if scope == Scope::Rest
-                && let Some(true_ms) = datagram.true_ms
+                && let Some(estimated_ms) = datagram.estimated_ms
             {
-                node.wall.borrow_mut().record_estimate(true_ms, now);
+                node.wall.borrow_mut().record_estimate(estimated_ms, now);
             }
         }
-        Content::ConfigWanted { above } => {
-            for part in config_copy::parts_above(node, above) {
-                send(node, socket, datagram.from.address, Content::ConfigPart(part));
+        Content::ConfigRequest { above } => {
+            for chunk in config_copy::chunks_newer_than(node, above) {
+                send(node, socket, datagram.from.address, Content::ConfigChunk(chunk));
             }
         }
-        Content::ConfigPart(part) => config_copy::take_part(node, part, datagram.from.address),
-        Content::StateWanted(wanted) => {
+        Content::ConfigChunk(chunk) => {
+            config_copy::receive_chunk(node, chunk, datagram.from.address)
+        }
+        Content::StateRequest(request) => {
             let to = datagram.from.address;
-            match state_copy::answer_for(node, &sender, &wanted, now) {
-                StateAnswer::Parts(parts) => parts.into_iter().for_each(|(age, part)| {
-                    send(node, socket, to, Content::StatePart { age, part });
+            match state_copy::answer_request(node, &sender, &request, now) {
+                StateAnswer::Chunks(chunks) => chunks.into_iter().for_each(|(age, chunk)| {
+                    send(node, socket, to, Content::StateChunk { age, chunk });
                 }),
-                StateAnswer::SendOn { serves_others } => {
-                    send(node, socket, to, Content::StateElsewhere { serves_others });
+                StateAnswer::Redirect { serves_others } => {
+                    send(node, socket, to, Content::StateRedirect { serves_others });
                 }
             }
         }
-        Content::StateElsewhere { serves_others } => {
-            state_copy::sent_on(node, datagram.from.address, serves_others);
+        Content::StateRedirect { serves_others } => {
+            state_copy::handle_redirect(node, datagram.from.address, serves_others);
         }
-        Content::StatePart { age, part } => {
-            let proved = sent_after(node, datagram.echo).and_then(|it| earlier(it, age));
+        Content::StateChunk { age, chunk } => {
+            let confirmed_at =
+                earliest_send_time(node, datagram.echo).and_then(|it| earlier(it, age));
             let source = datagram.from.address;
-            if let Some(wanted) = state_copy::take_part(node, part, proved, source) {
-                ask_for_state(node, socket, source, wanted);
+            if let Some(request) = state_copy::receive_chunk(node, chunk, confirmed_at, source) {
+                request_state(node, socket, source, request);
             }
         }
         Content::Poison(message) => node.poison.borrow_mut().receive(&name, message, now),
@@ -131,10 +136,10 @@
                 Scope::Members => SignalSource::Collector,
                 Scope::Rest => SignalSource::OwnCollector,
             };
-            take_news(node, servers, from);
+            apply_signal_reports(node, servers, from);
         }
         Content::Usage { counts } => {
-            let sent_ms = datagram.true_ms.unwrap_or(datagram.wall_ms);
+            let sent_ms = datagram.estimated_ms.unwrap_or(datagram.wall_ms);
             node.usage.borrow_mut().merge_peer_totals(
                 &name,
                 datagram.incarnation,
@@ -149,35 +154,35 @@
 ///
 /// The proof counts from when this VM sent the datagram that the other echoes, less the age of the other's
 /// own proof: however long the answer was on its way, it can't be taken for newer than it is.
-fn take_relayed(node: &Node, relayed: Relayed, echo: Option<Echo>) {
-    let Relayed { age, version, after, upto, changes } = relayed;
-    let is_contiguous = take_excerpt(node, ChangeBatch { after, upto, changes });
+fn apply_store_report(node: &Node, store_report: StoreReport, echo: Option<Echo>) {
+    let StoreReport { age, version, after, upto, changes } = store_report;
+    let is_contiguous = apply_batch(node, ChangeBatch { after, upto, changes });
     node.told_version.set(node.told_version.get().max(version));
     let reached = node.store_view.borrow().reached();
-    let knows = node.config().is_some_and(|it| it.version >= version)
+    let is_up_to_date = node.config().is_some_and(|it| it.version >= version)
         && reached.is_some_and(|it| it.0 >= upto);
-    if !is_contiguous || !knows {
+    if !is_contiguous || !is_up_to_date {
         return;
     }
-    if let Some(proved) = sent_after(node, echo).and_then(|it| earlier(it, age)) {
-        prove(node, proved);
+    if let Some(confirmed_at) = earliest_send_time(node, echo).and_then(|it| earlier(it, age)) {
+        confirm_freshness(node, confirmed_at);
     }
 }
 
 /// Takes it that the store answered another VM; however long the datagram was on its way, that isn't taken for newer
 /// than it is.
-fn take_contact(node: &Node, told: ToldContact, echo: Option<Echo>) {
-    let newest = sent_after(node, echo).and_then(|it| earlier(it, told.age));
+fn apply_store_contact(node: &Node, reported: ReportedContact, echo: Option<Echo>) {
+    let newest = earliest_send_time(node, echo).and_then(|it| earlier(it, reported.age));
     let Some(newest) = newest else { return };
-    let since = earlier(newest, told.steady).unwrap_or(TimePoint::ZERO);
+    let since = earlier(newest, reported.uninterrupted).unwrap_or(TimePoint::ZERO);
     if newest <= clock::now() {
-        heard_of_store(node, ContactSpan { since, newest });
+        record_store_contact(node, ContactSpan { since, newest });
     }
 }
 
 /// The latest moment at which a datagram with this echo can't have been sent yet, by this VM's clock: when this VM sent
 /// what it echoes, and as long after that as the sender had it. `None` if an earlier start of this VM sent that.
-fn sent_after(node: &Node, echo: Option<Echo>) -> Option<TimePoint> {
+fn earliest_send_time(node: &Node, echo: Option<Echo>) -> Option<TimePoint> {
     let echo = echo.filter(|it| it.incarnation == node.incarnation)?;
     Some(echo.sent + echo.held)
 }
--- a/crates/quincevalve_node/src/peers/receive/tests.rs
+++ b/crates/quincevalve_node/src/peers/receive/tests.rs
@@ -12,8 +12,8 @@
 use super::*;
 use crate::{
     store::{
-        sync::note_away,
-        view::{Passed, Whole, take_whole},
+        sync::begin_outage_if_unreachable,
+        view::{RelayedChange, StoreState, apply_state},
     },
     test_node::{any, config, node as bare_node},
 };
@@ -55,8 +55,8 @@
 fn node(read_ago: u64) -> Node {
     let node = bare_node("vm-1");
     let servers = names().map(|it| (it, server(false))).into();
-    take_whole(&node, Whole { at: AT, newest: AT, servers, ..Whole::default() });
-    heard_of_store(&node, ContactSpan::at(ago(read_ago)));
+    apply_state(&node, StoreState { at: AT, newest: AT, servers, ..StoreState::default() });
+    record_store_contact(&node, ContactSpan::at(ago(read_ago)));
     node
 }
 
@@ -67,7 +67,11 @@
 }
 
 /// What vm-2 tells: that the store answered it a moment ago, and so without a gap for a minute; and changes.
-fn datagram(node: &Node, store: Option<ToldContact>, changes: Vec<(u64, Passed)>) -> Datagram {
+fn datagram(
+    node: &Node,
+    store_contact: Option<ReportedContact>,
+    changes: Vec<(u64, RelayedChange)>,
+) -> Datagram {
     let upto = changes.last().map_or(AT, |(at, _)| *at);
     Datagram {
         from: VmDescriptor {
@@ -78,30 +82,36 @@
         },
         incarnation: 1,
         wall_ms: 0,
-        true_ms: None,
+        estimated_ms: None,
         sent: clock::now(),
         echo: Some(Echo {
             incarnation: node.incarnation,
             sent: ago(100),
             held: Duration::from_millis(40),
         }),
-        seen: None,
-        content: Content::Share {
+        revision: None,
+        content: Content::Digest {
             scope: Scope::Members,
-            share: Box::<PartialSum>::default(),
-            relayed: Some(Relayed { age: Duration::ZERO, version: 0, after: AT, upto, changes }),
-            store,
+            sum: Box::<PartialSum>::default(),
+            store_report: Some(StoreReport {
+                age: Duration::ZERO,
+                version: 0,
+                after: AT,
+                upto,
+                changes,
+            }),
+            store_contact,
         },
     }
 }
 
-fn answered_all_the_while() -> ToldContact {
-    ToldContact { age: Duration::from_millis(20), steady: Duration::from_secs(60) }
+fn answered_all_the_while() -> ReportedContact {
+    ReportedContact { age: Duration::from_millis(20), uninterrupted: Duration::from_secs(60) }
 }
 
 /// Both servers are gone: those whose entries may have lapsed are used only where no other is left.
-fn removed() -> Vec<(u64, Passed)> {
-    names().map(|it| (AT + 1, Passed::ServerRemoved(it))).into()
+fn removed() -> Vec<(u64, RelayedChange)> {
+    names().map(|it| (AT + 1, RelayedChange::ServerRemoved(it))).into()
 }
 
 async fn socket() -> UdpSocket {
@@ -115,10 +125,14 @@
 fn a_removal_that_another_vm_heard_of_is_no_lapse() {
     run(async {
         let node = node(3_000);
-        note_away(&node);
-        hear(&node, &socket().await, datagram(&node, Some(answered_all_the_while()), removed()));
+        begin_outage_if_unreachable(&node);
+        handle_datagram(
+            &node,
+            &socket().await,
+            datagram(&node, Some(answered_all_the_while()), removed()),
+        );
         assert!(usable(&node).is_empty());
-        heard_of_store(&node, ContactSpan::at(clock::now()));
+        record_store_contact(&node, ContactSpan::at(clock::now()));
         assert!(usable(&node).is_empty());
         assert!(!node.servers.borrow().is_store_unreachable());
     });
@@ -129,10 +143,10 @@
 fn the_word_that_the_store_answered_may_come_after_the_removal() {
     run(async {
         let (node, socket) = (node(3_000), socket().await);
-        note_away(&node);
-        hear(&node, &socket, datagram(&node, None, removed()));
-        hear(&node, &socket, datagram(&node, Some(answered_all_the_while()), removed()));
-        heard_of_store(&node, ContactSpan::at(clock::now()));
+        begin_outage_if_unreachable(&node);
+        handle_datagram(&node, &socket, datagram(&node, None, removed()));
+        handle_datagram(&node, &socket, datagram(&node, Some(answered_all_the_while()), removed()));
+        record_store_contact(&node, ContactSpan::at(clock::now()));
         assert!(usable(&node).is_empty());
     });
 }
@@ -143,9 +157,9 @@
 fn without_anybodys_answer_it_may_be_a_lapse() {
     run(async {
         let node = node(3_000);
-        note_away(&node);
+        begin_outage_if_unreachable(&node);
         assert!(node.servers.borrow().is_store_unreachable());
-        hear(&node, &socket().await, datagram(&node, None, removed()));
+        handle_datagram(&node, &socket().await, datagram(&node, None, removed()));
         assert!(!usable(&node).is_empty());
     });
 }
@@ -155,18 +169,22 @@
 fn a_server_that_leaves_by_another_vms_word_gets_nothing_more() {
     run(async {
         let node = node(100);
-        let leaves = vec![(AT + 1, Passed::Server("i-1".into(), server(true)))];
-        hear(&node, &socket().await, datagram(&node, Some(answered_all_the_while()), leaves));
+        let leaves = vec![(AT + 1, RelayedChange::Server("i-1".into(), server(true)))];
+        handle_datagram(
+            &node,
+            &socket().await,
+            datagram(&node, Some(answered_all_the_while()), leaves),
+        );
         assert_eq!(usable(&node), ["i-2"]);
     });
 }
 
 /// What a VM of that name tells of the store, from one revision to another.
-fn relays(node: &Node, sender: &str, after: u64, changes: Vec<(u64, Passed)>) -> Datagram {
+fn relays(node: &Node, sender: &str, after: u64, changes: Vec<(u64, RelayedChange)>) -> Datagram {
     let mut datagram = datagram(node, Some(answered_all_the_while()), changes);
     datagram.from.name = sender.to_owned();
-    if let Content::Share { relayed: Some(relayed), .. } = &mut datagram.content {
-        relayed.after = after;
+    if let Content::Digest { store_report: Some(store_report), .. } = &mut datagram.content {
+        store_report.after = after;
     }
     datagram
 }
@@ -177,9 +195,13 @@
 fn another_collector_goes_on_where_the_first_ended() {
     run(async {
         let (node, socket) = (node(100), socket().await);
-        hear(&node, &socket, relays(&node, "vm-2", AT, vec![(AT + 1, Passed::Config(0))]));
-        let leaves = vec![(AT + 2, Passed::Server("i-1".into(), server(true)))];
-        hear(&node, &socket, relays(&node, "vm-3", AT + 1, leaves));
+        handle_datagram(
+            &node,
+            &socket,
+            relays(&node, "vm-2", AT, vec![(AT + 1, RelayedChange::Config(0))]),
+        );
+        let leaves = vec![(AT + 2, RelayedChange::Server("i-1".into(), server(true)))];
+        handle_datagram(&node, &socket, relays(&node, "vm-3", AT + 1, leaves));
         assert_eq!(usable(&node), ["i-2"]);
     });
 }
@@ -190,8 +212,8 @@
 fn a_collector_that_lacks_what_came_before_proves_nothing() {
     run(async {
         let (node, socket) = (node(100), socket().await);
-        let later = vec![(AT + 4, Passed::ServerRemoved("i-2".into()))];
-        hear(&node, &socket, relays(&node, "vm-3", AT + 3, later));
+        let later = vec![(AT + 4, RelayedChange::ServerRemoved("i-2".into()))];
+        handle_datagram(&node, &socket, relays(&node, "vm-3", AT + 3, later));
         assert_eq!(usable(&node), ["i-1", "i-2"], "a part without what came before isn't taken");
         assert_eq!(node.store_view.borrow().reached().map(|it| it.0), Some(AT));
         assert!(!node.was_proved());
@@ -204,8 +226,8 @@
     run(async {
         let (node, socket) = (node(100), socket().await);
         node.apply_config(config(1));
-        let leaves = vec![(AT + 1, Passed::ServerRemoved("i-2".into()))];
-        hear(&node, &socket, relays(&node, "vm-3", AT, leaves));
+        let leaves = vec![(AT + 1, RelayedChange::ServerRemoved("i-2".into()))];
+        handle_datagram(&node, &socket, relays(&node, "vm-3", AT, leaves));
         assert!(node.was_proved());
     });
 }
--- a/crates/quincevalve_node/src/peers/send.rs
+++ b/crates/quincevalve_node/src/peers/send.rs
@@ -16,37 +16,37 @@
 
 use super::{
     Peers,
-    datagram::{Content, Datagram, Echo, Relayed, Scope, ToldContact, encoding},
+    datagram::{Content, Datagram, Echo, ReportedContact, Scope, StoreReport, encoding},
 };
 use crate::{
-    clock, node::Node, ports::StoreRevision, rollouts, server_news::news_of,
-    store::view::PASSED_BYTES,
+    clock, node::Node, ports::StoreRevision, rollouts, signal_reports::signal_reports_of,
+    store::view::MAX_BATCH_BYTES,
 };
 
 /// Time between two digests. Loads and quotas are known everywhere after three of them at most.
-pub(super) const PERIOD: Duration = Duration::from_millis(60);
+pub(super) const DIGEST_INTERVAL: Duration = Duration::from_millis(60);
 
-const PERIODS_PER_SECOND: f64 = 1_000.0 / PERIOD.as_millis() as f64;
+const PERIODS_PER_SECOND: f64 = 1_000.0 / DIGEST_INTERVAL.as_millis() as f64;
 
 /// Periods between two questions to a collector that was silent.
-const BETTER_PERIODS: u32 = 32;
+const COLLECTOR_PROBE_PERIODS: u32 = 32;
 
 /// Periods between two digests of a VM that has taken on and ended nothing meanwhile: two of them may be lost before others
 /// take it for gone, and each tells when the store answered.
-const QUIET_PERIODS: u32 = CONTACT_PERIODS;
+const MAX_UNCHANGED_PERIODS: u32 = CONTACT_PERIODS;
 /// The part of what accounts spent at the last news below which it has faded.
-const FADED_PART: f64 = 0.1;
+const DECAYED_FRACTION: f64 = 0.1;
 /// Periods after which what others told is taken over though nothing new was heard: it may be too old to count.
-const STALE_PERIODS: u32 = 4;
+const SUMS_REFRESH_PERIODS: u32 = 4;
 
 /// Periods between two digests of when the store answered: an eighth of the gap that counts as an outage.
 const CONTACT_PERIODS: u32 = 4;
 
 /// Servers of which one datagram has news at most: with names of forty bytes it stays below half of the largest.
-const NEWS_IN_DATAGRAM: usize = 400;
+const MAX_REPORTS_PER_DATAGRAM: usize = 400;
 
 /// The key of the order of VMs by which limits that servers name are divided.
-const LIMITS_KEY: u64 = 0;
+const LIMIT_RANK_KEY: u64 = 0;
 
 /// Periods between two digests of usage, which is needed by the second.
 const USAGE_PERIODS: u32 = 12;
@@ -56,30 +56,31 @@
     for turn in 0_u32.. {
         let now = clock::now();
         node.wall.borrow_mut().record(String::new(), clock::wall_ms(), now);
-        for gone in node.peers.borrow_mut().book.remove_expired(now) {
-            log::info!(peer = gone; "peer-forgotten");
-            node.wall.borrow_mut().forget(&gone);
+        for expired in node.peers.borrow_mut().table.remove_expired(now) {
+            log::info!(peer = expired; "peer-forgotten");
+            node.wall.borrow_mut().forget(&expired);
         }
         node.backends.sweep();
-        if node.peers.borrow_mut().take_news() || turn.is_multiple_of(STALE_PERIODS) {
-            take_over_sums(&node, now);
+        if node.peers.borrow_mut().take_has_new_sums() || turn.is_multiple_of(SUMS_REFRESH_PERIODS)
+        {
+            apply_peer_sums(&node, now);
         }
-        send_loads(&node, &socket, turn, now);
+        send_load_digests(&node, &socket, turn, now);
         send_poison(&node, &socket, now);
         send_signals(&node, &socket, now);
-        if turn % BETTER_PERIODS == 0 {
-            ask_better_collector(&node, &socket, now);
+        if turn % COLLECTOR_PROBE_PERIODS == 0 {
+            probe_preferred_collector(&node, &socket, now);
         }
         if turn % USAGE_PERIODS == 0 {
             send_usage(&node, &socket);
-            log_left_out(&node);
+            log_suppressed_lines(&node);
         }
-        sleep(PERIOD).await;
+        sleep(DIGEST_INTERVAL).await;
     }
 }
 
 /// Says how many lines of requests were not written since the last time.
-fn log_left_out(node: &Node) {
+fn log_suppressed_lines(node: &Node) {
     let lines = node.lines.borrow_mut().take_suppressed();
     if lines > 0 {
         log::info!(lines; "lines-left-out");
@@ -88,40 +89,40 @@
 }
 
 /// Makes what others told the load that placements see.
-fn take_over_sums(node: &Node, now: TimePoint) {
-    let others = node.peers.borrow().others(now);
-    let reachable_part = (f64::from(others.vms + 1) / node.vms() as f64).min(1.0);
+fn apply_peer_sums(node: &Node, now: TimePoint) {
+    let peer_sum = node.peers.borrow().peer_sum(now);
+    let reachable_fraction = (f64::from(peer_sum.vms + 1) / node.vms() as f64).min(1.0);
     {
         let mut peers = node.peers.borrow_mut();
-        peers.others_demand.clone_from(&others.demand);
-        peers.reachable_part = reachable_part;
+        peers.peer_demand.clone_from(&peer_sum.demand);
+        peers.reachable_fraction = reachable_fraction;
     }
     if let Some(config) = node.config() {
         let mut quota = node.quota.borrow_mut();
-        quota.set_peer_spending(&others.spending, reachable_part, &config, now);
+        quota.set_peer_spending(&peer_sum.spending, reachable_fraction, &config, now);
     }
-    let seat = node.peers.borrow().book.rank(LIMITS_KEY);
-    let true_ms = node.wall.borrow().estimate_ms(now).unwrap_or_else(clock::wall_ms);
-    node.servers.borrow_mut().set_rank(seat, true_ms, now);
+    let rank = node.peers.borrow().table.rank(LIMIT_RANK_KEY);
+    let estimated_ms = node.wall.borrow().estimate_ms(now).unwrap_or_else(clock::wall_ms);
+    node.servers.borrow_mut().set_rank(rank, estimated_ms, now);
     measure_demand(node, now);
     if !node.rollouts.borrow().is_idle() {
-        node.rollouts.borrow_mut().set_peer_sums(&others.rollouts);
+        node.rollouts.borrow_mut().set_peer_sums(&peer_sum.rollouts);
         rollouts::refresh(node);
     }
-    node.servers.borrow_mut().set_peer_work(&others.server_work, now);
+    node.servers.borrow_mut().set_peer_work(&peer_sum.server_work, now);
 }
 
 /// Measures the work that all VMs take on, whoever holds the duties: the next holder plans by it at once.
 fn measure_demand(node: &Node, now: TimePoint) {
     let Some(config) = node.config() else { return };
-    let part = node.peers.borrow().reachable_part();
+    let fraction = node.peers.borrow().reachable_fraction();
     let mut measured = node.measured.borrow_mut();
     for (name, _) in config.services.iter().filter(|(_, it)| it.scaling.is_some()) {
-        measured.entry(name.clone()).or_default().observe(node.demand_of(name), part, now);
+        measured.entry(name.clone()).or_default().observe(node.demand_of(name), fraction, now);
     }
 }
 
-fn own_share(node: &Node) -> PartialSum {
+fn own_partial_sum(node: &Node) -> PartialSum {
     let now = clock::now();
     let demand = node.demand.borrow();
     let demand = demand.iter().map(|(service, it)| (service.clone(), it.busy(now)));
@@ -138,14 +139,14 @@
 /// A digest for the VM at an address.
 type Outgoing = (SocketAddr, Scope, PartialSum);
 
-fn send_loads(node: &Node, socket: &UdpSocket, turn: u32, now: TimePoint) {
-    let own = own_share(node);
+fn send_load_digests(node: &Node, socket: &UdpSocket, turn: u32, now: TimePoint) {
+    let own = own_partial_sum(node);
     let config = node.config();
     let mut peers = node.peers.borrow_mut();
     let members = peers.members.fresh_senders(now).count();
     // Members that are told by turns hear of the store each time: their turns may never be those of the others.
-    let by_turns = peers.pace.periods_between_digests(members, PERIODS_PER_SECOND) > 1;
-    let sent = match peers.book.role(members > 0, now) {
+    let is_staggered = peers.pace.periods_between_digests(members, PERIODS_PER_SECOND) > 1;
+    let sent = match peers.table.role(members > 0, now) {
         Role::Member { address, .. } => {
             own_digest(&mut peers, own, address, turn).into_iter().collect()
         }
@@ -154,21 +155,26 @@
         }
     };
     drop(peers);
-    let contact = told_contact(node, now);
+    let contact = contact_to_report(node, now);
     let relays_store = node.relays_store();
-    for (address, scope, share) in sent {
+    for (address, scope, sum) in sent {
         let with_contact =
-            turn.is_multiple_of(CONTACT_PERIODS) || (by_turns && scope == Scope::Rest);
-        let store = contact.filter(|_| with_contact);
-        let is_told_store = relays_store && scope != Scope::Own;
-        let relayed = if is_told_store { relayed(node, address, now) } else { None };
-        let share = Box::new(share);
-        let bytes = send(node, socket, address, Content::Share { scope, share, relayed, store });
+            turn.is_multiple_of(CONTACT_PERIODS) || (is_staggered && scope == Scope::Rest);
+        let store_contact = contact.filter(|_| with_contact);
+        let reports_store = relays_store && scope != Scope::Own;
+        let store_report = if reports_store { store_report_for(node, address, now) } else { None };
+        let sum = Box::new(sum);
+        let bytes = send(
+            node,
+            socket,
+            address,
+            Content::Digest { scope, sum, store_report, store_contact },
+        );
         let mut peers = node.peers.borrow_mut();
         if scope == Scope::Rest {
             peers.pace.record_sent_bytes(bytes);
         }
-        peers.book.record_datagram_sent(address, now);
+        peers.table.record_datagram_sent(address, now);
     }
 }
 
@@ -182,15 +188,15 @@
     turn: u32,
 ) -> Option<Outgoing> {
     let spent: f64 = own.spending.values().sum();
-    let is_news = peers.has_own_news(&own);
-    if is_news {
-        peers.spent_at_news = spent;
+    let has_changed = peers.has_own_change(&own);
+    if has_changed {
+        peers.spending_at_last_change = spent;
     }
-    let has_faded = spent <= FADED_PART * peers.spent_at_news;
-    if !is_news && has_faded && !turn.is_multiple_of(QUIET_PERIODS) {
+    let has_decayed = spent <= DECAYED_FRACTION * peers.spending_at_last_change;
+    if !has_changed && has_decayed && !turn.is_multiple_of(MAX_UNCHANGED_PERIODS) {
         return None;
     }
-    peers.own_told = Some(own.clone());
+    peers.last_own_report = Some(own.clone());
     Some((address, Scope::Own, own))
 }
 
@@ -203,11 +209,11 @@
     turn: u32,
     now: TimePoint,
 ) -> Vec<Outgoing> {
-    let mut share = own;
-    peers.members.add_to(&mut share, None, now);
-    let mut all = share.clone();
+    let mut sum = own;
+    peers.members.add_to(&mut sum, None, now);
+    let mut all = sum.clone();
     peers.collectors.add_to(&mut all, None, now);
-    share.keep_busiest_servers(MAX_SERVERS_TO_COLLECTOR);
+    sum.keep_busiest_servers(MAX_SERVERS_TO_COLLECTOR);
     all.keep_busiest_servers(MAX_SERVERS_TO_MEMBER);
     if let Some(config) = config {
         all.drop_low_spending(config);
@@ -217,41 +223,42 @@
     let due = members.iter().enumerate().filter(|(at, _)| is_due(*at));
     let to_members = due.filter_map(|(_, member)| {
         let address = peers.member_addresses.get(*member)?;
-        let told = peers.members.get(member, now)?;
-        Some((*address, Scope::Rest, all.without(told)))
+        let reported = peers.members.get(member, now)?;
+        Some((*address, Scope::Rest, all.without(reported)))
     });
-    let to_collectors = others.iter().map(|it| (*it, Scope::Members, share.clone()));
+    let to_collectors = others.iter().map(|it| (*it, Scope::Members, sum.clone()));
     to_members.chain(to_collectors).collect()
 }
 
 /// Asks the best collector of the data centre again, if it was silent. The share is empty: the VM's own is
 /// counted where it is told now.
-fn ask_better_collector(node: &Node, socket: &UdpSocket, now: TimePoint) {
-    let better = node.peers.borrow().book.preferred_collector(now);
+fn probe_preferred_collector(node: &Node, socket: &UdpSocket, now: TimePoint) {
+    let better = node.peers.borrow().table.preferred_collector(now);
     let Some(address) = better else { return };
-    let share = Box::<PartialSum>::default();
-    let content = Content::Share { scope: Scope::Own, share, relayed: None, store: None };
+    let sum = Box::<PartialSum>::default();
+    let content =
+        Content::Digest { scope: Scope::Own, sum, store_report: None, store_contact: None };
     send(node, socket, address, content);
 }
 
-fn told_contact(node: &Node, now: TimePoint) -> Option<ToldContact> {
+fn contact_to_report(node: &Node, now: TimePoint) -> Option<ReportedContact> {
     let contact = node.store_contact.get().newest_span()?;
     let age = now.since(contact.newest);
-    Some(ToldContact { age, steady: contact.newest.since(contact.since) })
+    Some(ReportedContact { age, uninterrupted: contact.newest.since(contact.since) })
 }
 
 /// What a VM that knows the store passes on to another.
-fn relayed(node: &Node, to: SocketAddr, now: TimePoint) -> Option<Relayed> {
+fn store_report_for(node: &Node, to: SocketAddr, now: TimePoint) -> Option<StoreReport> {
     let age = node.freshness.get().age(now)?;
     let version = node.config()?.version.max(node.told_version.get());
-    let seen = {
+    let revision = {
         let peers = node.peers.borrow();
-        let name = peers.book.name_of(to)?;
-        peers.newest.get(name)?.seen?
+        let name = peers.table.name_of(to)?;
+        peers.last_datagrams.get(name)?.revision?
     };
-    let excerpt = node.store_view.borrow().since(StoreRevision(seen), PASSED_BYTES)?;
-    let ChangeBatch { after, upto, changes } = excerpt;
-    Some(Relayed { age, version, after, upto, changes })
+    let batch = node.store_view.borrow().changes_since(StoreRevision(revision), MAX_BATCH_BYTES)?;
+    let ChangeBatch { after, upto, changes } = batch;
+    Some(StoreReport { age, version, after, upto, changes })
 }
 
 /// Tells usage to the holder of the duties; in a small system to everyone, so that a successor
@@ -259,11 +266,11 @@
 fn send_usage(node: &Node, socket: &UdpSocket) {
     let addresses = {
         let peers = node.peers.borrow();
-        let holder = peers.holder.as_deref().filter(|it| *it != peers.book.me().name);
-        match peers.book.role(true, clock::now()) {
-            Role::Collector { others } if peers.book.is_small() => others,
+        let holder = peers.holder.as_deref().filter(|it| *it != peers.table.me().name);
+        match peers.table.role(true, clock::now()) {
+            Role::Collector { others } if peers.table.is_small() => others,
             _ => holder
-                .and_then(|it| peers.book.descriptor(it))
+                .and_then(|it| peers.table.descriptor(it))
                 .map(|it| it.address)
                 .into_iter()
                 .collect(),
@@ -282,11 +289,12 @@
     }
     let messages = {
         let peers = node.peers.borrow();
-        let names: Vec<&str> = peers.book.listed_descriptors().map(|it| it.name.as_str()).collect();
-        node.poison.borrow_mut().tick(&names, peers.reachable_part(), now)
+        let names: Vec<&str> =
+            peers.table.listed_descriptors().map(|it| it.name.as_str()).collect();
+        node.poison.borrow_mut().tick(&names, peers.reachable_fraction(), now)
     };
     for (name, message) in messages {
-        let address = node.peers.borrow().book.descriptor(&name).map(|it| it.address);
+        let address = node.peers.borrow().table.descriptor(&name).map(|it| it.address);
         // A VM that was forgotten meanwhile hears of it from the store when it is back.
         let Some(address) = address else { continue };
         send(node, socket, address, Content::Poison(message));
@@ -298,28 +306,28 @@
 
 /// Tells what servers said of themselves and others don't know yet.
 fn send_signals(node: &Node, socket: &UdpSocket, now: TimePoint) {
-    let (wide, near) = {
+    let (for_collectors, for_members) = {
         let mut outbox = node.signal_outbox.borrow_mut();
         (outbox.take_for_collectors(), outbox.take_for_members())
     };
-    if wide.is_empty() && near.is_empty() {
+    if for_collectors.is_empty() && for_members.is_empty() {
         return;
     }
     let (role, members): (_, Vec<_>) = {
         let peers = node.peers.borrow();
         let members = peers.members.fresh_senders(now);
         let members = members.filter_map(|it| peers.member_addresses.get(it).copied()).collect();
-        (peers.book.role(peers.has_members(now), now), members)
+        (peers.table.role(peers.has_members(now), now), members)
     };
     let (scope, collectors) = match role {
         Role::Member { address, .. } => (Scope::Own, vec![address]),
         Role::Collector { others } => (Scope::Members, others),
     };
-    send_news(node, socket, scope, wide, &collectors);
-    send_news(node, socket, Scope::Rest, near, &members);
+    send_signal_reports(node, socket, scope, for_collectors, &collectors);
+    send_signal_reports(node, socket, Scope::Rest, for_members, &members);
 }
 
-fn send_news(
+fn send_signal_reports(
     node: &Node,
     socket: &UdpSocket,
     scope: Scope,
@@ -329,8 +337,8 @@
     if to.is_empty() {
         return;
     }
-    let news = news_of(node, keys);
-    for servers in news.chunks(NEWS_IN_DATAGRAM) {
+    let reports = signal_reports_of(node, keys);
+    for servers in reports.chunks(MAX_REPORTS_PER_DATAGRAM) {
         for address in to {
             send(node, socket, *address, Content::Signals { scope, servers: servers.to_vec() });
         }
@@ -338,13 +346,13 @@
 }
 
 /// Asks a VM for parts of what it knows of the store.
-pub(crate) fn ask_for_state(
+pub(crate) fn request_state(
     node: &Node,
     socket: &UdpSocket,
     address: SocketAddr,
-    wanted: ChunkRequest,
+    request: ChunkRequest,
 ) {
-    send(node, socket, address, Content::StateWanted(wanted));
+    send(node, socket, address, Content::StateRequest(request));
 }
 
 /// Sends a datagram and returns its length.
@@ -357,17 +365,21 @@
     let now = clock::now();
     let echo = {
         let peers = node.peers.borrow();
-        let newest = peers.book.name_of(address).and_then(|it| peers.newest.get(it));
-        newest.map(|it| Echo { incarnation: it.incarnation, sent: it.sent, held: now.since(it.at) })
+        let last = peers.table.name_of(address).and_then(|it| peers.last_datagrams.get(it));
+        last.map(|it| Echo {
+            incarnation: it.incarnation,
+            sent: it.sent,
+            held: now.since(it.received_at),
+        })
     };
     let datagram = Datagram {
         sent: now,
         echo,
-        seen: node.store_view.borrow().reached().map(|it| it.0),
-        from: node.peers.borrow().book.me().clone(),
+        revision: node.store_view.borrow().reached().map(|it| it.0),
+        from: node.peers.borrow().table.me().clone(),
         incarnation: node.incarnation,
         wall_ms: clock::wall_ms(),
-        true_ms: node.wall.borrow().estimate_ms(now),
+        estimated_ms: node.wall.borrow().estimate_ms(now),
         content,
     };
     match encoding().serialize(&datagram) {
--- a/crates/quincevalve_node/src/peers/send/tests.rs
+++ b/crates/quincevalve_node/src/peers/send/tests.rs
@@ -25,7 +25,7 @@
     WorkSum { requests, prefill: 9_000, urgent_prefill: 900, memory: 50_000, recent_prefill: 9_000 }
 }
 
-fn share(servers: impl Iterator<Item = u64>) -> PartialSum {
+fn sum(servers: impl Iterator<Item = u64>) -> PartialSum {
     let works = servers.map(|it| (hash_text(&it.to_string()), work(1))).collect();
     PartialSum { vms: 1, server_work: works, ..PartialSum::default() }
 }
@@ -40,13 +40,13 @@
 // Hundreds of members without work keep their collector busy with datagrams that say nothing.
 #[test]
 fn a_member_without_news_tells_each_fourth_period() {
-    assert_eq!(told(|_| share(0..2)), [0, 4, 8, 12, 16]);
+    assert_eq!(told(|_| sum(0..2)), [0, 4, 8, 12, 16]);
 }
 
 // A VM sends a request, and the others hear of it a fifth of a second late: they send theirs to the same server.
 #[test]
 fn a_member_with_news_tells_at_once() {
-    let with_request_at_six = |turn| if turn < 6 { share(0..2) } else { share(0..3) };
+    let with_request_at_six = |turn| if turn < 6 { sum(0..2) } else { sum(0..3) };
     assert_eq!(told(with_request_at_six), [0, 4, 6, 8, 12, 16]);
 }
 
@@ -56,7 +56,7 @@
 fn what_accounts_spend_is_told_until_it_has_faded() {
     let spending = |turn: u32| {
         let rate = 40_000.0 * (-f64::from(turn) * 0.06 / 0.25).exp();
-        PartialSum { spending: [("desk".into(), rate)].into_iter().collect(), ..share(0..2) }
+        PartialSum { spending: [("desk".into(), rate)].into_iter().collect(), ..sum(0..2) }
     };
     assert_eq!(told(spending), [0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 12, 16]);
 }
@@ -67,7 +67,7 @@
     let mut peers = peers();
     for at in 1..=MEMBERS {
         let member = card(at, 120);
-        let own = share((0..SERVERS).filter(|it| it % u64::from(MEMBERS) == u64::from(at - 1)));
+        let own = sum((0..SERVERS).filter(|it| it % u64::from(MEMBERS) == u64::from(at - 1)));
         peers.members.insert(&member.name, own, TimePoint::ZERO);
         peers.member_addresses.insert(member.name.clone(), member.address);
     }
@@ -75,9 +75,9 @@
     let digests =
         collector_digests(&peers, PartialSum::default(), &others, None, 0, TimePoint::ZERO);
     assert_eq!(digests.len(), usize::from(MEMBERS) + others.len());
-    for (_, scope, share) in digests {
-        let bytes = encoding().serialized_size(&share).expect("it fits");
-        assert!(bytes as usize + PASSED_BYTES <= MAX_DATAGRAM, "{scope:?}: {bytes} bytes");
-        assert!(!share.server_work.is_empty());
+    for (_, scope, sum) in digests {
+        let bytes = encoding().serialized_size(&sum).expect("it fits");
+        assert!(bytes as usize + MAX_BATCH_BYTES <= MAX_DATAGRAM, "{scope:?}: {bytes} bytes");
+        assert!(!sum.server_work.is_empty());
     }
 }
--- a/crates/quincevalve_node/src/request/front.rs
+++ b/crates/quincevalve_node/src/request/front.rs
@@ -196,7 +196,7 @@
     if !node.was_proved() && clock::now().since(node.began) < STARTING_TIME {
         return STARTING_RETRY;
     }
-    let is_alone = node.peers.borrow().reachable_part() < ALONE_PART;
+    let is_alone = node.peers.borrow().reachable_fraction() < ALONE_PART;
     if is_alone { STOPPING_RETRY } else { STALE_RETRY }
 }
 
@@ -229,7 +229,7 @@
     let taken = node.quota.borrow_mut().try_spend(account, &quota, ask, draw, clock::now());
     taken.map(|()| cost).map_err(|over| {
         if node.may_tell_refusal() {
-            let part = node.peers.borrow().reachable_part();
+            let part = node.peers.borrow().reachable_fraction();
             log::info!(
                 id = req.id, account = account.as_str(), cost, level = over.level,
                 others = over.peer_spending, per_second = quota.per_second, burst = quota.burst, part,
--- a/crates/quincevalve_node/src/request/signals.rs
+++ b/crates/quincevalve_node/src/request/signals.rs
@@ -3,7 +3,7 @@
 use http::{HeaderMap, StatusCode};
 use quincevalve_forwarding::{placement::Placement, signal_outbox::SignalSource};
 
-use crate::{clock, node::Node, server_news::note_news};
+use crate::{clock, node::Node, signal_reports::publish_signals};
 
 /// Takes what an answer's headers say of the server that gave it.
 pub(super) fn take_signals(
@@ -37,5 +37,5 @@
         }
     }
     let news = server.apply_signals(&signals, now);
-    note_news(node, (place.server.clone(), place.start), server, news, SignalSource::Server);
+    publish_signals(node, (place.server.clone(), place.start), server, news, SignalSource::Server);
 }
--- a/crates/quincevalve_node/src/rollouts.rs
+++ b/crates/quincevalve_node/src/rollouts.rs
@@ -97,7 +97,7 @@
     let around = RefreshContext {
         wall_clock_ms: node.wall.borrow().estimate_ms(now),
         has_engines: engine.is_some(),
-        vm_rank: node.peers.borrow().book.rank(order.0),
+        vm_rank: node.peers.borrow().table.rank(order.0),
         is_connected: is_in_touch(node),
     };
     let mut book = node.rollouts.borrow_mut();
@@ -115,7 +115,7 @@
 fn is_in_touch(node: &Node) -> bool {
     let limit = node.settings.bounds.change_in_force.mul_f64(NEW_PART);
     let is_new = node.freshness.get().is_within(limit, clock::now());
-    is_new && node.peers.borrow().reachable_part() >= HEARD_PART
+    is_new && node.peers.borrow().reachable_fraction() >= HEARD_PART
 }
 
 /// Where a new request may go.
--- a/crates/quincevalve_node/src/server_news.rs
+++ b/crates/quincevalve_node/src/signal_reports.rs
@@ -10,25 +10,25 @@
 use crate::{clock, node::Node};
 
 /// What one start of a server said of itself.
-pub(crate) type ServerNews = (BackendServerName, ServerStart, ReportedSignals);
+pub(crate) type SignalReport = (BackendServerName, ServerStart, ReportedSignals);
 
 /// Notes what a server said that wasn't known here, and has other VMs told.
-pub(crate) fn note_news(
+pub(crate) fn publish_signals(
     node: &Node,
     key: ServerKey,
     server: &Server,
-    news: SignalUpdate,
+    update: SignalUpdate,
     from: SignalSource,
 ) {
-    if news.is_empty() {
+    if update.is_empty() {
         return;
     }
     let (name, start) = (key.0.as_str(), key.1.0);
-    if news.limit && node.may_write_line() {
+    if update.limit && node.may_write_line() {
         let per_second = server.limit().map_or(-1.0, RequestRate::per_second);
         log::info!(server = name, start, per_second, from:? = from; "server-limit");
     }
-    if news.leaving {
+    if update.leaving {
         log::info!(server = name, start, from:? = from; "server-leaving");
         node.changed.notify_waiters();
     }
@@ -36,24 +36,24 @@
 }
 
 /// Takes what servers said to other VMs.
-pub(crate) fn take_news(node: &Node, news: Vec<ServerNews>, from: SignalSource) {
+pub(crate) fn apply_signal_reports(node: &Node, reports: Vec<SignalReport>, from: SignalSource) {
     let now = clock::now();
     let mut servers = node.servers.borrow_mut();
-    for (name, start, told) in news {
+    for (name, start, reported) in reports {
         let Some(server) = servers.get_mut(&name, start) else { continue };
-        let news = server.apply_report(&told, now);
-        note_news(node, (name, start), server, news, from);
+        let update = server.apply_report(&reported, now);
+        publish_signals(node, (name, start), server, update, from);
     }
 }
 
 /// What is known of servers now, to tell others.
-pub(crate) fn news_of(node: &Node, keys: Vec<ServerKey>) -> Vec<ServerNews> {
+pub(crate) fn signal_reports_of(node: &Node, keys: Vec<ServerKey>) -> Vec<SignalReport> {
     let now = clock::now();
     let servers = node.servers.borrow();
-    let news = |(name, start): ServerKey| {
+    let report = |(name, start): ServerKey| {
         let server = servers.get(&name).filter(|it| it.entry.start == start)?;
-        let told = server.signals_to_report(now)?;
-        Some((name, start, told))
+        let reported = server.signals_to_report(now)?;
+        Some((name, start, reported))
     };
-    keys.into_iter().filter_map(news).collect()
+    keys.into_iter().filter_map(report).collect()
 }
--- a/crates/quincevalve_node/src/start.rs
+++ b/crates/quincevalve_node/src/start.rs
@@ -19,7 +19,7 @@
     quarantine::{QuarantineStore, keep_quarantine},
     request::{front, mover::Mover},
     settings::NodeSettings,
-    store::sync::{follow_store, keep_entry},
+    store::sync::{follow_store, maintain_entry},
 };
 
 /// After SIGTERM the platform needs two questions, a second apart, to stop sending callers here; idle
@@ -142,7 +142,7 @@
     spawn_local(crate::metrics::serve_metrics(node.clone(), metrics));
     spawn_local(front::serve_callers(node.clone(), front, closing));
     spawn_local(follow_store(node.clone(), store.clone(), socket.clone()));
-    spawn_local(keep_entry(node.clone(), store.clone()));
+    spawn_local(maintain_entry(node.clone(), store.clone()));
     spawn_local(keep_quarantine(node.clone(), store.clone(), quarantine_orders));
     spawn_local(peers::send_digests(node.clone(), socket.clone()));
     spawn_local(peers::receive_datagrams(node.clone(), socket));
--- a/crates/quincevalve_node/src/store.rs
+++ b/crates/quincevalve_node/src/store.rs
@@ -1,5 +1,7 @@
-//! The way of a change of the platform's store: [`sync`] reads it, [`view`] takes it and has it passed on to other VMs; what
-//! comes from those instead, [`state_copy`] and [`config_copy`] put together.
+//! Follows the platform's key-value store.
+//!
+//! [`sync`] reads changes from the store; [`view`] applies them and logs them for relaying to other VMs. [`state_copy`] and
+//! [`config_copy`] fetch state and configurations from other VMs instead.
 
 pub(crate) mod config_copy;
 pub(crate) mod state_copy;
--- a/crates/quincevalve_node/src/store/config_copy.rs
+++ b/crates/quincevalve_node/src/store/config_copy.rs
@@ -1,4 +1,4 @@
-//! Configurations from other entry VMs, for a VM that can't read the store.
+//! Fetches a configuration from other entry VMs when this VM can't read it from the store.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -10,43 +10,44 @@
 
 use crate::node::Node;
 
-/// From the first word of a newer configuration to asking others for it: a store that answers has given it by then.
-const STORE_TIME: Duration = Duration::from_millis(400);
-/// Time between two questions: several times the way there and back.
-const ASK_AGAIN: Duration = Duration::from_millis(200);
+/// Time from the first report of a newer configuration to the first request to other VMs. A store that answers has
+/// delivered the configuration by then.
+const PEER_REQUEST_DELAY: Duration = Duration::from_millis(400);
+/// Interval between two requests: several round trips.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What is known of a newer configuration that others have.
+/// State of fetching a newer configuration that other VMs have.
 #[derive(Debug, Default)]
 pub(crate) struct ConfigCopy {
-    lacking_since: Option<TimePoint>,
-    asked: Option<TimePoint>,
+    missing_since: Option<TimePoint>,
+    requested_at: Option<TimePoint>,
     assembly: Assembly,
 }
 
-/// Whether to ask for the configuration at this moment.
+/// Returns whether to request the configuration from other VMs now, and records the request.
 ///
-/// Failure: the store turns some VMs away while keys are taken away. Symptom: they are told that there is a newer
-/// configuration, can't read it, and must refuse everybody with a key until the store takes them back: four in ten
-/// of all callers for four seconds. Others have it, and pass it on.
-pub(crate) fn is_wanted(node: &Node, now: TimePoint) -> bool {
+/// If the store rejects some VMs while keys are removed, these VMs learn of a newer configuration that they can't read.
+/// They would have to reject all callers with keys until the store accepts them again: 40 % of all callers for 4 s.
+/// The other VMs have the configuration and send it.
+pub(crate) fn should_request(node: &Node, now: TimePoint) -> bool {
     let known = node.config().map_or(0, |it| it.version);
     let mut copy = node.config_copy.borrow_mut();
     if node.told_version.get() <= known {
-        copy.lacking_since = None;
+        copy.missing_since = None;
         return false;
     }
-    let since = *copy.lacking_since.get_or_insert(now);
-    let is_due = copy.asked.is_none_or(|it| now.since(it) >= ASK_AGAIN);
-    if now.since(since) < STORE_TIME || !is_due {
+    let since = *copy.missing_since.get_or_insert(now);
+    let is_due = copy.requested_at.is_none_or(|it| now.since(it) >= REQUEST_INTERVAL);
+    if now.since(since) < PEER_REQUEST_DELAY || !is_due {
         return false;
     }
-    copy.asked = Some(now);
+    copy.requested_at = Some(now);
     true
 }
 
-/// The parts of the configuration for a VM that has none above version `above`.
-pub(crate) fn parts_above(node: &Node, above: u64) -> Vec<Chunk> {
-    let Some(config) = node.config().filter(|it| it.version > above) else { return Vec::new() };
+/// Returns the chunks of the configuration if it is newer than `version`, else nothing.
+pub(crate) fn chunks_newer_than(node: &Node, version: u64) -> Vec<Chunk> {
+    let Some(config) = node.config().filter(|it| it.version > version) else { return Vec::new() };
     match bincode::serialize(&*config) {
         Ok(value) => split_into_chunks(config.version, &value),
         Err(error) => {
@@ -56,12 +57,12 @@
     }
 }
 
-/// Takes a part of a configuration that another VM has.
-pub(crate) fn take_part(node: &Node, part: Chunk, from: SocketAddr) {
-    if node.config().is_some_and(|it| it.version >= part.version) {
+/// Receives a chunk of another VM's configuration. The last missing chunk applies the configuration.
+pub(crate) fn receive_chunk(node: &Node, chunk: Chunk, from: SocketAddr) {
+    if node.config().is_some_and(|it| it.version >= chunk.version) {
         return;
     }
-    let Some(value) = node.config_copy.borrow_mut().assembly.add(part) else { return };
+    let Some(value) = node.config_copy.borrow_mut().assembly.add(chunk) else { return };
     match bincode::deserialize::<ForwardingConfig>(&value) {
         Ok(config) => {
             log::info!(peer:% = from, version = config.version; "config-from-peer");
--- a/crates/quincevalve_node/src/store/config_copy/tests.rs
+++ b/crates/quincevalve_node/src/store/config_copy/tests.rs
@@ -9,14 +9,14 @@
     test_node::{any, node as bare_node, run},
 };
 
-/// A VM that has the configuration of that version.
+/// Returns a VM that has the configuration of that version.
 fn node(version: u64) -> Node {
     let node = bare_node(&format!("vm-{version}"));
     node.apply_config(config(version));
     node
 }
 
-/// A configuration that takes several datagrams.
+/// Returns a configuration that takes several datagrams.
 fn config(version: u64) -> ForwardingConfig {
     let account = |at: usize| {
         let keys = vec![format!("key-{at}-of-version-{version}").as_str().into()];
@@ -32,43 +32,45 @@
     ForwardingConfig::new(version, Vec::new(), IndexMap::new(), accounts, limits)
 }
 
-// All callers with keys are refused for four seconds: the store turns a VM away while a key is taken away, so it knows
-// of a newer configuration and can't read it. Another VM has it, and passes it on; a part that is lost comes with
-// the next question.
+// The store rejects a VM while a key is removed: the VM knows of a newer configuration that it can't read and would reject
+// all callers with keys for 4 s. It requests the configuration from another VM, and again after a lost chunk.
 #[test]
-fn a_vm_that_the_store_turns_away_gets_the_configuration_from_another() {
+fn fetches_the_configuration_from_another_vm_when_the_store_rejects_this_one() {
     run(|| {
-        let (lacking, having) = (node(1), node(2));
+        let (stale, current) = (node(1), node(2));
         let now = clock::now();
-        assert!(!is_wanted(&lacking, now), "nobody has a newer one");
-        lacking.told_version.set(2);
-        assert!(!is_wanted(&lacking, now), "the store is asked first");
-        let later = now + STORE_TIME;
-        assert!(is_wanted(&lacking, later));
-        assert!(!is_wanted(&lacking, later + Duration::from_millis(10)), "it was just asked for");
-        let parts = parts_above(&having, 1);
-        assert!(parts.len() > 1, "one datagram holds it");
-        for part in parts.iter().skip(1) {
-            take_part(&lacking, part.clone(), any());
+        assert!(!should_request(&stale, now), "no VM has a newer one");
+        stale.told_version.set(2);
+        assert!(!should_request(&stale, now), "the store is read first");
+        let later = now + PEER_REQUEST_DELAY;
+        assert!(should_request(&stale, later));
+        assert!(
+            !should_request(&stale, later + Duration::from_millis(10)),
+            "it was just requested"
+        );
+        let chunks = chunks_newer_than(&current, 1);
+        assert!(chunks.len() > 1, "the configuration takes several datagrams");
+        for chunk in chunks.iter().skip(1) {
+            receive_chunk(&stale, chunk.clone(), any());
         }
-        assert_eq!(lacking.config().map(|it| it.version), Some(1));
-        assert!(is_wanted(&lacking, later + ASK_AGAIN));
-        for part in parts {
-            take_part(&lacking, part, any());
+        assert_eq!(stale.config().map(|it| it.version), Some(1));
+        assert!(should_request(&stale, later + REQUEST_INTERVAL));
+        for chunk in chunks {
+            receive_chunk(&stale, chunk, any());
         }
-        assert_eq!(lacking.config().as_deref(), Some(&config(2)));
-        assert!(!is_wanted(&lacking, later + ASK_AGAIN * 2));
+        assert_eq!(stale.config().as_deref(), Some(&config(2)));
+        assert!(!should_request(&stale, later + REQUEST_INTERVAL * 2));
     });
 }
 
-// A VM goes back to an older configuration: a copy comes late. Versions only grow.
+// A copy that arrives late must not replace a newer configuration: versions only grow.
 #[test]
-fn an_older_copy_changes_nothing() {
+fn ignores_a_copy_of_an_older_configuration() {
     run(|| {
         let (newer, older) = (node(3), node(2));
-        assert!(parts_above(&older, 3).is_empty(), "it has nothing newer to give");
-        for part in parts_above(&older, 1) {
-            take_part(&newer, part, any());
+        assert!(chunks_newer_than(&older, 3).is_empty(), "it has no newer configuration");
+        for chunk in chunks_newer_than(&older, 1) {
+            receive_chunk(&newer, chunk, any());
         }
         assert_eq!(newer.config().map(|it| it.version), Some(3));
     });
--- a/crates/quincevalve_node/src/store/state_copy.rs
+++ b/crates/quincevalve_node/src/store/state_copy.rs
@@ -1,8 +1,8 @@
-//! What a VM that starts gets from others of its data centre instead of the store.
+//! Copies the store's state from another VM of the data centre to a starting VM.
 //!
-//! Load: hundreds of VMs lose power together and start together. Each would read everything, and the store's link carries
-//! the whole list once for each VM; until that is done every caller is refused. So a VM reads the entries of its own data
-//! centre only, and asks one of the strongest for the rest.
+//! After a power loss hundreds of VMs start together. If each read the whole store, the store's link would carry the whole
+//! list once for each VM, and every caller would be rejected until then. So a starting VM reads only the entries of its own
+//! data centre and requests the rest from one of the strongest VMs.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -26,153 +26,165 @@
 use crate::{
     clock,
     node::Node,
-    peers::ask_for_state,
+    peers::request_state,
     ports::PlatformStore,
     store::{
-        sync::prove,
-        view::{Whole, cards, note_left_lease, peer_keys, take_whole, whole},
+        sync::confirm_freshness,
+        view::{
+            StoreState, apply_state, current_state, parse_descriptors, peer_key_prefix,
+            record_previous_lease,
+        },
     },
 };
 
-/// A VM to which nothing came from others for so long reads the store itself: the others start too, and those that read it
-/// take less time.
-const PATIENCE: Duration = Duration::from_millis(600);
-/// The longest pause between two looks whether something came.
-const LOOK: Duration = Duration::from_millis(20);
-/// VMs that are asked beside the strongest of the data centre.
-const OTHER_SOURCES: usize = 12;
-/// A VM that asks anew is answered once in this time: it asks again before it can have had the answer, and answers that are
-/// sent twice keep those of other VMs waiting.
-const ANSWER_AGAIN: Duration = Duration::from_millis(120);
-/// What is given to those that ask anew is encoded once in this time.
-const ENCODE_AGAIN: Duration = Duration::from_millis(200);
-/// For so long its parts are kept for those that have begun to ask for them.
-const KEEP_ENCODED: Duration = Duration::from_secs(2);
+/// Base time without a chunk from other VMs after which a starting VM reads the store itself. The other VMs may be
+/// starting too; those among them that read the store need less time than this.
+const BASE_FETCH_TIMEOUT: Duration = Duration::from_millis(600);
+/// Maximum interval at which the progress of a fetch is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum number of sources besides the strongest VMs of the data centre.
+const MAX_OTHER_SOURCES: usize = 12;
+/// Minimum interval between two answers to first requests of one VM. A requester retries before the answer can have arrived,
+/// and duplicate answers would delay those to other VMs.
+const MIN_ANSWER_INTERVAL: Duration = Duration::from_millis(120);
+/// Minimum interval between two encodings of the state for first requests.
+const ENCODE_INTERVAL: Duration = Duration::from_millis(200);
+/// Time for which an encoded state is kept for VMs that are fetching its chunks.
+const ENCODED_TTL: Duration = Duration::from_secs(2);
 
-/// What comes from others while this VM starts, and what this one gives to others.
+/// This VM's fetch of the state while it starts, and the copies that it serves to other VMs.
 #[derive(Debug, Default)]
 pub(crate) struct StateCopy {
     fetch: Option<ChunkFetch>,
-    given: VecDeque<Given>,
-    served: ServeSlots,
-    answered: HashMap<String, TimePoint>,
+    encoded: VecDeque<EncodedState>,
+    serve_slots: ServeSlots,
+    /// When first requests were answered, by sender.
+    answered_at: HashMap<String, TimePoint>,
 }
 
-/// What this VM answers to one that starts.
+/// Answer to a request of a starting VM.
 #[derive(Debug)]
 pub(crate) enum StateAnswer {
-    /// Parts, each with the age of the proof that it is of the newest.
-    Parts(Vec<(Duration, Chunk)>),
-    /// Another should be asked.
-    SendOn {
-        /// Whether this VM knows all, and only serves others at present.
+    /// Chunks, each with the age of the freshness confirmation of the state.
+    Chunks(Vec<(Duration, Chunk)>),
+    /// The VM should request the state from another source.
+    Redirect {
+        /// Whether this VM has the state, but is serving other VMs at present.
         serves_others: bool,
     },
 }
 
-/// What this VM knew of the store at some moment, for others.
+/// This VM's view of the store at one moment, encoded for other VMs.
 #[derive(Debug)]
-struct Given {
+struct EncodedState {
     encoded_at: TimePoint,
-    /// Since when it is proved to be the newest.
-    proved: TimePoint,
-    parts: Vec<Chunk>,
+    /// The time of the freshness confirmation that held when the state was encoded.
+    confirmed_at: TimePoint,
+    chunks: Vec<Chunk>,
 }
 
-/// Gets what is known of the store from another VM. Where nobody can be asked or answers in time, this VM has to read the
-/// store itself.
+/// Fetches the store's state from another VM. Returns without it if there is no source or no source answers in time; this VM
+/// then has to read the store itself.
 pub(crate) async fn fetch_state<S>(node: &Node, store: &S, socket: &UdpSocket)
 where
     S: PlatformStore,
 {
-    let own = match store.own_items(&peer_keys(&node.settings.data_centre)).await {
+    let own = match store.own_items(&peer_key_prefix(&node.settings.data_centre)).await {
         Ok(own) => own,
         Err(error) => {
             log::debug!(error:% = error; "centre-not-read");
             return;
         }
     };
-    note_left_lease(node, &own);
-    let cards = cards(&own);
-    let first = startup_sources(node.peers.borrow().book.me(), &cards);
-    if first.is_empty() {
+    record_previous_lease(node, &own);
+    let descriptors = parse_descriptors(&own);
+    let strongest = startup_sources(node.peers.borrow().table.me(), &descriptors);
+    if strongest.is_empty() {
         return;
     }
-    let patience = fetch_timeout(PATIENCE, startup_rank(node.peers.borrow().book.me(), &cards));
-    let sources = source_order(&first, &others(node, &cards, &first));
-    node.state_copy.borrow_mut().fetch = Some(ChunkFetch::new(sources, patience, clock::now()));
+    let timeout = fetch_timeout(
+        BASE_FETCH_TIMEOUT,
+        startup_rank(node.peers.borrow().table.me(), &descriptors),
+    );
+    let sources = source_order(&strongest, &other_sources(node, &descriptors, &strongest));
+    node.state_copy.borrow_mut().fetch = Some(ChunkFetch::new(sources, timeout, clock::now()));
     while let Some(step) = next_step(node) {
         match step {
-            FetchStep::Send { source, request } => ask_for_state(node, socket, source, request),
-            FetchStep::Wait(wait) => sleep(wait.min(LOOK)).await,
+            FetchStep::Send { source, request } => request_state(node, socket, source, request),
+            FetchStep::Wait(wait) => sleep(wait.min(POLL_INTERVAL)).await,
             FetchStep::GiveUp => break,
         }
     }
     node.state_copy.borrow_mut().fetch = None;
 }
 
-/// What to do next to get it; `None` once it is there.
+/// Returns the next step of the fetch; `None` once the state is there.
 fn next_step(node: &Node) -> Option<FetchStep> {
     let is_known = node.store_view.borrow().reached().is_some();
     let mut copy = node.state_copy.borrow_mut();
     copy.fetch.as_mut().filter(|_| !is_known).map(|it| it.next(clock::now()))
 }
 
-/// Some VMs of the data centre beside the strongest.
-fn others(node: &Node, cards: &[VmDescriptor], first: &[SocketAddr]) -> Vec<SocketAddr> {
-    let me = node.peers.borrow().book.me().address;
-    let others = cards.iter().map(|it| it.address);
-    let mut others: Vec<_> = others.filter(|it| *it != me && !first.contains(it)).collect();
+/// Returns randomly chosen VMs of the data centre besides the strongest.
+fn other_sources(
+    node: &Node,
+    descriptors: &[VmDescriptor],
+    strongest: &[SocketAddr],
+) -> Vec<SocketAddr> {
+    let me = node.peers.borrow().table.me().address;
+    let others = descriptors.iter().map(|it| it.address);
+    let mut others: Vec<_> = others.filter(|it| *it != me && !strongest.contains(it)).collect();
     others.shuffle(&mut *node.rng.borrow_mut());
-    others.truncate(OTHER_SOURCES);
+    others.truncate(MAX_OTHER_SOURCES);
     others
 }
 
-/// What a VM that starts gets of what this one knows of the store. Nothing where this VM has no new proof itself, and where
-/// its link is needed for others.
-pub(crate) fn answer_for(
+/// Returns the answer to a starting VM's request for state: chunks, or a redirect if this VM has no recent freshness
+/// confirmation or its link is needed for other requesters.
+pub(crate) fn answer_request(
     node: &Node,
     sender: &str,
-    wanted: &ChunkRequest,
+    request: &ChunkRequest,
     now: TimePoint,
 ) -> StateAnswer {
     let mut copy = node.state_copy.borrow_mut();
-    copy.given.retain(|it| now.since(it.encoded_at) < KEEP_ENCODED);
-    if wanted.version.is_none() && !is_newest(node, now) {
-        return StateAnswer::SendOn { serves_others: false };
+    copy.encoded.retain(|it| now.since(it.encoded_at) < ENCODED_TTL);
+    if request.version.is_none() && !is_confirmed_newest(node, now) {
+        return StateAnswer::Redirect { serves_others: false };
     }
-    if !copy.served.admit(sender, node.settings.link, now) {
-        return StateAnswer::SendOn { serves_others: true };
+    if !copy.serve_slots.admit(sender, node.settings.link, now) {
+        return StateAnswer::Redirect { serves_others: true };
     }
-    let Some(version) = wanted.version else {
-        return StateAnswer::Parts(copy.first_parts(node, sender, now));
+    let Some(version) = request.version else {
+        return StateAnswer::Chunks(copy.first_chunks(node, sender, now));
     };
-    let Some(given) = copy.given.iter().find(|it| it.version() == Some(version)) else {
-        return StateAnswer::SendOn { serves_others: false };
+    let Some(encoded) = copy.encoded.iter().find(|it| it.version() == Some(version)) else {
+        return StateAnswer::Redirect { serves_others: false };
     };
-    let parts = given.parts(|at| wanted.chunks.contains(&at), now);
-    if given.is_end(&wanted.chunks) {
-        copy.served.release(sender);
+    let chunks = encoded.chunks(|at| request.chunks.contains(&at), now);
+    if encoded.includes_last_chunk(&request.chunks) {
+        copy.serve_slots.release(sender);
     }
-    StateAnswer::Parts(parts)
+    StateAnswer::Chunks(chunks)
 }
 
-/// Whether this VM has a new proof that what it knows is the newest.
-fn is_newest(node: &Node, now: TimePoint) -> bool {
-    let longest = StoreReadRole::Standby.max_confirmation_age(node.settings.bounds.change_in_force);
-    let is_proved = node.freshness.get().age(now).is_some_and(|it| it <= longest);
-    // What is known here must be all that the proof is for.
-    is_proved && node.config().is_some_and(|it| it.version >= node.told_version.get())
+/// Returns whether this VM has a recent freshness confirmation for everything that it knows.
+fn is_confirmed_newest(node: &Node, now: TimePoint) -> bool {
+    let max_age = StoreReadRole::Standby.max_confirmation_age(node.settings.bounds.change_in_force);
+    let is_confirmed = node.freshness.get().age(now).is_some_and(|it| it <= max_age);
+    // The confirmation doesn't cover a newer configuration that this VM lacks.
+    is_confirmed && node.config().is_some_and(|it| it.version >= node.told_version.get())
 }
 
-fn encode(node: &Node, now: TimePoint) -> Option<Given> {
+/// Encodes this VM's view of the store; `None` without a freshness confirmation or a complete view.
+fn encode(node: &Node, now: TimePoint) -> Option<EncodedState> {
     let age = node.freshness.get().age(now)?;
-    match encoding().serialize(&whole(node)?) {
-        // What is encoded at another moment is a version of its own: what is known changes.
-        Ok(value) => Some(Given {
+    match encoding().serialize(&current_state(node)?) {
+        // Each encoding has its own version, since the view changes between two of them.
+        Ok(value) => Some(EncodedState {
             encoded_at: now,
-            proved: now.earlier_by(age),
-            parts: split_into_chunks(now.as_micros(), &value),
+            confirmed_at: now.earlier_by(age),
+            chunks: split_into_chunks(now.as_micros(), &value),
         }),
         Err(error) => {
             log::error!(error:% = error; "state-not-encoded");
@@ -181,36 +193,36 @@
     }
 }
 
-impl Given {
-    /// Whether these are the last parts, so that whoever asks for them has all others.
-    fn is_end(&self, wanted: &[u32]) -> bool {
-        wanted.len() < WINDOW || wanted.last().map(|it| *it as usize + 1) == Some(self.parts.len())
+impl EncodedState {
+    /// Returns whether these are the last chunks, so that their requester has all others.
+    fn includes_last_chunk(&self, wanted: &[u32]) -> bool {
+        wanted.len() < WINDOW || wanted.last().map(|it| *it as usize + 1) == Some(self.chunks.len())
     }
 
     fn version(&self) -> Option<u64> {
-        self.parts.first().map(|it| it.version)
+        self.chunks.first().map(|it| it.version)
     }
 
-    /// The parts at these places, and the age of the proof.
-    fn parts(&self, is_wanted: impl Fn(u32) -> bool, now: TimePoint) -> Vec<(Duration, Chunk)> {
-        let wanted = self.parts.iter().filter(|it| is_wanted(it.at));
-        wanted.map(|it| (now.since(self.proved), it.clone())).collect()
+    /// Returns the wanted chunks, each with the age of the freshness confirmation.
+    fn chunks(&self, is_wanted: impl Fn(u32) -> bool, now: TimePoint) -> Vec<(Duration, Chunk)> {
+        let wanted = self.chunks.iter().filter(|it| is_wanted(it.at));
+        wanted.map(|it| (now.since(self.confirmed_at), it.clone())).collect()
     }
 }
 
-/// Takes a part of what another VM knows, and returns the parts to ask for next. With the last one this VM knows it too, as
-/// the newest of `proved`.
-pub(crate) fn take_part(
+/// Receives a chunk of another VM's state and returns the request for the next chunks. The last missing chunk applies the
+/// state, with `confirmed_at` as its freshness confirmation.
+pub(crate) fn receive_chunk(
     node: &Node,
-    part: Chunk,
-    proved: Option<TimePoint>,
+    chunk: Chunk,
+    confirmed_at: Option<TimePoint>,
     from: SocketAddr,
 ) -> Option<ChunkRequest> {
     let now = clock::now();
     let value = {
         let mut copy = node.state_copy.borrow_mut();
         let fetch = copy.fetch.as_mut()?;
-        let Some(value) = fetch.receive(from, part, now) else {
+        let Some(value) = fetch.receive(from, chunk, now) else {
             return match fetch.next(now) {
                 FetchStep::Send { request, .. } => Some(request),
                 FetchStep::Wait(_) | FetchStep::GiveUp => None,
@@ -219,50 +231,56 @@
         copy.fetch = None;
         value
     };
-    let whole: Whole = match encoding().deserialize(&value) {
-        Ok(whole) => whole,
+    let state: StoreState = match encoding().deserialize(&value) {
+        Ok(state) => state,
         Err(error) => {
             log::error!(peer:% = from, error:% = error; "state-copy-unreadable");
             return None;
         }
     };
-    let (revision, servers) = (whole.at, whole.servers.len());
-    if take_whole(node, whole) {
+    let (revision, servers) = (state.at, state.servers.len());
+    if apply_state(node, state) {
         log::info!(peer:% = from, revision, servers; "state-from-peer");
     }
-    if let Some(proved) = proved {
-        prove(node, proved);
+    if let Some(confirmed_at) = confirmed_at {
+        confirm_freshness(node, confirmed_at);
     }
     None
 }
 
-/// Takes it that a VM sends this one on to another.
-pub(crate) fn sent_on(node: &Node, from: SocketAddr, serves_others: bool) {
+/// Handles a redirect: the VM at `from` doesn't serve the state to this VM.
+pub(crate) fn handle_redirect(node: &Node, from: SocketAddr, serves_others: bool) {
     if let Some(fetch) = node.state_copy.borrow_mut().fetch.as_mut() {
         fetch.redirected(from, serves_others, clock::now());
     }
 }
 
 impl StateCopy {
-    /// The first parts of the newest that this VM knows.
-    fn first_parts(&mut self, node: &Node, sender: &str, now: TimePoint) -> Vec<(Duration, Chunk)> {
+    /// Returns the first chunks of this VM's current view; nothing if the sender was answered a moment ago.
+    fn first_chunks(
+        &mut self,
+        node: &Node,
+        sender: &str,
+        now: TimePoint,
+    ) -> Vec<(Duration, Chunk)> {
         if !self.may_answer(sender, now) {
             return Vec::new();
         }
-        let is_old = |it: &Given| now.since(it.encoded_at) >= ENCODE_AGAIN;
-        if self.given.back().is_none_or(is_old) {
-            self.given.extend(encode(node, now));
+        let is_old = |it: &EncodedState| now.since(it.encoded_at) >= ENCODE_INTERVAL;
+        if self.encoded.back().is_none_or(is_old) {
+            self.encoded.extend(encode(node, now));
         }
-        let newest = self.given.back();
-        newest.map_or_else(Vec::new, |it| it.parts(|at| (at as usize) < WINDOW, now))
+        let newest = self.encoded.back();
+        newest.map_or_else(Vec::new, |it| it.chunks(|at| (at as usize) < WINDOW, now))
     }
 
+    /// Returns whether the sender's first request may be answered now, and records the answer.
     fn may_answer(&mut self, sender: &str, now: TimePoint) -> bool {
-        self.answered.retain(|_, at| now.since(*at) < ANSWER_AGAIN);
-        if self.answered.contains_key(sender) {
+        self.answered_at.retain(|_, at| now.since(*at) < MIN_ANSWER_INTERVAL);
+        if self.answered_at.contains_key(sender) {
             return false;
         }
-        self.answered.insert(sender.to_owned(), now);
+        self.answered_at.insert(sender.to_owned(), now);
         true
     }
 }
--- a/crates/quincevalve_node/src/store/state_copy/tests.rs
+++ b/crates/quincevalve_node/src/store/state_copy/tests.rs
@@ -31,7 +31,7 @@
     }
 }
 
-fn card(at: u16) -> VmDescriptor {
+fn descriptor(at: u16) -> VmDescriptor {
     VmDescriptor {
         name: format!("vm-{at}"),
         address: ([10, 1, (at / 200) as u8, (at % 200) as u8], 7600).into(),
@@ -40,25 +40,26 @@
     }
 }
 
-/// A VM that has read the store a moment ago.
+/// Returns a VM that read the store a moment ago.
 fn informed(name: &str) -> Node {
     let node = bare_node(name);
-    let whole = Whole {
+    let state = StoreState {
         at: 50,
         newest: 50,
         config: Some(config(3)),
         servers: (0..SERVERS).map(|at| (format!("i-{at}").as_str().into(), server(at))).collect(),
         unreadable: Vec::new(),
-        vms: (0..300).map(card).collect(),
+        vms: (0..300).map(descriptor).collect(),
         holder: Some("vm-9".to_owned()),
         quarantine: vec![(RequestDigest(7), QuarantineEntry::first(ExitPattern::Separate, 0))],
-        ..Whole::default()
+        ..StoreState::default()
     };
-    assert!(take_whole(&node, whole));
-    prove(&node, clock::now());
+    assert!(apply_state(&node, state));
+    confirm_freshness(&node, clock::now());
     node
 }
 
+/// Returns a VM that fetches the state while it starts.
 fn starting() -> Node {
     let node = bare_node("vm-new");
     let sources = vec![any(), elsewhere()];
@@ -71,142 +72,145 @@
     ([127, 0, 0, 2], 0).into()
 }
 
-fn parts_for(node: &Node, sender: &str, now: TimePoint) -> Vec<(Duration, Chunk)> {
-    match answer_for(node, sender, &ChunkRequest::default(), now) {
-        StateAnswer::Parts(parts) => parts,
-        StateAnswer::SendOn { .. } => Vec::new(),
+fn chunks_for(node: &Node, sender: &str, now: TimePoint) -> Vec<(Duration, Chunk)> {
+    match answer_request(node, sender, &ChunkRequest::default(), now) {
+        StateAnswer::Chunks(chunks) => chunks,
+        StateAnswer::Redirect { .. } => Vec::new(),
     }
 }
 
-fn parts(node: &Node) -> Vec<Chunk> {
-    parts_for(node, "vm-new#1", clock::now()).into_iter().map(|(_, part)| part).collect()
+fn chunks(node: &Node) -> Vec<Chunk> {
+    chunks_for(node, "vm-new#1", clock::now()).into_iter().map(|(_, chunk)| chunk).collect()
 }
 
-// Every caller is refused for most of a second after all VMs lost power: the store carries the whole list once for each
-// of them. One that starts gets it from another instead, and knows what that one knows, servers that leave included.
+// After a power loss the store would have to send the whole list to each VM, and every caller would be rejected for most of
+// a second. A starting VM gets the state from another VM instead, including servers that leave.
 #[test]
-fn a_vm_that_starts_knows_what_another_knows() {
+fn a_starting_vm_copies_the_state_of_another() {
     run(|| {
-        let (having, lacking) = (informed("vm-1"), starting());
+        let (source, starting_vm) = (informed("vm-1"), starting());
         let now = clock::now();
-        let parts = parts(&having);
-        assert!(parts.len() > 1, "one datagram holds it");
-        for part in parts {
-            assert!(lacking.config().is_none());
-            take_part(&lacking, part, Some(now), any());
+        let chunks = chunks(&source);
+        assert!(chunks.len() > 1, "the state takes several datagrams");
+        for chunk in chunks {
+            assert!(starting_vm.config().is_none());
+            receive_chunk(&starting_vm, chunk, Some(now), any());
         }
-        assert_eq!(lacking.config().map(|it| it.version), Some(3));
+        assert_eq!(starting_vm.config().map(|it| it.version), Some(3));
         let quarantined: Vec<_> =
-            lacking.poison.borrow().stored_entries().map(|(it, _)| it).collect();
+            starting_vm.poison.borrow().stored_entries().map(|(it, _)| it).collect();
         assert_eq!(quarantined, [RequestDigest(7)]);
-        assert_eq!(lacking.store_view.borrow().reached().map(|it| it.0), Some(50));
-        let servers = lacking.servers.borrow();
+        assert_eq!(starting_vm.store_view.borrow().reached().map(|it| it.0), Some(50));
+        let servers = starting_vm.servers.borrow();
         assert_eq!(servers.all().count(), usize::from(SERVERS));
         let usable = servers.usable(&"model".into(), now).count();
         assert_eq!(usable, usize::from(SERVERS) - 1, "one leaves");
-        assert_eq!(lacking.vms(), 301, "three hundred, the one that told among them, and itself");
-        assert_eq!(lacking.peers.borrow().holder(), Some("vm-9"));
-        assert!(lacking.was_proved());
+        assert_eq!(starting_vm.vms(), 301, "300, which include the source, and itself");
+        assert_eq!(starting_vm.peers.borrow().holder(), Some("vm-9"));
+        assert!(starting_vm.was_proved());
     });
 }
 
-// A request reaches a server that left: what another VM knows is older than its proof says, or its proof is too old. A VM
-// that has no new proof gives nothing, and neither does one that lacks a configuration that others have.
+// Requests would reach a server that left if the copied state were older than its freshness confirmation says. A VM serves
+// no state without a recent confirmation, nor while it lacks a configuration that other VMs have.
 #[test]
-fn only_what_is_proved_is_given() {
+fn does_not_serve_state_without_a_recent_confirmation() {
     run(|| {
         let node = bare_node("vm-1");
-        assert!(parts(&node).is_empty(), "it knows nothing");
+        assert!(chunks(&node).is_empty(), "it has no state");
         let node = informed("vm-1");
         let later = clock::now() + Duration::from_secs(3);
-        assert!(parts_for(&node, "vm-new#1", later).is_empty(), "its proof is old");
+        assert!(chunks_for(&node, "vm-new#1", later).is_empty(), "its confirmation is old");
         node.told_version.set(4);
-        assert!(parts(&node).is_empty(), "others have a newer configuration");
+        assert!(chunks(&node).is_empty(), "others have a newer configuration");
     });
 }
 
-// A part is lost on its way, and the other VM's answer to the next question is another version of what it knows, or another
-// VM answers: parts of two answers make no whole.
+// After a lost chunk, the next answer may be another version of the state or come from another VM. Chunks of two versions
+// must not be assembled into one state.
 #[test]
-fn parts_of_two_answers_are_not_put_together() {
+fn does_not_assemble_chunks_of_two_answers() {
     run(|| {
-        let (having, other, lacking) = (informed("vm-1"), informed("vm-2"), starting());
-        let first = parts(&having);
-        for part in first.iter().skip(1) {
-            take_part(&lacking, part.clone(), None, any());
+        let (source, other, starting_vm) = (informed("vm-1"), informed("vm-2"), starting());
+        let first = chunks(&source);
+        for chunk in first.iter().skip(1) {
+            receive_chunk(&starting_vm, chunk.clone(), None, any());
         }
-        let second = parts(&other);
-        take_part(&lacking, second[0].clone(), None, elsewhere());
-        assert!(lacking.config().is_none());
-        sent_on(&lacking, any(), true);
-        take_part(&lacking, second[0].clone(), None, elsewhere());
-        assert!(lacking.config().is_none());
-        for part in second.iter().skip(1) {
-            take_part(&lacking, part.clone(), None, elsewhere());
+        let second = chunks(&other);
+        receive_chunk(&starting_vm, second[0].clone(), None, elsewhere());
+        assert!(starting_vm.config().is_none());
+        handle_redirect(&starting_vm, any(), true);
+        receive_chunk(&starting_vm, second[0].clone(), None, elsewhere());
+        assert!(starting_vm.config().is_none());
+        for chunk in second.iter().skip(1) {
+            receive_chunk(&starting_vm, chunk.clone(), None, elsewhere());
         }
-        assert_eq!(lacking.config().map(|it| it.version), Some(3));
-        assert!(!lacking.was_proved(), "no proof came with it");
+        assert_eq!(starting_vm.config().map(|it| it.version), Some(3));
+        assert!(!starting_vm.was_proved(), "the chunks carried no confirmation");
     });
 }
 
 #[test]
-fn a_vm_that_asks_again_at_once_is_answered_once() {
+fn does_not_answer_an_immediate_retry_of_a_first_request() {
     run(|| {
         let node = informed("vm-1");
         let now = clock::now();
-        assert!(!parts_for(&node, "vm-new#1", now).is_empty());
-        assert!(parts_for(&node, "vm-new#1", now + RETRY_INTERVAL / 2).is_empty());
+        assert!(!chunks_for(&node, "vm-new#1", now).is_empty());
+        assert!(chunks_for(&node, "vm-new#1", now + RETRY_INTERVAL / 2).is_empty());
         assert!(
-            !parts_for(&node, "vm-new#2", now + RETRY_INTERVAL / 2).is_empty(),
+            !chunks_for(&node, "vm-new#2", now + RETRY_INTERVAL / 2).is_empty(),
             "another start"
         );
-        assert!(!parts_for(&node, "vm-new#1", now + ANSWER_AGAIN).is_empty());
+        assert!(!chunks_for(&node, "vm-new#1", now + MIN_ANSWER_INTERVAL).is_empty());
     });
 }
 
-// What is known already is not replaced by a copy that comes late.
+// A copy that arrives late must not replace newer state.
 #[test]
-fn a_copy_that_nobody_waits_for_changes_nothing() {
+fn ignores_a_copy_when_no_fetch_is_running() {
     run(|| {
-        let (having, other) = (informed("vm-1"), bare_node("vm-2"));
-        for part in parts(&having) {
-            take_part(&other, part, Some(clock::now()), any());
+        let (source, other) = (informed("vm-1"), bare_node("vm-2"));
+        for chunk in chunks(&source) {
+            receive_chunk(&other, chunk, Some(clock::now()), any());
         }
         assert!(other.config().is_none());
         assert!(!other.was_proved());
     });
 }
 
-// A few VMs know all when hundreds start: they send to all at once, nobody gets all of it in time, and each reads the store.
+// When hundreds of VMs start, a few have the state. If these sent it to all at once, no VM would receive all of it in time,
+// and each would read the store.
 #[test]
-fn a_vm_whose_link_is_taken_sends_others_on() {
+fn redirects_requests_while_its_link_is_busy() {
     run(|| {
         let node = informed("vm-1");
         let (now, wanted) = (clock::now(), ChunkRequest::default());
-        let answers = (0..40).map(|it| answer_for(&node, &format!("vm-{it}#1"), &wanted, now));
-        let (served, sent_on): (Vec<_>, Vec<_>) =
-            answers.partition(|it| matches!(it, StateAnswer::Parts(_)));
+        let answers = (0..40).map(|it| answer_request(&node, &format!("vm-{it}#1"), &wanted, now));
+        let (served, redirected): (Vec<_>, Vec<_>) =
+            answers.partition(|it| matches!(it, StateAnswer::Chunks(_)));
         assert_eq!(served.len(), 16);
-        assert!(sent_on.iter().all(|it| matches!(it, StateAnswer::SendOn { serves_others: true })));
-        let parts = |sender: &str| {
+        assert!(
+            redirected.iter().all(|it| matches!(it, StateAnswer::Redirect { serves_others: true }))
+        );
+        let is_served = |sender: &str| {
             matches!(
-                answer_for(&node, sender, &wanted, now + RETRY_INTERVAL * 2),
-                StateAnswer::Parts(_)
+                answer_request(&node, sender, &wanted, now + RETRY_INTERVAL * 2),
+                StateAnswer::Chunks(_)
             )
         };
-        assert!(parts("vm-39#1"), "those who went silent are forgotten");
+        assert!(is_served("vm-39#1"), "the slots of silent requesters are released");
     });
 }
 
-// A part is lost: only that one is sent again, of what was known when the first were sent.
+// After a lost chunk only that chunk is sent again, from the version that was sent first.
 #[test]
-fn only_the_parts_that_are_asked_for_are_sent_again() {
+fn sends_only_the_requested_chunks_again() {
     run(|| {
         let node = informed("vm-1");
-        let first = parts(&node);
+        let first = chunks(&node);
         let now = clock::now() + RETRY_INTERVAL;
         let wanted = ChunkRequest { version: Some(first[0].version), chunks: vec![1] };
-        let StateAnswer::Parts(again) = answer_for(&node, "vm-new#1", &wanted, now) else {
+        let StateAnswer::Chunks(again) = answer_request(&node, "vm-new#1", &wanted, now) else {
             panic!("it is served");
         };
         assert_eq!(again.into_iter().map(|(_, it)| it).collect::<Vec<_>>(), [first[1].clone()]);
--- a/crates/quincevalve_node/src/store/sync.rs
+++ b/crates/quincevalve_node/src/store/sync.rs
@@ -1,4 +1,4 @@
-//! How this VM keeps up with the platform's store, and its own entry there.
+//! Reads changes of the platform's store and keeps this VM's entry in it.
 
 use std::{rc::Rc, time::Duration};
 
@@ -18,72 +18,73 @@
     ports::{Commit, LeaseId, PlatformStore, ReadAge, StoreError},
     store::{
         state_copy::fetch_state,
-        view::{peer_key, take_changes, take_snapshot},
+        view::{apply_changes, apply_snapshot, peer_key},
     },
 };
 
-/// A VM that starts has read the store within this time, if it answers; until then others don't know of it.
-const FIRST_READING: Duration = Duration::from_millis(400);
-/// At the first start of the whole system a VM writes its entry and reads the store after this time.
+/// Maximum time that a starting VM waits for the first read of the store before it writes a new entry. Other VMs don't
+/// know of this VM until the entry is written.
+const INITIAL_READ_TIMEOUT: Duration = Duration::from_millis(400);
+/// Delay before a VM reads the store at the first start of the whole system.
 ///
-/// Load: hundreds of VMs start at once, and the store holds nothing yet, no configuration and no VM. Each would ask it again
-/// and again until it does. After the pause VMs know of each other and a few read it for all, with time to spare before
-/// the first callers.
-const FIRST_START_PAUSE: Duration = Duration::from_millis(2_500);
-/// Pause between two looks whether it has.
-const FIRST_READING_LOOK: Duration = Duration::from_millis(20);
-/// Pause after a failure to keep this VM's entry.
-const ENTRY_FAILED_PAUSE: Duration = Duration::from_millis(250);
-/// The longest wait of one question for changes. While it waits its VM has no new proof for others.
-const WAIT: Duration = Duration::from_millis(250);
-/// Pause between two looks whether what is told is new enough.
-const LOOK: Duration = Duration::from_millis(100);
-/// Lifetime of this VM's own entry; three renewals, so that a slow store or a short outage doesn't remove it. Until
-/// it ends the others count with a VM that is gone: its part of the quotas lies idle.
-const ENTRY_LIFETIME: Duration = Duration::from_secs(12);
-/// Time between two renewals of it.
-const ENTRY_RENEWAL: Duration = Duration::from_secs(4);
+/// Hundreds of VMs start at once while the store holds no configuration and no VM yet, and each would poll it until it does.
+/// After the delay the VMs know of each other and a few read the store for all, in time for the first callers.
+const FIRST_START_DELAY: Duration = Duration::from_millis(2_500);
+/// Interval at which completion of the first read is polled.
+const INITIAL_READ_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Delay before another attempt after this VM's entry couldn't be written or renewed.
+const ENTRY_RETRY_INTERVAL: Duration = Duration::from_millis(250);
+/// Maximum time that the store may hold a request for changes open. Until it answers, this VM has no new freshness
+/// confirmation for other VMs.
+const MAX_CHANGES_WAIT: Duration = Duration::from_millis(250);
+/// Interval at which a VM checks whether the reports of other VMs are new enough.
+const FRESHNESS_POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Lifetime of this VM's entry: three renewal intervals, so that a slow store or a short outage doesn't remove it. Until the
+/// entry of a stopped VM expires, the others count that VM and its share of the quotas is unused.
+const ENTRY_TTL: Duration = Duration::from_secs(12);
+/// Interval between two renewals of this VM's entry.
+const ENTRY_RENEWAL_INTERVAL: Duration = Duration::from_secs(4);
 
-/// Keeps up with the store for as long as the process lives.
+/// Follows the store for as long as the process lives.
 pub(crate) async fn follow_store<S>(node: Rc<Node>, store: S, socket: Rc<UdpSocket>)
 where
     S: PlatformStore,
 {
     let mut failures = 0_u32;
-    let mut is_told = false;
-    let mut lacked = None;
+    let mut is_following = false;
+    let mut missing = None;
     if node.settings.is_first_start {
-        sleep(FIRST_START_PAUSE).await;
+        sleep(FIRST_START_DELAY).await;
     }
     fetch_state(&node, &store, &socket).await;
     loop {
-        note_away(&node);
-        fetch_config(&node, &store, &mut lacked).await;
-        if !must_read(&node) {
-            if !std::mem::replace(&mut is_told, true) {
+        begin_outage_if_unreachable(&node);
+        fetch_config(&node, &store, &mut missing).await;
+        if !must_read_store(&node) {
+            if !std::mem::replace(&mut is_following, true) {
                 log::info!("store-told-by-others");
             }
-            note_regained(&mut failures);
-            sleep(LOOK).await;
+            log_regained(&mut failures);
+            sleep(FRESHNESS_POLL_INTERVAL).await;
             continue;
         }
-        if std::mem::take(&mut is_told) {
+        if std::mem::take(&mut is_following) {
             let age_ms =
                 node.freshness.get().age(clock::now()).map_or(0, |it| it.as_millis() as u64);
             log::info!(age_ms; "store-read-here");
         }
-        let asked = clock::now();
-        let pause = match read(&node, &store, asked).await {
+        let requested_at = clock::now();
+        let pause = match read_store(&node, &store, requested_at).await {
             Ok(ReadAge::MayBeOld) => Duration::ZERO,
             Ok(ReadAge::Newest) => {
-                prove(&node, asked);
-                note_regained(&mut failures);
+                confirm_freshness(&node, requested_at);
+                log_regained(&mut failures);
                 node.reading_part().pause_after_answer()
             }
             Err(StoreError::HistoryGone) => {
                 log::info!("store-history-gone");
-                heard_of_store(&node, ContactSpan::at(asked));
-                node.store_view.borrow_mut().forget();
+                record_store_contact(&node, ContactSpan::at(requested_at));
+                node.store_view.borrow_mut().invalidate();
                 Duration::ZERO
             }
             Err(error) => {
@@ -91,7 +92,7 @@
                     log::warn!(error:% = error; "store-lost");
                 }
                 failures += 1;
-                let is_small = node.peers.borrow().book.is_small();
+                let is_small = node.peers.borrow().table.is_small();
                 node.reading_part().pause_after_failures(failures, is_small)
             }
         };
@@ -99,32 +100,33 @@
     }
 }
 
-/// Notes that this VM reads the store again or needn't, since others tell it enough.
-fn note_regained(failures: &mut u32) {
+/// Resets the number of failures and logs that they ended: the store answers again, or the reports of other VMs are enough.
+fn log_regained(failures: &mut u32) {
     if std::mem::take(failures) > 0 {
         log::info!("store-regained");
     }
 }
 
-/// Notes if nobody who is heard had an answer of the store for so long that entries lapse.
-pub(crate) fn note_away(node: &Node) {
+/// Begins a store outage if the store has answered neither this VM nor any VM in contact with it for so long that entries
+/// expire.
+pub(crate) fn begin_outage_if_unreachable(node: &Node) {
     let Some(since) = node.store_contact.get().unreachable_since(clock::now()) else { return };
     node.servers.borrow_mut().begin_store_outage(since);
 }
 
-/// Takes a span in which the store answered this VM or one that it hears. What the answer said is taken afterwards:
-/// whether a removal may be a lapse depends on it.
-pub(crate) fn heard_of_store(node: &Node, heard: ContactSpan) {
+/// Records a span in which the store answered this VM or one in contact with it. Must be called before the content of the
+/// answer is applied: whether a removal may be an expiry depends on the span.
+pub(crate) fn record_store_contact(node: &Node, span: ContactSpan) {
     let mut contact = node.store_contact.get();
-    let news = contact.record(heard);
+    let update = contact.record(span);
     node.store_contact.set(contact);
     let now = clock::now();
     let mut servers = node.servers.borrow_mut();
-    // Failure: a VM was cut off, said so to itself, and then hears of answers that leave no gap. Symptom: it takes the
-    // store for away for good.
-    let is_there = contact.unreachable_since(now).is_none();
-    match news {
-        StoreUpdate::Unchanged if is_there && servers.is_store_unreachable() => {
+    // A VM that was cut off and began an outage may then learn of answers without a gap, which are no change of the contact.
+    // Without this check the outage would never end.
+    let is_reachable = contact.unreachable_since(now).is_none();
+    match update {
+        StoreUpdate::Unchanged if is_reachable && servers.is_store_unreachable() => {
             log::info!("store-never-away");
             servers.cancel_store_outage(now);
         }
@@ -141,59 +143,63 @@
     }
 }
 
-/// Whether this VM has to ask the store itself.
-fn must_read(node: &Node) -> bool {
-    let knows_all = node.store_view.borrow().reached().is_some() && node.config().is_some();
-    let part = node.reading_part();
-    let told_age = part.max_confirmation_age(node.settings.bounds.change_in_force);
-    let is_told = node.freshness.get().is_within(told_age, clock::now());
-    !knows_all || part == StoreReadRole::Reader || !is_told
+/// Returns whether this VM has to read the store itself.
+fn must_read_store(node: &Node) -> bool {
+    let has_full_state = node.store_view.borrow().reached().is_some() && node.config().is_some();
+    let role = node.reading_part();
+    let max_age = role.max_confirmation_age(node.settings.bounds.change_in_force);
+    let is_following = node.freshness.get().is_within(max_age, clock::now());
+    !has_full_state || role == StoreReadRole::Reader || !is_following
 }
 
-/// Reads the store and says how new what was read is.
+/// Reads the store and returns how recent the data is.
 ///
-/// Load: all VMs start together, and each reads everything, page by page. A copy of the store that may be seconds old
-/// costs a tenth; the changes since are asked for at once, and only their answer proves anything.
-async fn read<S>(node: &Node, store: &S, asked: TimePoint) -> Result<ReadAge, StoreError>
+/// The first full read may return data that is seconds old: that costs a tenth of a consistent read, and all VMs may start
+/// together. The changes since are requested at once, and only their answer confirms freshness.
+async fn read_store<S>(
+    node: &Node,
+    store: &S,
+    requested_at: TimePoint,
+) -> Result<ReadAge, StoreError>
 where
     S: PlatformStore,
 {
     let reached = node.store_view.borrow().reached();
     if let Some(after) = reached {
-        // A VM that has proved nothing yet serves nobody: it doesn't wait for a change.
-        let wait = if node.was_proved() { WAIT } else { Duration::ZERO };
+        // A VM without any freshness confirmation serves no requests, so it doesn't wait for a change.
+        let wait = if node.was_proved() { MAX_CHANGES_WAIT } else { Duration::ZERO };
         let changes = store.changes(after, wait).await?;
-        heard_of_store(node, ContactSpan::at(asked));
-        // Failure: thousands of servers change at once, and the answer holds the first of the changes only. Symptom: a
-        // configuration behind them counts as not there, and its routes are answered 404.
+        record_store_contact(node, ContactSpan::at(requested_at));
+        // When thousands of servers change at once, the answer holds only the first changes. Treated as the newest state,
+        // it would hide a configuration among the later changes, whose routes would be answered 404.
         let age = if changes.may_be_cut { ReadAge::MayBeOld } else { ReadAge::Newest };
-        take_changes(node, changes);
+        apply_changes(node, changes);
         return Ok(age);
     }
-    if !node.store_view.borrow().was_read() {
-        take_snapshot(node, store.snapshot(ReadAge::MayBeOld).await?);
+    if !node.store_view.borrow().was_ever_read() {
+        apply_snapshot(node, store.snapshot(ReadAge::MayBeOld).await?);
         return Ok(ReadAge::MayBeOld);
     }
     let snapshot = store.snapshot(ReadAge::Newest).await?;
-    heard_of_store(node, ContactSpan::at(asked));
-    take_snapshot(node, snapshot);
+    record_store_contact(node, ContactSpan::at(requested_at));
+    apply_snapshot(node, snapshot);
     Ok(ReadAge::Newest)
 }
 
-/// Reads a configuration that others have and this VM lacks, unless they pass it on.
-async fn fetch_config<S>(node: &Node, store: &S, lacked: &mut Option<MissingConfig>)
+/// Reads a configuration that other VMs have and this VM lacks, unless it is to be fetched from those VMs.
+async fn fetch_config<S>(node: &Node, store: &S, missing: &mut Option<MissingConfig>)
 where
     S: PlatformStore,
 {
     let known = node.config().map_or(0, |it| it.version);
     let newest = node.told_version.get();
     if newest <= known {
-        *lacked = None;
+        *missing = None;
         return;
     }
     let now = clock::now();
-    let lacked = lacked.get_or_insert_with(|| MissingConfig::new(newest, now));
-    let age = match lacked.next_source(newest, node.settings.bounds.change_in_force, now) {
+    let missing = missing.get_or_insert_with(|| MissingConfig::new(newest, now));
+    let age = match missing.next_source(newest, node.settings.bounds.change_in_force, now) {
         ConfigSource::Peers => return,
         ConfigSource::StaleRead => ReadAge::MayBeOld,
         ConfigSource::ConsistentRead => ReadAge::Newest,
@@ -205,67 +211,70 @@
     }
 }
 
-/// Takes the answer to a question of `asked` for a proof that nothing is newer than what is known.
+/// Records a freshness confirmation: the answer to a request sent at `requested_at` contained nothing newer than this VM's
+/// view.
 ///
-/// Not where others have a newer configuration: what was passed on may have led past it.
-pub(crate) fn prove(node: &Node, asked: TimePoint) {
+/// Does nothing if other VMs have a newer configuration, since relayed changes may have advanced the view past it.
+pub(crate) fn confirm_freshness(node: &Node, requested_at: TimePoint) {
     if node.config().is_none_or(|it| it.version < node.told_version.get()) {
         return;
     }
     let mut freshness = node.freshness.get();
-    freshness.record_confirmation(asked, clock::now());
+    freshness.record_confirmation(requested_at, clock::now());
     node.freshness.set(freshness);
 }
 
-/// Keeps this VM's entry in the store for as long as the process lives.
-pub(crate) async fn keep_entry<S>(node: Rc<Node>, store: S)
+/// Writes this VM's entry to the store and renews it for as long as the process lives.
+pub(crate) async fn maintain_entry<S>(node: Rc<Node>, store: S)
 where
     S: PlatformStore,
 {
-    let mut lease = left_lease(&node).await;
+    let mut lease = await_previous_lease(&node).await;
     loop {
-        let kept = match lease {
+        let renewed = match lease {
             Some(lease) => store.renew(lease).await.map(|()| lease),
             None => register(&node, &store).await,
         };
-        match kept {
-            Ok(kept) => lease = Some(kept),
+        match renewed {
+            Ok(renewed) => lease = Some(renewed),
             Err(StoreError::LeaseEnded) => {
                 lease = None;
                 continue;
             }
             Err(error) => log::debug!(error:% = error; "entry-not-kept"),
         }
-        sleep(if lease.is_some() { ENTRY_RENEWAL } else { ENTRY_FAILED_PAUSE }).await;
+        sleep(if lease.is_some() { ENTRY_RENEWAL_INTERVAL } else { ENTRY_RETRY_INTERVAL }).await;
     }
 }
 
-/// The lease of the entry that the last start of this VM left, once the store was read, or without it soon.
+/// Waits for the first read of the store, up to a timeout, and returns the lease of the entry that the previous start of
+/// this VM left.
 ///
-/// Load: all VMs lose power and are back before their entries end. To write the same entries anew takes two calls each;
-/// a renewal of the lease that is there costs a tenth of one.
-async fn left_lease(node: &Node) -> Option<LeaseId> {
+/// After a power loss all VMs may be back before their entries expire. Writing the same entry again takes two calls; a
+/// renewal of the existing lease costs a tenth of one.
+async fn await_previous_lease(node: &Node) -> Option<LeaseId> {
     if node.settings.is_first_start {
         return None;
     }
-    let until = Instant::now() + FIRST_READING;
-    while node.store_view.borrow().reached().is_none() && Instant::now() < until {
-        sleep(FIRST_READING_LOOK).await;
+    let deadline = Instant::now() + INITIAL_READ_TIMEOUT;
+    while node.store_view.borrow().reached().is_none() && Instant::now() < deadline {
+        sleep(INITIAL_READ_POLL_INTERVAL).await;
     }
-    node.store_view.borrow().left_lease()
+    node.store_view.borrow().previous_lease()
 }
 
+/// Writes this VM's entry under a new lease.
 async fn register<S>(node: &Node, store: &S) -> Result<LeaseId, StoreError>
 where
     S: PlatformStore,
 {
-    let lease = store.grant(ENTRY_LIFETIME).await?;
+    let lease = store.grant(ENTRY_TTL).await?;
     let put = {
         let peers = node.peers.borrow();
-        let me = peers.book.me();
-        let card = serde_json::to_vec(me)
+        let me = peers.table.me();
+        let descriptor = serde_json::to_vec(me)
             .map_err(|error| StoreError::Unreadable { what: error.to_string() })?;
-        (peer_key(me), card, Some(lease))
+        (peer_key(me), descriptor, Some(lease))
     };
     store.commit(&Commit { puts: vec![put], ..Commit::default() }).await?;
     Ok(lease)
--- a/crates/quincevalve_node/src/store/view.rs
+++ b/crates/quincevalve_node/src/store/view.rs
@@ -1,4 +1,4 @@
-//! What this VM knows of the platform's store, whether it read it itself or was told.
+//! This VM's view of the platform's store, built from its own reads and from changes that other VMs relay.
 
 use bincode::Options;
 use indexmap::{IndexMap, IndexSet};
@@ -23,64 +23,62 @@
     rollouts::{self, ROLLOUT_KEYS},
 };
 
-/// Keys of entry VMs, each with its card: the data centre, and the name in it.
+/// Prefix of the keys of entry VMs. The rest of a key is the data centre and the VM's name; the value is its descriptor.
 const PEER_KEYS: &str = "peers/";
-/// The key that the holder of the duties keeps under its lease.
+/// The key that the holder of the duties keeps under its lease; its value is the holder's name.
 pub(crate) const HOLDER_KEY: &str = "duty/holder";
 
-/// What the keys of the entry VMs of a data centre begin with.
-pub(crate) fn peer_keys(centre: &DataCentreName) -> String {
+/// Returns the common prefix of the keys of a data centre's entry VMs.
+pub(crate) fn peer_key_prefix(centre: &DataCentreName) -> String {
     format!("{PEER_KEYS}{}/", centre.as_str())
 }
 
-/// The key of an entry VM.
-pub(crate) fn peer_key(card: &VmDescriptor) -> String {
-    peer_keys(&card.data_centre) + &card.name
+/// Returns the store key of an entry VM.
+pub(crate) fn peer_key(descriptor: &VmDescriptor) -> String {
+    peer_key_prefix(&descriptor.data_centre) + &descriptor.name
 }
 
-/// A change that is passed on to other VMs. Configurations are too large for that: each VM reads a new one
-/// itself.
+/// A store change as it is relayed to other VMs. Configurations are too large to relay, so only their versions are.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) enum Passed {
+pub(crate) enum RelayedChange {
     Server(BackendServerName, ServerEntry),
     ServerRemoved(BackendServerName),
-    /// What stands under its name can't be read.
+    /// The value under the server's key can't be decoded.
     ServerUnreadable(BackendServerName),
     Own {
         key: String,
         value: Vec<u8>,
     },
     OwnRemoved(String),
-    /// The operators' order for a service; `None` once it was removed.
+    /// The operators' roll-out order for a service; `None` if it was removed.
     RolloutOrder(ServiceName, Option<RolloutOrder>),
-    /// There is a configuration of this version.
+    /// A configuration of this version exists.
     ///
-    /// Failure: a VM that can't read the new configuration passes on what came after it. Symptom: who is told
-    /// so looks up to date and serves by the old one. The version stands among the changes, so that nobody
-    /// gets past it without knowing of it.
+    /// A VM that can't read the new configuration still relays later changes. Without the version among them, receivers
+    /// would look up to date and serve by the old configuration.
     Config(u64),
 }
 
-/// Bytes of changes in one datagram at most: a hundred servers that leave together. With the shares of a hundred servers
-/// beside them a datagram stays below half of the largest.
-pub(crate) const PASSED_BYTES: usize = 20 << 10;
-/// Bytes of a change's revision in a datagram at most.
-const REVISION_BYTES: usize = 9;
+/// Maximum number of bytes of changes in one datagram. Holds the changes of a hundred servers that leave together; with
+/// the work at a hundred servers beside them, a datagram stays below half of the largest.
+pub(crate) const MAX_BATCH_BYTES: usize = 20 << 10;
+/// Maximum encoded size of a change's revision, in bytes.
+const MAX_REVISION_BYTES: usize = 9;
 
-impl Passed {
-    /// The bytes that it takes in a datagram at most.
-    fn bytes(&self) -> usize {
+impl RelayedChange {
+    /// Returns an upper bound of the change's size in a datagram, in bytes.
+    fn max_encoded_bytes(&self) -> usize {
         let size = encoding().serialized_size(self).unwrap_or(u64::MAX);
-        REVISION_BYTES + usize::try_from(size).unwrap_or(usize::MAX)
+        MAX_REVISION_BYTES + usize::try_from(size).unwrap_or(usize::MAX)
     }
 
-    /// Whether other VMs need it.
+    /// Returns whether other VMs need the change.
     ///
-    /// Failure: the holder of the duties keeps counts in the store each second, thousands of bytes each time, and
-    /// they were passed on to all VMs. Symptom: datagrams of 60 KB and more were cut, nobody heard of a
-    /// server that leaves, and all VMs read the store by themselves. Who takes the duties over reads these keys
-    /// itself; others need the entries of VMs and of the holder.
-    fn concerns_others(&self) -> bool {
+    /// The holder of the duties stores thousands of bytes of counts each second. If these were relayed to all VMs,
+    /// datagrams would exceed 60 KB and be truncated: no VM would learn of a leaving server, and all VMs would read the
+    /// store themselves. The VM that takes over the duties reads these keys itself; the others only need the entries of
+    /// VMs, the holder, quarantines and roll-outs.
+    fn is_needed_by_peers(&self) -> bool {
         match self {
             Self::Own { key, .. } | Self::OwnRemoved(key) => {
                 key == HOLDER_KEY
@@ -97,297 +95,312 @@
     }
 }
 
-/// The revision that this VM has reached, and what led there.
+/// The store revision that this VM has reached, and the log of changes up to it.
 #[derive(Debug, Default)]
 pub(crate) struct StoreView {
-    log: ChangeLog<Passed>,
-    /// Whether everything was read once.
+    log: ChangeLog<RelayedChange>,
+    /// Whether the view covers the whole store. False before the first full read and after [`Self::invalidate`].
     complete: bool,
-    /// The newest change that the last whole reading held; the log goes on from an older one.
-    read_upto: StoreRevision,
-    /// The lease of the entry that the last start of this VM left.
-    left_lease: Option<LeaseId>,
+    /// The newest change that the last full read contained. The log continues from an older revision.
+    full_read_upto: StoreRevision,
+    /// The lease of the entry that the previous start of this VM left in the store.
+    previous_lease: Option<LeaseId>,
 }
 
 impl StoreView {
-    /// The lease of the entry that the last start of this VM left, if it says what this start would say.
-    pub(crate) fn left_lease(&self) -> Option<LeaseId> {
-        self.left_lease
+    /// Returns the lease of the entry that the previous start of this VM left, if the entry equals this start's.
+    pub(crate) fn previous_lease(&self) -> Option<LeaseId> {
+        self.previous_lease
     }
 
-    /// The revision that was reached; `None` before everything was read once.
+    /// Returns the revision that was reached; `None` while the view isn't complete.
     pub(crate) fn reached(&self) -> Option<StoreRevision> {
         self.complete.then(|| StoreRevision(self.log.upto()))
     }
 
-    /// Whether everything was read once, however long ago.
-    pub(crate) fn was_read(&self) -> bool {
+    /// Returns whether the whole store was read at any time, also if the view has been invalidated since.
+    pub(crate) fn was_ever_read(&self) -> bool {
         self.log.upto() > 0
     }
 
-    /// What a VM lacks that has reached `seen`.
-    pub(crate) fn since(&self, seen: StoreRevision, bytes: usize) -> Option<ChangeBatch<Passed>> {
-        self.log.since(seen.0, bytes, Passed::bytes).filter(|_| self.complete)
+    /// Returns the changes after `revision`, in at most `max_bytes`; `None` if the log doesn't hold them or the view isn't
+    /// complete.
+    pub(crate) fn changes_since(
+        &self,
+        revision: StoreRevision,
+        max_bytes: usize,
+    ) -> Option<ChangeBatch<RelayedChange>> {
+        self.log
+            .since(revision.0, max_bytes, RelayedChange::max_encoded_bytes)
+            .filter(|_| self.complete)
     }
 
-    /// Begins anew: what was reached is no longer kept by the store.
-    pub(crate) fn forget(&mut self) {
+    /// Marks the view as incomplete, so that the whole store is read again: the store no longer keeps the history since
+    /// the revision that was reached.
+    pub(crate) fn invalidate(&mut self) {
         self.complete = false;
     }
 }
 
-/// All that a VM needs of the store, as it stood at a revision.
+/// Everything that a VM needs of the store, as of one revision.
 #[derive(Debug, Default, PartialEq, Serialize, Deserialize)]
-pub(crate) struct Whole {
+pub(crate) struct StoreState {
+    /// The revision of the state.
     pub(crate) at: u64,
-    /// The newest change that is in it.
+    /// The revision of the newest change in the state.
     pub(crate) newest: u64,
     pub(crate) config: Option<ForwardingConfig>,
     pub(crate) servers: Vec<(BackendServerName, ServerEntry)>,
-    /// Names of servers under which something stands that can't be read.
+    /// Servers whose entries can't be decoded.
     pub(crate) unreadable: Vec<BackendServerName>,
     pub(crate) vms: Vec<VmDescriptor>,
-    /// The holder of the duties.
+    /// The name of the VM that holds the duties.
     pub(crate) holder: Option<String>,
-    /// Requests that are kept from servers.
+    /// Quarantined requests.
     pub(crate) quarantine: Vec<(RequestDigest, QuarantineEntry)>,
     /// The operators' orders for roll-outs.
     pub(crate) rollout_orders: Vec<(ServiceName, RolloutOrder)>,
-    /// How far roll-outs have come.
+    /// Records of the progress of roll-outs.
     pub(crate) rollouts: Vec<(ServiceName, RolloutRecord)>,
 }
 
-/// Takes the whole store as this VM read it.
-pub(crate) fn take_snapshot(node: &Node, snapshot: Snapshot) {
+/// Applies a snapshot of the whole store that this VM read.
+pub(crate) fn apply_snapshot(node: &Node, snapshot: Snapshot) {
     for (name, what) in &snapshot.unreadable {
         log::error!(name = name.as_str(), what; "store-item-unreadable");
     }
-    note_left_lease(node, &snapshot.own);
+    record_previous_lease(node, &snapshot.own);
     let holder = snapshot.own.iter().find(|it| it.key == HOLDER_KEY);
     let holder = holder.map(|it| holder_name(&it.value));
     let (at, newest, servers) = (snapshot.at.0, snapshot.newest.0, snapshot.servers.len());
     let differences = differences(node, &snapshot);
-    let whole = Whole {
+    let state = StoreState {
         at,
         newest,
         config: snapshot.config,
         servers: snapshot.servers,
         unreadable: snapshot.unreadable.into_iter().map(|(name, _)| name).collect(),
-        vms: cards(&snapshot.own),
+        vms: parse_descriptors(&snapshot.own),
         holder,
         quarantine: snapshot.own.iter().filter_map(|it| listed(&it.key, &it.value)).collect(),
         rollouts: rollouts::records(&snapshot.own),
         rollout_orders: snapshot.rollouts,
     };
-    let logged = node.store_view.borrow().log.clone();
-    if take_whole(node, whole) {
+    let previous_log = node.store_view.borrow().log.clone();
+    if apply_state(node, state) {
         log::info!(revision = at, servers; "store-read");
         if let Some(differences) = differences {
             let mut view = node.store_view.borrow_mut();
-            view.log = logged;
+            view.log = previous_log;
             view.log.extend(differences.into_iter().map(|it| (at, it)), at);
         }
     }
 }
 
-/// What the whole store holds otherwise than this VM knew, as changes for other VMs; `None` before this VM knew anything, and
-/// where a datagram doesn't hold it.
+/// Returns the differences between a snapshot and this VM's view as changes for other VMs; `None` before the first full
+/// read, and if the changes don't fit in a datagram.
 ///
-/// Failure: the store drops its history, and the VMs that read it for all read the whole of it. Symptom: nobody else knows
-/// what changed before, each of hundreds of VMs reads the whole store, for longer than keys may go unproved, and all callers
-/// are refused. With the differences others go on from what they know.
-fn differences(node: &Node, snapshot: &Snapshot) -> Option<Vec<Passed>> {
+/// When the store drops its history, the VMs that read it for the others read all of it. If they had no changes to relay,
+/// each of hundreds of VMs would read the whole store, for longer than keys may be used without a freshness confirmation,
+/// and all callers would be rejected. With the differences, the other VMs continue from the revision they have.
+fn differences(node: &Node, snapshot: &Snapshot) -> Option<Vec<RelayedChange>> {
     let view = node.store_view.borrow();
-    if !view.was_read() || snapshot.at.0 < view.log.upto() {
+    if !view.was_ever_read() || snapshot.at.0 < view.log.upto() {
         return None;
     }
     let mut differences = server_differences(node, snapshot);
-    differences.extend(own_differences(node, snapshot));
+    differences.extend(system_key_differences(node, snapshot));
     let orders = snapshot.rollouts.iter();
-    differences
-        .extend(orders.map(|(it, order)| Passed::RolloutOrder(it.clone(), Some(order.clone()))));
+    differences.extend(
+        orders.map(|(it, order)| RelayedChange::RolloutOrder(it.clone(), Some(order.clone()))),
+    );
     let rollouts = node.rollouts.borrow();
     let removed = rollouts.orders().map(|(it, _)| it);
     let removed = removed.filter(|it| !snapshot.rollouts.iter().any(|(name, _)| name == *it));
-    differences.extend(removed.map(|it| Passed::RolloutOrder(it.clone(), None)));
-    differences.extend(snapshot.config.iter().map(|it| Passed::Config(it.version)));
-    let bytes: usize = differences.iter().map(Passed::bytes).sum();
-    (bytes <= PASSED_BYTES).then_some(differences)
+    differences.extend(removed.map(|it| RelayedChange::RolloutOrder(it.clone(), None)));
+    differences.extend(snapshot.config.iter().map(|it| RelayedChange::Config(it.version)));
+    let bytes: usize = differences.iter().map(RelayedChange::max_encoded_bytes).sum();
+    (bytes <= MAX_BATCH_BYTES).then_some(differences)
 }
 
-fn server_differences(node: &Node, snapshot: &Snapshot) -> Vec<Passed> {
+/// Returns the differences of server entries.
+fn server_differences(node: &Node, snapshot: &Snapshot) -> Vec<RelayedChange> {
     let servers = node.servers.borrow();
     let read: IndexMap<_, _> = snapshot.servers.iter().map(|(name, it)| (name, it)).collect();
     let unreadable: IndexSet<_> = snapshot.unreadable.iter().map(|(name, _)| name).collect();
     let known: IndexMap<_, _> = servers.listed_entries().collect();
     let changed = read.iter().filter(|(name, it)| known.get(**name) != Some(**it));
-    let changed = changed.map(|(name, it)| Passed::Server((*name).clone(), (*it).clone()));
+    let changed = changed.map(|(name, it)| RelayedChange::Server((*name).clone(), (*it).clone()));
     let removed = known.keys().filter(|it| !read.contains_key(it) && !unreadable.contains(it));
-    let removed = removed.map(|it| Passed::ServerRemoved(it.clone()));
-    let unreadable = unreadable.iter().map(|it| Passed::ServerUnreadable((*it).clone()));
+    let removed = removed.map(|it| RelayedChange::ServerRemoved(it.clone()));
+    let unreadable = unreadable.iter().map(|it| RelayedChange::ServerUnreadable((*it).clone()));
     changed.chain(removed).chain(unreadable).collect()
 }
 
-/// The same of the system's own keys: entries of VMs that differ, and all of the few others that other VMs need.
-fn own_differences(node: &Node, snapshot: &Snapshot) -> Vec<Passed> {
+/// Returns the differences of the system's own keys: the entries of VMs that differ, and all of the few other keys that
+/// other VMs need.
+fn system_key_differences(node: &Node, snapshot: &Snapshot) -> Vec<RelayedChange> {
     let peers = node.peers.borrow();
     let listed: IndexMap<String, &VmDescriptor> =
-        peers.book.listed_descriptors().map(|it| (peer_key(it), it)).collect();
+        peers.table.listed_descriptors().map(|it| (peer_key(it), it)).collect();
     let is_known = |it: &&OwnItem| {
         it.key.starts_with(PEER_KEYS)
-            && card(&it.key, &it.value).is_some_and(|read| listed.get(&it.key) == Some(&&read))
+            && parse_descriptor(&it.key, &it.value)
+                .is_some_and(|read| listed.get(&it.key) == Some(&&read))
     };
     let changed = snapshot.own.iter().filter(|it| !is_known(it));
-    let changed = changed.map(|it| Passed::Own { key: it.key.clone(), value: it.value.clone() });
+    let changed =
+        changed.map(|it| RelayedChange::Own { key: it.key.clone(), value: it.value.clone() });
     let read: IndexSet<&str> = snapshot.own.iter().map(|it| it.key.as_str()).collect();
     let holder = peers.holder().map(|_| HOLDER_KEY.to_owned());
     let poison = node.poison.borrow();
     let quarantined =
         poison.stored_entries().map(|(digest, _)| format!("{QUARANTINE_KEYS}{digest}"));
-    let me = peer_key(peers.book.me());
+    let me = peer_key(peers.table.me());
     let known = listed.keys().filter(|it| **it != me).cloned().chain(holder).chain(quarantined);
-    let removed = known.filter(|it| !read.contains(it.as_str())).map(Passed::OwnRemoved);
-    changed.chain(removed).filter(Passed::concerns_others).collect()
+    let removed = known.filter(|it| !read.contains(it.as_str())).map(RelayedChange::OwnRemoved);
+    changed.chain(removed).filter(RelayedChange::is_needed_by_peers).collect()
 }
 
-/// Takes what the whole store holds, unless this VM knows something newer.
-pub(crate) fn take_whole(node: &Node, whole: Whole) -> bool {
+/// Replaces this VM's view by a state of the whole store, unless the view is as new. Returns whether it was replaced.
+pub(crate) fn apply_state(node: &Node, state: StoreState) -> bool {
     let now = clock::now();
-    if let Some(config) = whole.config {
+    if let Some(config) = state.config {
         node.apply_config(config);
     }
-    if node.store_view.borrow().reached().is_some_and(|it| it.0 >= whole.at) {
+    if node.store_view.borrow().reached().is_some_and(|it| it.0 >= state.at) {
         return false;
     }
-    let missing = node.servers.borrow_mut().replace_all(whole.servers, &whole.unreadable, now);
+    let missing = node.servers.borrow_mut().replace_all(state.servers, &state.unreadable, now);
     for (name, taken_for) in missing {
-        tell_removed(&name, Some(taken_for));
+        log_removal(&name, Some(taken_for));
     }
-    node.poison.borrow_mut().replace_all(whole.quarantine, now);
-    let was_running = node.store_view.borrow().was_read();
-    rollouts::replace_all(node, whole.rollout_orders, whole.rollouts, was_running);
+    node.poison.borrow_mut().replace_all(state.quarantine, now);
+    let was_running = node.store_view.borrow().was_ever_read();
+    rollouts::replace_all(node, state.rollout_orders, state.rollouts, was_running);
     let mut peers = node.peers.borrow_mut();
-    peers.book.replace_all(whole.vms);
-    peers.holder_seen(whole.holder);
+    peers.table.replace_all(state.vms);
+    peers.set_holder(state.holder);
     let mut view = node.store_view.borrow_mut();
-    view.log.reset(whole.at);
-    view.read_upto = StoreRevision(whole.newest);
+    view.log.reset(state.at);
+    view.full_read_upto = StoreRevision(state.newest);
     view.complete = true;
     true
 }
 
-/// What this VM knows of the store, for another; `None` before everything was read once.
-pub(crate) fn whole(node: &Node) -> Option<Whole> {
+/// Returns this VM's view of the store, for another VM; `None` while it isn't complete or has no configuration.
+pub(crate) fn current_state(node: &Node) -> Option<StoreState> {
     let at = node.store_view.borrow().reached()?.0;
     let config = node.config()?;
     let servers = node.servers.borrow();
     let peers = node.peers.borrow();
-    Some(Whole {
+    Some(StoreState {
         at,
         newest: at,
         config: Some((*config).clone()),
         servers: servers.listed_entries().collect(),
         unreadable: Vec::new(),
-        vms: peers.book.listed_descriptors().cloned().collect(),
+        vms: peers.table.listed_descriptors().cloned().collect(),
         holder: peers.holder().map(str::to_owned),
         quarantine: node.poison.borrow().stored_entries().collect(),
-        rollout_orders: owned(node.rollouts.borrow().orders()),
-        rollouts: owned(node.rollouts.borrow().records()),
+        rollout_orders: to_owned_pairs(node.rollouts.borrow().orders()),
+        rollouts: to_owned_pairs(node.rollouts.borrow().records()),
     })
 }
 
-fn owned<'a, T>(items: impl Iterator<Item = (&'a ServiceName, &'a T)>) -> Vec<(ServiceName, T)>
+fn to_owned_pairs<'a, T>(
+    items: impl Iterator<Item = (&'a ServiceName, &'a T)>,
+) -> Vec<(ServiceName, T)>
 where
     T: Clone + 'a,
 {
     items.map(|(service, it)| (service.clone(), it.clone())).collect()
 }
 
-/// Notes the lease of the entry that the last start of this VM left, if it is among these items.
-pub(crate) fn note_left_lease(node: &Node, own: &[OwnItem]) {
+/// Records the lease of the entry that the previous start of this VM left, if an item equals this VM's descriptor.
+pub(crate) fn record_previous_lease(node: &Node, own: &[OwnItem]) {
     let peers = node.peers.borrow();
-    let me = peers.book.me();
-    let is_mine = |it: &&OwnItem| card(&it.key, &it.value).as_ref() == Some(me);
+    let me = peers.table.me();
+    let is_mine = |it: &&OwnItem| parse_descriptor(&it.key, &it.value).as_ref() == Some(me);
     let lease = own.iter().find(is_mine).and_then(|it| it.lease);
-    node.store_view.borrow_mut().left_lease = lease;
+    node.store_view.borrow_mut().previous_lease = lease;
 }
 
-/// Takes changes that this VM read itself.
-pub(crate) fn take_changes(node: &Node, changes: Changes) {
-    let mut passed = Vec::new();
+/// Applies changes that this VM read from the store.
+pub(crate) fn apply_changes(node: &Node, changes: Changes) {
+    let mut relayed = Vec::new();
     for (at, change) in changes.changes {
         match change {
             Change::Config(config) => {
-                passed.push((at.0, Passed::Config(config.version)));
+                relayed.push((at.0, RelayedChange::Config(config.version)));
                 node.apply_config(*config);
             }
             Change::Unreadable(what) => log::error!(what; "store-item-unreadable"),
             Change::ServerUnreadable(name, what) => {
                 log::error!(name = name.as_str(), what; "store-item-unreadable");
-                passed.push((at.0, Passed::ServerUnreadable(name)));
+                relayed.push((at.0, RelayedChange::ServerUnreadable(name)));
             }
-            Change::Server(name, entry) => passed.push((at.0, Passed::Server(name, entry))),
-            Change::ServerRemoved(name) => passed.push((at.0, Passed::ServerRemoved(name))),
+            Change::Server(name, entry) => relayed.push((at.0, RelayedChange::Server(name, entry))),
+            Change::ServerRemoved(name) => relayed.push((at.0, RelayedChange::ServerRemoved(name))),
             Change::RolloutOrder(service, order) => {
-                passed.push((at.0, Passed::RolloutOrder(service, Some(order))));
+                relayed.push((at.0, RelayedChange::RolloutOrder(service, Some(order))));
             }
             Change::RolloutOrderRemoved(service) => {
-                passed.push((at.0, Passed::RolloutOrder(service, None)));
+                relayed.push((at.0, RelayedChange::RolloutOrder(service, None)));
             }
             Change::Own(OwnItem { key, value, .. }) => {
-                passed.push((at.0, Passed::Own { key, value }));
+                relayed.push((at.0, RelayedChange::Own { key, value }));
             }
-            Change::OwnRemoved(key) => passed.push((at.0, Passed::OwnRemoved(key))),
+            Change::OwnRemoved(key) => relayed.push((at.0, RelayedChange::OwnRemoved(key))),
         }
     }
-    take_passed(node, passed, changes.at);
+    apply_relayed(node, relayed, changes.at);
 }
 
-/// Takes changes that another VM passed on; `false` where some before them are missing here.
-pub(crate) fn take_excerpt(node: &Node, excerpt: ChangeBatch<Passed>) -> bool {
+/// Applies changes that another VM relayed. Returns `false` and applies nothing if this VM lacks earlier changes.
+pub(crate) fn apply_batch(node: &Node, batch: ChangeBatch<RelayedChange>) -> bool {
     let reached = node.store_view.borrow().reached();
-    if reached.is_none_or(|it| it.0 < excerpt.after) {
+    if reached.is_none_or(|it| it.0 < batch.after) {
         return false;
     }
-    take_passed(node, excerpt.changes, StoreRevision(excerpt.upto));
+    apply_relayed(node, batch.changes, StoreRevision(batch.upto));
     true
 }
 
-/// Takes changes in order.
+/// Applies changes in order and logs those that other VMs need.
 ///
-/// Failure: this VM waits for the store's answer while another VM passes newer changes on. Symptom: the
-/// answer, older than what is known by then, brings back a server that is gone. Changes up to the revision
-/// that was reached are left out.
+/// Changes up to the revision that was reached are skipped: while this VM waits for the store's answer, another VM may
+/// relay newer changes, and the older answer would bring back a removed server.
 ///
-/// Failure: a whole reading takes several pages, and a later page holds changes that came after the first. Symptom: as
-/// changes they are no news here, and aren't passed on; others look up to date and use a server that leaves. What
-/// changed up to the newest item that was read is passed on in any case.
-fn take_passed(node: &Node, passed: Vec<(u64, Passed)>, upto: StoreRevision) {
+/// Changes up to the newest item of the last full read are logged even if they change nothing here. A full read takes
+/// several pages, and a later page may contain changes made after the first page was read. If these weren't relayed, other
+/// VMs would look up to date and use a server that leaves.
+fn apply_relayed(node: &Node, relayed: Vec<(u64, RelayedChange)>, upto: StoreRevision) {
     let reached = node.store_view.borrow().reached().map_or(0, |it| it.0);
-    let read_upto = node.store_view.borrow().read_upto.0;
-    let mut kept = Vec::new();
-    for (at, change) in passed.into_iter().filter(|(at, _)| *at > reached) {
-        // Servers renew their entries all the time; only what changes is worth passing on.
-        let is_news = apply(node, &change) || at <= read_upto;
-        if is_news && change.concerns_others() {
-            kept.push((at, change));
+    let full_read_upto = node.store_view.borrow().full_read_upto.0;
+    let mut relevant = Vec::new();
+    for (at, change) in relayed.into_iter().filter(|(at, _)| *at > reached) {
+        // Servers renew their entries all the time; renewals that change nothing aren't relayed.
+        let is_new = apply_change(node, &change) || at <= full_read_upto;
+        if is_new && change.is_needed_by_peers() {
+            relevant.push((at, change));
         }
     }
-    if !kept.is_empty() {
+    if !relevant.is_empty() {
         node.changed.notify_waiters();
     }
-    node.store_view.borrow_mut().log.extend(kept, upto.0);
+    node.store_view.borrow_mut().log.extend(relevant, upto.0);
 }
 
-/// Makes a change known here; `false` if nothing is new in it.
-fn apply(node: &Node, change: &Passed) -> bool {
+/// Applies one change. Returns `false` if it is a server entry that changes nothing.
+fn apply_change(node: &Node, change: &RelayedChange) -> bool {
     let now = clock::now();
     match change {
-        Passed::Server(name, entry) => {
+        RelayedChange::Server(name, entry) => {
             let mut servers = node.servers.borrow_mut();
             let known = servers.get(name).map(|it| it.entry.clone());
-            let told = |it: &ServerEntry| (it.start, it.draining);
-            if known.as_ref().map(told) != Some(told(entry)) {
+            let logged_fields = |it: &ServerEntry| (it.start, it.draining);
+            if known.as_ref().map(logged_fields) != Some(logged_fields(entry)) {
                 log::info!(
                     server = name.as_str(), start = entry.start.0, draining = entry.draining,
                     reclaimable = entry.reclaimable;
@@ -398,54 +411,56 @@
                 servers.apply_entry(name, entry.clone(), now) || known.as_ref() != Some(entry);
             return is_new;
         }
-        Passed::ServerRemoved(name) => {
-            tell_removed(name, node.servers.borrow_mut().remove_entry(name, now));
+        RelayedChange::ServerRemoved(name) => {
+            log_removal(name, node.servers.borrow_mut().remove_entry(name, now));
         }
-        Passed::ServerUnreadable(name) => node.servers.borrow_mut().mark_unreadable(name),
-        Passed::Own { key, value } if key == HOLDER_KEY => {
-            node.peers.borrow_mut().holder_seen(Some(holder_name(value)));
+        RelayedChange::ServerUnreadable(name) => node.servers.borrow_mut().mark_unreadable(name),
+        RelayedChange::Own { key, value } if key == HOLDER_KEY => {
+            node.peers.borrow_mut().set_holder(Some(holder_name(value)));
         }
-        Passed::RolloutOrder(service, order) => {
+        RelayedChange::RolloutOrder(service, order) => {
             rollouts::take_order(node, service, order.clone());
         }
-        Passed::Own { key, value } if key.starts_with(ROLLOUT_KEYS) => {
+        RelayedChange::Own { key, value } if key.starts_with(ROLLOUT_KEYS) => {
             if let Some((service, record)) = rollouts::record(key, value) {
                 rollouts::take_record(node, &service, record);
             }
         }
-        Passed::Own { key, value } if key.starts_with(QUARANTINE_KEYS) => {
+        RelayedChange::Own { key, value } if key.starts_with(QUARANTINE_KEYS) => {
             if let Some((digest, entry)) = listed(key, value) {
                 node.poison.borrow_mut().apply_entry(digest, entry);
             }
         }
-        Passed::Own { key, value } => {
-            if let Some(card) = card(key, value)
-                && node.peers.borrow_mut().book.apply_entry(card)
+        RelayedChange::Own { key, value } => {
+            if let Some(descriptor) = parse_descriptor(key, value)
+                && node.peers.borrow_mut().table.apply_entry(descriptor)
             {
                 log::info!(peer = key; "peer-found");
             }
         }
-        Passed::Config(version) => {
+        RelayedChange::Config(version) => {
             node.told_version.set(node.told_version.get().max(*version));
         }
-        Passed::OwnRemoved(key) if key == HOLDER_KEY => node.peers.borrow_mut().holder_seen(None),
-        Passed::OwnRemoved(key) if key.starts_with(QUARANTINE_KEYS) => {
+        RelayedChange::OwnRemoved(key) if key == HOLDER_KEY => {
+            node.peers.borrow_mut().set_holder(None)
+        }
+        RelayedChange::OwnRemoved(key) if key.starts_with(QUARANTINE_KEYS) => {
             if let Some(digest) = digest_of(key) {
                 node.poison.borrow_mut().remove_entry(digest, now);
             }
         }
-        Passed::OwnRemoved(key) => {
-            let place = key.strip_prefix(PEER_KEYS);
-            if let Some((_, name)) = place.and_then(|it| it.split_once('/')) {
-                node.peers.borrow_mut().book.mark_unlisted(name);
+        RelayedChange::OwnRemoved(key) => {
+            let centre_and_name = key.strip_prefix(PEER_KEYS);
+            if let Some((_, name)) = centre_and_name.and_then(|it| it.split_once('/')) {
+                node.peers.borrow_mut().table.mark_unlisted(name);
             }
         }
     }
     true
 }
 
-/// Says what a removal is taken for, so that requests which reach the server afterwards can be explained.
-fn tell_removed(name: &BackendServerName, taken_for: Option<Removal>) {
+/// Logs how a removal was interpreted, which explains requests that reach the server afterwards.
+fn log_removal(name: &BackendServerName, taken_for: Option<Removal>) {
     let taken_for = match taken_for {
         Some(Removal::Leaving) => "leaving",
         Some(Removal::MayHaveExpired) => "lapse",
@@ -454,15 +469,15 @@
     log::info!(server = name.as_str(), taken_for; "server-removed");
 }
 
-/// The cards of the VMs among these items.
-pub(crate) fn cards(own: &[OwnItem]) -> Vec<VmDescriptor> {
-    own.iter().filter_map(|it| card(&it.key, &it.value)).collect()
+/// Parses the VM descriptors among these items.
+pub(crate) fn parse_descriptors(own: &[OwnItem]) -> Vec<VmDescriptor> {
+    own.iter().filter_map(|it| parse_descriptor(&it.key, &it.value)).collect()
 }
 
-fn card(key: &str, value: &[u8]) -> Option<VmDescriptor> {
+fn parse_descriptor(key: &str, value: &[u8]) -> Option<VmDescriptor> {
     key.strip_prefix(PEER_KEYS)?;
     match serde_json::from_slice(value) {
-        Ok(card) => Some(card),
+        Ok(descriptor) => Some(descriptor),
         Err(error) => {
             log::error!(key, error:% = error; "peer-entry-unreadable");
             None
--- a/crates/quincevalve_node/src/store/view/tests.rs
+++ b/crates/quincevalve_node/src/store/view/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::{
-    store::sync::heard_of_store,
+    store::sync::record_store_contact,
     test_node::{node, run},
 };
 
@@ -21,40 +21,42 @@
     }
 }
 
-fn own(key: &str, bytes: usize) -> Passed {
-    Passed::Own { key: key.to_owned(), value: vec![0; bytes] }
+fn own(key: &str, bytes: usize) -> RelayedChange {
+    RelayedChange::Own { key: key.to_owned(), value: vec![0; bytes] }
 }
 
-// All VMs hear late of servers that leave: what the holder of the duties keeps for its successor filled the
-// datagrams. Only entries of VMs and of the holder are passed on.
+// All VMs would learn late of servers that leave if the counts that the holder of the duties stores for its successor filled
+// the datagrams.
 #[test]
-fn only_what_others_need_is_passed_on() {
-    assert!(own("peers/vm-1", 100).concerns_others());
-    assert!(own("quarantine/00000000000000ab", 40).concerns_others());
-    assert!(Passed::OwnRemoved("quarantine/00000000000000ab".to_owned()).concerns_others());
-    assert!(own(HOLDER_KEY, 5).concerns_others());
-    assert!(Passed::OwnRemoved(HOLDER_KEY.to_owned()).concerns_others());
-    assert!(Passed::Config(7).concerns_others());
-    assert!(Passed::ServerRemoved("i-1".into()).concerns_others());
+fn relays_only_keys_that_other_vms_need() {
+    assert!(own("peers/vm-1", 100).is_needed_by_peers());
+    assert!(own("quarantine/00000000000000ab", 40).is_needed_by_peers());
+    assert!(
+        RelayedChange::OwnRemoved("quarantine/00000000000000ab".to_owned()).is_needed_by_peers()
+    );
+    assert!(own(HOLDER_KEY, 5).is_needed_by_peers());
+    assert!(RelayedChange::OwnRemoved(HOLDER_KEY.to_owned()).is_needed_by_peers());
+    assert!(RelayedChange::Config(7).is_needed_by_peers());
+    assert!(RelayedChange::ServerRemoved("i-1".into()).is_needed_by_peers());
     for key in ["duty/term", "duty/usage", "duty/counts"] {
-        assert!(!own(key, 100).concerns_others(), "{key}");
+        assert!(!own(key, 100).is_needed_by_peers(), "{key}");
     }
 }
 
 #[test]
-fn a_change_weighs_at_least_what_it_takes_in_a_datagram() {
-    let server = Passed::Server("i-0123456789".into(), draining());
-    for change in [server, own("peers/vm-1", 200), Passed::ServerRemoved("i-1".into())] {
+fn size_bound_of_a_change_is_at_least_its_encoded_size() {
+    let server = RelayedChange::Server("i-0123456789".into(), draining());
+    for change in [server, own("peers/vm-1", 200), RelayedChange::ServerRemoved("i-1".into())] {
         let encoded = encoding().serialize(&change).unwrap();
-        assert!(change.bytes() >= encoded.len(), "{change:?}: {}", encoded.len());
+        assert!(change.max_encoded_bytes() >= encoded.len(), "{change:?}: {}", encoded.len());
     }
 }
 
-// Requests go on reaching a server that has said it leaves, from VMs that look up to date. The VM that reads for them
-// read the whole store in pages, and the server's word came between two of them: it stood on a later page. As a
-// change it was then no news to the reader, and was not passed on.
+// The VM that reads the store for others reads it in pages, and a server begins to leave between two pages, so that a later
+// page contains the change. The change is then not new to the reader; if it weren't relayed, VMs that look up to date would
+// keep sending requests to the server.
 #[test]
-fn what_changed_while_the_store_was_read_is_passed_on() {
+fn relays_changes_made_during_a_full_read() {
     run(|| {
         let reader = node("vm-1");
         let name = BackendServerName::from("i-1");
@@ -64,72 +66,72 @@
             newest: StoreRevision(103),
             ..Snapshot::default()
         };
-        take_snapshot(&reader, snapshot);
+        apply_snapshot(&reader, snapshot);
         let change = (StoreRevision(103), Change::Server(name.clone(), draining()));
-        take_changes(
+        apply_changes(
             &reader,
             Changes { changes: vec![change], at: StoreRevision(104), may_be_cut: false },
         );
         let renewal = (StoreRevision(105), Change::Server(name.clone(), draining()));
-        take_changes(
+        apply_changes(
             &reader,
             Changes { changes: vec![renewal], at: StoreRevision(105), may_be_cut: false },
         );
-        let excerpt = reader.store_view.borrow().since(StoreRevision(100), usize::MAX);
-        let excerpt = excerpt.expect("changes since the whole reading");
-        assert_eq!(excerpt.changes, [(103, Passed::Server(name, draining()))]);
-        assert_eq!(excerpt.upto, 105);
+        let batch = reader.store_view.borrow().changes_since(StoreRevision(100), usize::MAX);
+        let batch = batch.expect("changes since the full read");
+        assert_eq!(batch.changes, [(103, RelayedChange::Server(name, draining()))]);
+        assert_eq!(batch.upto, 105);
     });
 }
 
-fn snapshot_with(card: &VmDescriptor, lease: u64) -> Snapshot {
+fn snapshot_with(descriptor: &VmDescriptor, lease: u64) -> Snapshot {
     let item = OwnItem {
-        key: peer_key(card),
-        value: serde_json::to_vec(card).expect("a card"),
+        key: peer_key(descriptor),
+        value: serde_json::to_vec(descriptor).expect("a descriptor"),
         revision: StoreRevision(5),
         lease: Some(LeaseId(lease)),
     };
     Snapshot { own: vec![item], at: StoreRevision(7), ..Snapshot::default() }
 }
 
-// All VMs are back at once after a loss of power, and each would write the entry that is still there. It renews that
-// entry's lease instead; an entry that says something else, for instance an address that it no longer has, is replaced.
+// After a power loss all VMs are back at once, and each would write an entry that still exists. A VM renews the lease of its
+// entry instead, unless the entry differs, for instance in the address.
 #[test]
-fn a_vm_that_starts_again_keeps_the_entry_that_says_the_same() {
+fn keeps_the_lease_of_an_equal_entry_after_a_restart() {
     run(|| {
         let node = node("vm-1");
-        let card = node.peers.borrow().book.me().clone();
-        take_snapshot(&node, snapshot_with(&card, 31));
-        assert_eq!(node.store_view.borrow().left_lease(), Some(LeaseId(31)));
+        let descriptor = node.peers.borrow().table.me().clone();
+        apply_snapshot(&node, snapshot_with(&descriptor, 31));
+        assert_eq!(node.store_view.borrow().previous_lease(), Some(LeaseId(31)));
     });
     run(|| {
         let node = node("vm-1");
-        let card = VmDescriptor { cpu: 1, ..node.peers.borrow().book.me().clone() };
-        take_snapshot(&node, snapshot_with(&card, 31));
-        assert_eq!(node.store_view.borrow().left_lease(), None);
+        let descriptor = VmDescriptor { cpu: 1, ..node.peers.borrow().table.me().clone() };
+        apply_snapshot(&node, snapshot_with(&descriptor, 31));
+        assert_eq!(node.store_view.borrow().previous_lease(), None);
     });
     run(|| {
         let other =
-            VmDescriptor { name: "vm-2".into(), ..node("vm-1").peers.borrow().book.me().clone() };
+            VmDescriptor { name: "vm-2".into(), ..node("vm-1").peers.borrow().table.me().clone() };
         let node = node("vm-1");
-        take_snapshot(&node, snapshot_with(&other, 31));
-        assert_eq!(node.store_view.borrow().left_lease(), None);
+        apply_snapshot(&node, snapshot_with(&other, 31));
+        assert_eq!(node.store_view.borrow().previous_lease(), None);
     });
 }
 
-// What one VM read of a quarantine is known to those that it tells, and so is its end.
+// A quarantine entry and its removal reach VMs that don't read the store themselves.
 #[test]
-fn a_quarantine_is_taken_from_another_vm_and_given_up_with_its_entry() {
+fn applies_and_removes_a_quarantine_relayed_by_another_vm() {
     run(|| {
         let node = node("vm-2");
-        take_whole(&node, Whole { at: 100, newest: 100, ..Whole::default() });
+        apply_state(&node, StoreState { at: 100, newest: 100, ..StoreState::default() });
         let key = "quarantine/00000000000000ab".to_owned();
         let value = br#"{"trials":0,"until_ms":1}"#.to_vec();
-        let changes = vec![(101, Passed::Own { key: key.clone(), value })];
-        take_excerpt(&node, ChangeBatch { after: 100, upto: 101, changes });
+        let changes = vec![(101, RelayedChange::Own { key: key.clone(), value })];
+        apply_batch(&node, ChangeBatch { after: 100, upto: 101, changes });
         assert_eq!(node.poison.borrow().stored_entries().count(), 1);
-        let changes = vec![(102, Passed::OwnRemoved(key))];
-        take_excerpt(&node, ChangeBatch { after: 101, upto: 102, changes });
+        let changes = vec![(102, RelayedChange::OwnRemoved(key))];
+        apply_batch(&node, ChangeBatch { after: 101, upto: 102, changes });
         assert_eq!(node.poison.borrow().stored_entries().count(), 0);
     });
 }
@@ -142,87 +144,90 @@
     node.servers.borrow().usable(&"model".into(), clock::now()).count()
 }
 
-/// A VM that knows one server, and that the store answers it.
+/// Returns a VM that knows one server and has contact with the store.
 fn informed() -> Node {
     let node = node("vm-1");
-    heard_of_store(&node, ContactSpan::at(clock::now()));
+    record_store_contact(&node, ContactSpan::at(clock::now()));
     let servers = vec![("i-1".into(), ready())];
-    take_whole(&node, Whole { at: 100, newest: 100, servers, ..Whole::default() });
+    apply_state(&node, StoreState { at: 100, newest: 100, servers, ..StoreState::default() });
     assert_eq!(usable(&node), 1);
     node
 }
 
-// Each way by which a VM that reads the store hears that a server leaves, alone: requests go on reaching the server where
-// one of them is lost.
+// Each change by which a VM that reads the store can learn that a server leaves, alone. If one were lost, requests would
+// keep reaching the server.
 #[test]
-fn a_server_that_leaves_is_heard_of_by_ones_own_reading() {
+fn a_leaving_server_is_unusable_after_each_kind_of_change() {
     run(|| {
         let node = informed();
-        let says = (StoreRevision(101), Change::Server("i-1".into(), draining()));
-        take_changes(
+        let leaves = (StoreRevision(101), Change::Server("i-1".into(), draining()));
+        apply_changes(
             &node,
-            Changes { changes: vec![says], at: StoreRevision(101), may_be_cut: false },
+            Changes { changes: vec![leaves], at: StoreRevision(101), may_be_cut: false },
         );
         assert_eq!(usable(&node), 0);
     });
     run(|| {
         let node = informed();
-        let gone = (StoreRevision(101), Change::ServerRemoved("i-1".into()));
-        take_changes(
+        let removal = (StoreRevision(101), Change::ServerRemoved("i-1".into()));
+        apply_changes(
             &node,
-            Changes { changes: vec![gone], at: StoreRevision(101), may_be_cut: false },
+            Changes { changes: vec![removal], at: StoreRevision(101), may_be_cut: false },
         );
         assert_eq!(usable(&node), 0);
     });
     run(|| {
         let node = informed();
-        let spoiled = Change::ServerUnreadable("i-1".into(), "spoiled".to_owned());
-        let changes = vec![(StoreRevision(101), spoiled)];
-        take_changes(&node, Changes { changes, at: StoreRevision(101), may_be_cut: false });
+        let unreadable = Change::ServerUnreadable("i-1".into(), "spoiled".to_owned());
+        let changes = vec![(StoreRevision(101), unreadable)];
+        apply_changes(&node, Changes { changes, at: StoreRevision(101), may_be_cut: false });
         assert_eq!(usable(&node), 0);
     });
 }
 
-// The history that held the change is gone, and all is read anew.
+// The store has dropped the history that contained the change, so the VM reads the whole store again.
 #[test]
-fn a_server_that_leaves_is_heard_of_by_a_whole_reading() {
-    let readings = [
+fn a_leaving_server_is_unusable_after_a_full_read() {
+    let snapshots = [
         Snapshot { servers: vec![("i-1".into(), draining())], ..Snapshot::default() },
-        Snapshot { unreadable: vec![("i-1".into(), "spoiled".to_owned())], ..Snapshot::default() },
+        Snapshot {
+            unreadable: vec![("i-1".into(), "spoiled".to_owned())],
+            ..Snapshot::default()
+        },
         Snapshot::default(),
     ];
-    for reading in readings {
+    for snapshot in snapshots {
         run(|| {
             let node = informed();
-            node.store_view.borrow_mut().forget();
+            node.store_view.borrow_mut().invalidate();
             let at = StoreRevision(120);
-            take_snapshot(&node, Snapshot { at, newest: at, ..reading });
+            apply_snapshot(&node, Snapshot { at, newest: at, ..snapshot });
             assert_eq!(usable(&node), 0);
         });
     }
 }
 
-// A whole reading that is older than what this VM knows by now brings no server back.
+// A full read that is older than the VM's view must not restore a removed server.
 #[test]
-fn an_old_whole_reading_brings_no_server_back() {
+fn an_old_full_read_does_not_restore_a_server() {
     run(|| {
         let node = informed();
-        let gone = (StoreRevision(101), Change::ServerRemoved("i-1".into()));
-        take_changes(
+        let removal = (StoreRevision(101), Change::ServerRemoved("i-1".into()));
+        apply_changes(
             &node,
-            Changes { changes: vec![gone], at: StoreRevision(101), may_be_cut: false },
+            Changes { changes: vec![removal], at: StoreRevision(101), may_be_cut: false },
         );
         let at = StoreRevision(100);
         let servers = vec![("i-1".into(), ready())];
-        take_snapshot(&node, Snapshot { servers, at, newest: at, ..Snapshot::default() });
+        apply_snapshot(&node, Snapshot { servers, at, newest: at, ..Snapshot::default() });
         assert_eq!(usable(&node), 0);
     });
 }
 
-// A VM that starts when all that knew of a quarantine are gone, and after the store has dropped its history, has only the
-// whole reading to know it from.
+// A VM that starts after the store has dropped its history, when no other VM knows of a quarantine, can learn of it only
+// from the full read.
 #[test]
-fn a_quarantine_is_known_from_a_whole_reading() {
+fn a_full_read_applies_a_quarantine() {
     run(|| {
         let node = node("vm-1");
         let item = OwnItem {
@@ -231,7 +236,7 @@
             revision: StoreRevision(5),
             lease: None,
         };
-        take_snapshot(
+        apply_snapshot(
             &node,
             Snapshot { own: vec![item], at: StoreRevision(7), ..Snapshot::default() },
         );
@@ -239,30 +244,30 @@
     });
 }
 
-fn read_anew(node: &Node, servers: Vec<(BackendServerName, ServerEntry)>, own: Vec<OwnItem>) {
-    node.store_view.borrow_mut().forget();
+fn read_all_again(node: &Node, servers: Vec<(BackendServerName, ServerEntry)>, own: Vec<OwnItem>) {
+    node.store_view.borrow_mut().invalidate();
     let at = StoreRevision(120);
-    take_snapshot(node, Snapshot { servers, own, at, newest: at, ..Snapshot::default() });
+    apply_snapshot(node, Snapshot { servers, own, at, newest: at, ..Snapshot::default() });
 }
 
 fn vm(name: &str) -> OwnItem {
-    let card =
-        VmDescriptor { name: name.to_owned(), ..node("vm-0").peers.borrow().book.me().clone() };
-    let value = serde_json::to_vec(&card).expect("a card");
-    OwnItem { key: peer_key(&card), value, revision: StoreRevision(110), lease: None }
+    let descriptor =
+        VmDescriptor { name: name.to_owned(), ..node("vm-0").peers.borrow().table.me().clone() };
+    let value = serde_json::to_vec(&descriptor).expect("a descriptor");
+    OwnItem { key: peer_key(&descriptor), value, revision: StoreRevision(110), lease: None }
 }
 
-// The store drops its history: the VMs that read it for all read the whole, and nobody else knows what came before. Each of
-// a thousand VMs reads the whole store, for eight seconds, and all callers are refused.
+// When the store drops its history, the VMs that read it for the others do a full read. Without the differences to relay,
+// each of 1,000 VMs would read the whole store, for 8 s, and all callers would be rejected.
 #[test]
-fn others_go_on_from_what_they_know_when_the_history_is_gone() {
+fn other_vms_continue_from_their_revision_after_the_history_is_dropped() {
     run(|| {
         let (reader, member) = (informed(), informed());
         let new = |port| ServerEntry { address: ([10, 1, 0, 9], port).into(), ..ready() };
         let servers = vec![("i-2".into(), new(80)), ("i-3".into(), new(81))];
-        read_anew(&reader, servers, vec![vm("vm-7")]);
-        let excerpt = reader.store_view.borrow().since(StoreRevision(100), PASSED_BYTES);
-        assert!(take_excerpt(&member, excerpt.expect("the differences")));
+        read_all_again(&reader, servers, vec![vm("vm-7")]);
+        let batch = reader.store_view.borrow().changes_since(StoreRevision(100), MAX_BATCH_BYTES);
+        assert!(apply_batch(&member, batch.expect("the differences")));
         assert_eq!(member.store_view.borrow().reached(), Some(StoreRevision(120)));
         let servers = member.servers.borrow();
         let service = "model".into();
@@ -273,32 +278,36 @@
     });
 }
 
-// What changed is more than a datagram holds: none of it is given, and others read the store.
+// Differences that don't fit in a datagram aren't relayed at all, so that other VMs read the store.
 #[test]
-fn differences_beyond_a_datagram_are_not_passed_on() {
+fn does_not_relay_differences_that_exceed_a_datagram() {
     run(|| {
         let reader = informed();
         let servers = (0..1_000).map(|it| (format!("i-{it}").as_str().into(), ready()));
-        read_anew(&reader, servers.collect(), Vec::new());
-        assert!(reader.store_view.borrow().since(StoreRevision(100), PASSED_BYTES).is_none());
-        assert!(reader.store_view.borrow().since(StoreRevision(120), PASSED_BYTES).is_some());
+        read_all_again(&reader, servers.collect(), Vec::new());
+        assert!(
+            reader.store_view.borrow().changes_since(StoreRevision(100), MAX_BATCH_BYTES).is_none()
+        );
+        assert!(
+            reader.store_view.borrow().changes_since(StoreRevision(120), MAX_BATCH_BYTES).is_some()
+        );
     });
 }
 
-// A VM is told what it knows already, each time the store drops its history, as if all had changed.
+// Each time the store drops its history, entries that other VMs already have would be relayed as if they had changed.
 #[test]
-fn what_is_known_is_no_difference() {
+fn does_not_relay_unchanged_entries_after_a_full_read() {
     run(|| {
         let reader = informed();
         let names = ["vm-1", "vm-2", "vm-3"];
         let servers = vec![("i-1".into(), ready())];
-        read_anew(&reader, servers.clone(), names.iter().map(|it| vm(it)).collect());
-        reader.store_view.borrow_mut().forget();
+        read_all_again(&reader, servers.clone(), names.iter().map(|it| vm(it)).collect());
+        reader.store_view.borrow_mut().invalidate();
         let at = StoreRevision(130);
         let own = names.iter().map(|it| vm(it)).collect();
-        take_snapshot(&reader, Snapshot { servers, own, at, newest: at, ..Snapshot::default() });
-        let excerpt = reader.store_view.borrow().since(StoreRevision(120), PASSED_BYTES);
-        let excerpt = excerpt.expect("nothing is lacking");
-        assert_eq!((excerpt.upto, excerpt.changes.len()), (130, 0), "{:?}", excerpt.changes);
+        apply_snapshot(&reader, Snapshot { servers, own, at, newest: at, ..Snapshot::default() });
+        let batch = reader.store_view.borrow().changes_since(StoreRevision(120), MAX_BATCH_BYTES);
+        let batch = batch.expect("no change is missing");
+        assert_eq!((batch.upto, batch.changes.len()), (130, 0), "{:?}", batch.changes);
     });
 }
