--- a/crates/quincevalve_forwarding/tests/leaving.rs
+++ b/crates/quincevalve_forwarding/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! Servers that leave, and lists that lag.
+//! Servers that leave, and server lists that lag.
 
 mod support;
 
@@ -15,10 +15,10 @@
     table.usable(&"engines".into(), now).any(|(name, _)| *name == server(0))
 }
 
-// The caller's stream is cut seconds after it began. The server had announced that it leaves, and then an
-// older entry, still `ready`, was read. A server that left once must not get work again.
+// An older `ready` entry that is read after the announcement must not bring the server back: the caller's stream would
+// be cut seconds after its start.
 #[test]
-fn an_old_entry_does_not_bring_a_leaving_server_back() {
+fn an_older_entry_does_not_bring_a_leaving_server_back() {
     let mut table = ServerTable::default();
     table.apply_entry(&server(0), entry("a"), ms(0));
     table.apply_entry(&server(0), draining("a"), ms(100));
@@ -28,7 +28,7 @@
 
 const LEAVES: ServerSignals = ServerSignals { limit: None, leaving: true, rest: None };
 
-/// Server 0, that has said in an answer that it leaves.
+/// A table in which server 0 announced in an answer that it leaves.
 fn leaves_by_answer() -> ServerTable {
     let mut table = table(1);
     let server = table.get_mut(&server(0), START).expect("listed");
@@ -36,8 +36,8 @@
     table
 }
 
-/// What a VM knows afterwards that has heard from a server itself that it leaves.
-macro_rules! not_taken_back {
+/// Checks that nothing that happens later revokes an announcement to leave from an answer.
+macro_rules! not_revoked {
     ($($name:ident: $later:expr;)+) => {
         $(
             #[test]
@@ -52,62 +52,62 @@
     };
 }
 
-not_taken_back! {
-    an_entry_does_not_take_a_servers_own_word_back: |it| { it.apply_entry(&server(0), entry("a"), ms(200)); };
-    a_whole_list_does_not_take_a_servers_own_word_back: |it| {
+not_revoked! {
+    an_entry_does_not_revoke_an_announcement_in_an_answer: |it| { it.apply_entry(&server(0), entry("a"), ms(200)); };
+    a_whole_list_does_not_revoke_an_announcement_in_an_answer: |it| {
         it.replace_all(vec![(server(0), entry("a"))], &[], ms(200));
     };
-    an_answer_that_says_nothing_does_not_take_it_back: |it| {
+    an_answer_without_signals_does_not_revoke_it: |it| {
         it.get_mut(&server(0), START).expect("known").apply_signals(&ServerSignals::default(), ms(200));
     };
-    another_vm_that_knows_less_does_not_take_it_back: |it| {
-        let told = ReportedSignals { limit: None, age: millis(0), leaving: false };
-        it.get_mut(&server(0), START).expect("known").apply_report(&told, ms(200));
+    a_report_without_the_announcement_does_not_revoke_it: |it| {
+        let report = ReportedSignals { limit: None, age: millis(0), leaving: false };
+        it.get_mut(&server(0), START).expect("known").apply_report(&report, ms(200));
     };
-    an_entry_that_lapses_and_returns_does_not_take_it_back: |it| {
+    an_entry_that_expires_and_returns_does_not_revoke_it: |it| {
         it.begin_store_outage(ms(200));
         it.remove_entry(&server(0), ms(2_000));
         it.end_store_outage(ms(9_000));
         it.apply_entry(&server(0), entry("a"), ms(9_500));
     };
-    an_outage_of_the_store_does_not_take_it_back: |it| {
+    a_store_outage_does_not_revoke_it: |it| {
         it.begin_store_outage(ms(200));
         it.remove_entry(&server(0), ms(2_000));
         it.end_store_outage(ms(9_000));
     };
-    an_unreadable_entry_does_not_take_it_back: |it| {
+    an_unreadable_entry_does_not_revoke_it: |it| {
         it.mark_unreadable(&server(0));
         it.apply_entry(&server(0), entry("a"), ms(300));
     };
 }
 
 #[test]
-fn a_vm_that_is_told_knows_that_a_server_leaves() {
-    let told = leaves_by_answer().get(&server(0)).and_then(|it| it.signals_to_report(ms(150)));
+fn marks_a_server_as_leaving_when_a_report_says_so() {
+    let report = leaves_by_answer().get(&server(0)).and_then(|it| it.signals_to_report(ms(150)));
     let mut table = table(1);
     let server_0 = table.get_mut(&server(0), START).expect("listed");
-    assert!(server_0.apply_report(&told.expect("something to tell"), ms(200)).leaving);
+    assert!(server_0.apply_report(&report.expect("a report"), ms(200)).leaving);
     assert!(!usable(&table, ms(200)));
 }
 
-// A VM that starts while the store is away gets an entry that is older than what others heard from the server.
+// A VM that starts during a store outage gets entries from its peers; they must include announcements from answers.
 #[test]
-fn a_copy_of_the_list_says_that_a_server_leaves() {
+fn listed_entries_include_announcements_in_answers() {
     let table = leaves_by_answer();
     assert!(table.listed_entries().all(|(_, entry)| entry.draining));
 }
 
 #[test]
-fn another_start_of_a_server_that_left_is_used() {
+fn uses_a_new_start_of_a_server_that_left() {
     let mut table = leaves_by_answer();
-    table.apply_entry(&server(0), started_again("a", 2), ms(200));
+    table.apply_entry(&server(0), restarted("a", 2), ms(200));
     assert!(usable(&table, ms(200)));
 }
 
-// The caller is answered by a server of another service. The address was given to a new server, which said
-// so with its refusal; the entry of the old one is still listed.
+// An address was reassigned to a new server, which revealed that in its refusal, while the entry of the old one is
+// still listed. Requests would be answered by a server of another service.
 #[test]
-fn a_server_whose_address_another_has_gets_nothing_more() {
+fn a_server_whose_address_was_reassigned_is_not_used() {
     let mut table = ServerTable::default();
     table.apply_entry(&server(0), entry("a"), ms(0));
     table.mark_leaving(&server(0), START, LeaveReason::Replaced);
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_removed_server_gets_nothing_more() {
+fn a_removed_server_is_not_used() {
     let mut table = ServerTable::default();
     table.apply_entry(&server(0), entry("a"), ms(0));
     table.remove_entry(&server(0), ms(100));
@@ -124,17 +124,17 @@
 }
 
 #[test]
-fn a_server_that_a_whole_list_lacks_was_removed() {
+fn a_server_missing_from_a_whole_list_is_not_used() {
     let mut table = ServerTable::default();
     table.apply_entry(&server(0), entry("a"), ms(0));
     table.replace_all(vec![(server(1), entry("a"))], &[], ms(100));
     assert!(!usable(&table, ms(100)));
 }
 
-// Streams are cut with the server that they run on: it had said when it goes, its entry lapsed and came back, and the time
-// was forgotten, so that nothing was moved.
+// A leaving server's entry expired and came back, and its expected stop was lost, so that its streams weren't migrated
+// but cut.
 #[test]
-fn the_end_of_a_leaving_server_is_not_forgotten() {
+fn keeps_the_expected_stop_when_an_entry_returns() {
     let mut table = ServerTable::default();
     table.apply_entry(&server(0), draining("a"), ms(0));
     let goes_at = table.expected_stop(&server(0), START);
@@ -145,10 +145,10 @@
     assert_eq!(table.expected_stop(&server(0), START), goes_at);
 }
 
-// Every caller is refused for two seconds after the store was away: all entries lapsed meanwhile, though the
-// servers live. They are used until the time is over in which living servers put their entries back.
+// After a store outage, all entries have expired although the servers run; every request would be refused for two
+// seconds. Such servers are used until running servers have had time to restore their entries.
 #[test]
-fn entries_that_lapsed_while_the_store_was_away_count_for_two_seconds() {
+fn uses_servers_with_expired_entries_for_two_seconds_after_an_outage() {
     let mut table = ServerTable::default();
     table.apply_entry(&server(0), entry("a"), ms(0));
     table.begin_store_outage(ms(1_000));
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn a_removal_long_after_an_outage_counts_at_once() {
+fn a_removal_long_after_an_outage_takes_effect_at_once() {
     let mut table = ServerTable::default();
     table.apply_entry(&server(0), entry("a"), ms(0));
     table.begin_store_outage(ms(1_000));
@@ -181,10 +181,10 @@
     assert!(!usable(&table, ms(2_100)));
 }
 
-// Streams of a reclaimed server are cut a second after its entry went: it had announced nothing. The removal says
-// that it goes, and its streams are moved in that second.
+// A reclaimed server may announce nothing, and its streams are cut a second after its entry was removed. The removal
+// sets an expected stop, so that the streams are migrated within that second.
 #[test]
-fn a_reclaimable_server_that_is_removed_goes_within_a_second() {
+fn a_removed_reclaimable_server_is_expected_to_stop_within_a_second() {
     let mut table = ServerTable::default();
     table.apply_entry(&server(0), reclaimable("a"), ms(0));
     assert_eq!(table.expected_stop(&server(0), START), None);
@@ -195,9 +195,9 @@
     assert_eq!(table.expected_stop(&server(0), START), None);
 }
 
-// All streams are moved at once though every server lives: the store was away, and all entries lapsed.
+// All entries expired in a store outage; the streams of running servers must not be migrated.
 #[test]
-fn an_entry_that_may_have_lapsed_moves_nothing() {
+fn an_entry_that_may_have_expired_sets_no_expected_stop() {
     let mut table = ServerTable::default();
     table.apply_entry(&server(0), reclaimable("a"), ms(0));
     table.begin_store_outage(ms(1_000));
@@ -213,10 +213,10 @@
     ServerEntry { reclaimable: true, ..entry(centre) }
 }
 
-// All callers are told that there is no server: the store lost all entries in an outage, a VM that couldn't read it yet
-// was told of their removal by another, and took all servers for gone. They are used until they had time to be back.
+// The store lost all entries in an outage, and a VM that couldn't read it yet received their removal from a peer. It
+// must use the servers until they have had time to restore their entries, instead of refusing all requests.
 #[test]
-fn servers_that_all_lapse_are_used_until_they_are_back() {
+fn uses_servers_whose_entries_all_expired_until_they_could_return() {
     let mut table = table(4);
     table.begin_store_outage(ms(1_000));
     for at in 0..4 {
@@ -231,10 +231,10 @@
     assert!(!table.is_eligible(table.get(&server(0)).unwrap(), ms(8_100)));
 }
 
-// A request reaches a server that had left: the store turned only this VM away, and it was told that one entry was
-// removed. Where others are listed, what was removed isn't used.
+// The store is unreachable for this VM only, and a peer reports the removal of one entry. While others are listed, the
+// removed server must not be used.
 #[test]
-fn one_server_that_is_removed_while_the_store_is_away_is_not_used() {
+fn a_single_server_removed_during_an_outage_is_not_used() {
     let mut table = table(4);
     table.begin_store_outage(ms(1_000));
     table.remove_entry(&server(0), ms(2_000));
@@ -242,10 +242,10 @@
     assert!(!table.is_eligible(table.get(&server(0)).unwrap(), ms(2_100)));
 }
 
-// Half of a fleet is given back: entries lapsed in an outage, and a new holder ordered by the few that were listed. The
-// list is complete again some time after the store's return.
+// Entries expired in an outage, and a new lease holder based its orders on the few listed servers, so that half of the
+// fleet was returned. The list counts as incomplete until some time after the store's return.
 #[test]
-fn a_list_may_lack_entries_until_servers_had_time_to_return() {
+fn the_list_may_be_incomplete_until_servers_had_time_to_return() {
     let mut table = table(4);
     assert!(!table.may_be_incomplete(ms(500)));
     table.begin_store_outage(ms(1_000));
@@ -258,11 +258,10 @@
     assert!(!table.may_be_incomplete(ms(20_600)), "nothing lapses in a call that failed");
 }
 
-// Callers wait for a server that was gone long before the store fell silent, and a request reaches one that had just
-// left: at the store's return all removed servers counted for two seconds as lapsed. Only an entry that went missing
-// since the store last answered can have lapsed in its outage.
+// After the store's return, all removed servers counted as expired for two seconds, including those removed before the
+// outage. Only entries that went missing since the store last answered can have expired in its outage.
 #[test]
-fn a_server_that_was_gone_before_an_outage_stays_gone() {
+fn a_server_removed_before_an_outage_stays_excluded() {
     let mut table = table(4);
     table.remove_entry(&server(0), ms(500));
     table.begin_store_outage(ms(1_000));
@@ -271,7 +270,7 @@
     assert!(!table.is_eligible(table.get(&server(0)).unwrap(), ms(10_100)));
 }
 
-fn started_again(centre: &str, start: u64) -> ServerEntry {
+fn restarted(centre: &str, start: u64) -> ServerEntry {
     ServerEntry { start: ServerStart(start), ..entry(centre) }
 }
 
@@ -279,24 +278,24 @@
     Work { prefill: 100, memory: 200, output: 10, urgency: 0 }
 }
 
-// A server announces that it leaves, crashes, and starts again under its name. It gets nothing until it is
-// forgotten, for leaving is never taken back. Leaving belongs to the earlier start.
+// A server announces that it leaves, crashes and restarts under its name. The announcement applies to the earlier start
+// only.
 #[test]
-fn a_server_that_starts_again_is_usable() {
+fn a_restarted_server_is_usable() {
     let mut table = ServerTable::default();
     table.apply_entry(&server(0), draining("a"), ms(0));
-    assert!(table.apply_entry(&server(0), started_again("a", 2), ms(100)), "it is new");
+    assert!(table.apply_entry(&server(0), restarted("a", 2), ms(100)), "it is new");
     assert!(usable(&table, ms(100)));
     assert_eq!(table.expected_stop(&server(0), ServerStart(2)), None);
 }
 
-// What an earlier start said comes late: that it leaves, that it is ready, or an answer of its own that another
-// server is there. The new start is neither given up nor is the earlier one brought back.
+// Late entries, announcements and answers of an earlier start must neither exclude the new start nor bring the earlier
+// one back.
 #[test]
-fn a_late_word_of_an_earlier_start_changes_nothing() {
+fn ignores_late_information_about_an_earlier_start() {
     let mut table = ServerTable::default();
     table.apply_entry(&server(0), entry("a"), ms(0));
-    table.apply_entry(&server(0), started_again("a", 2), ms(100));
+    table.apply_entry(&server(0), restarted("a", 2), ms(100));
     assert!(!table.apply_entry(&server(0), draining("a"), ms(200)));
     table.mark_leaving(&server(0), START, LeaveReason::Replaced);
     table.mark_unreachable(&server(0), START, ms(200));
@@ -305,24 +304,24 @@
     assert!(!table.get(&server(0)).unwrap().load.is_paused(ms(200)));
 }
 
-// A request that an earlier start ran ends after the new one took work. Its work was taken off the new start,
-// which looked idle. The counts of a start belong to it alone.
+// A request of an earlier start ended after the new start got work, and was subtracted from the new start, which looked
+// idle.
 #[test]
-fn work_of_an_earlier_start_is_not_taken_off_the_new_one() {
+fn work_of_an_earlier_start_is_not_subtracted_from_the_new_one() {
     let mut table = ServerTable::default();
     table.apply_entry(&server(0), entry("a"), ms(0));
     table.get_mut(&server(0), START).unwrap().load.add_request(work(), ms(0));
-    table.apply_entry(&server(0), started_again("a", 2), ms(100));
+    table.apply_entry(&server(0), restarted("a", 2), ms(100));
     assert_eq!(table.get(&server(0)).unwrap().load.total_work(ms(100)).requests, 0);
     table.get_mut(&server(0), ServerStart(2)).unwrap().load.add_request(work(), ms(100));
     assert!(table.get_mut(&server(0), START).is_none());
     assert_eq!(table.get(&server(0)).unwrap().load.total_work(ms(100)).requests, 1);
 }
 
-// Another writer spoils a server's entry. Nothing new is sent there, what runs there isn't moved away, and the server
-// is back with its next word.
+// Another writer corrupts a server's entry. The server gets no new requests until its next valid entry, and its running
+// requests aren't migrated.
 #[test]
-fn a_server_whose_entry_is_spoiled_rests_until_it_speaks() {
+fn a_server_with_an_unreadable_entry_is_not_used_until_the_next_valid_one() {
     let mut table = ServerTable::default();
     table.apply_entry(&server(0), reclaimable("a"), ms(0));
     table.mark_unreadable(&server(0));
@@ -336,9 +335,9 @@
     assert!(table.get(&server(1)).is_some_and(|it| table.is_usable(it, ms(300))));
 }
 
-// Shared prompts of a server that started again are gone. Each VM takes its places in the order of servers anew.
+// The prompt cache of a restarted server is empty, so each start has its own hash for prefix placement.
 #[test]
-fn starts_of_a_server_differ_for_all_vms() {
+fn start_hash_differs_between_starts() {
     let of = |start| start_hash(&server(0), ServerStart(start));
     assert_eq!(of(1), of(1));
     assert_ne!(of(1), of(2));
@@ -371,7 +370,7 @@
         ..ProptestConfig::default()
     })]
 
-    // Whatever is read in whatever order, no server is used again that once said that it leaves.
+    // In any order of events, a server that once announced that it leaves is never used again.
     #[test]
     fn leaving_is_final(events in prop::collection::vec(event(), 1..60)) {
         let mut table = ServerTable::default();
--- a/crates/quincevalve_forwarding/tests/restraints.rs
+++ b/crates/quincevalve_forwarding/tests/restraints.rs
@@ -1,4 +1,4 @@
-//! What servers ask VMs to hold back: limits, divided among many VMs without messages, and rest.
+//! Rate limits of servers, divided among many VMs without messages, and rest periods.
 
 mod support;
 
@@ -15,29 +15,31 @@
 use rand_pcg::Pcg64Mcg;
 use support::{START, TestRequest, entry, millis, ms, server, table};
 
-/// Milliseconds over which a server counts what it gets, and what it bears beyond its limit: a factor and a number.
+/// Window in milliseconds over which a server counts requests, and what it tolerates beyond its limit: a factor and a
+/// constant.
 const SPAN_MS: i64 = 4_000;
 const FACTOR: f64 = 1.5;
 const SLACK: f64 = 5.0;
-/// Milliseconds between two requests that each VM would like to send.
+/// Interval in milliseconds at which each VM tries to send.
 const STEP_MS: usize = 20;
 
 fn rate(per_second: f64) -> RequestRate {
     RequestRate::new(per_second).expect("a rate")
 }
 
-/// The times at which VMs send that always want to, each by a clock that is wrong by so many milliseconds.
-fn sendings(limit: f64, vms: usize, clocks: &[i64], length_ms: i64) -> Vec<i64> {
+/// Returns the times at which VMs that always want to send do so. `clocks` are the errors of their clocks in
+/// milliseconds.
+fn send_times(limit: f64, vms: usize, clocks: &[i64], length_ms: i64) -> Vec<i64> {
     let mut times = Vec::new();
     for rank in 0..vms {
         let mut allowance = Allowance::default();
-        let wrong = clocks[rank % clocks.len()];
+        let clock_error = clocks[rank % clocks.len()];
         for now in (0..length_ms).step_by(STEP_MS) {
             while allowance.try_spend(
                 rate(limit),
                 77,
                 VmRank { rank, vm_count: vms },
-                1_000_000 + now + wrong,
+                1_000_000 + now + clock_error,
             ) {
                 times.push(now);
             }
@@ -56,48 +58,51 @@
     #![proptest_config(ProptestConfig { cases: 60, rng_seed: proptest::test_runner::RngSeed::Fixed(4), ..ProptestConfig::default() })]
 
     #[test]
-    fn a_server_gets_what_it_named_from_all_vms_together(
+    fn all_vms_together_use_and_keep_a_servers_limit(
         limit in prop_oneof![0.0..3.0, 3.0..60.0, 60.0..900.0],
         vms in prop_oneof![Just(1_usize), Just(8), Just(64), Just(295)],
         clocks in prop::collection::vec(-100_i64..100, 1..9),
     ) {
-        let times = sendings(limit, vms, &clocks, 12_000);
+        let times = send_times(limit, vms, &clocks, 12_000);
         let most = most_in_span(&times);
         prop_assert!(most as f64 <= FACTOR * limit * SPAN_MS as f64 / 1_000.0 + SLACK, "{most}");
-        // VMs that always want to send use all of it.
+        // VMs that always want to send use the whole limit.
         prop_assert!(times.len() as f64 >= limit * 11.0 - 1.0, "{}", times.len());
     }
 
     #[test]
-    fn parts_of_all_vms_add_up(requests in 0_u64..5_000, of in 1_usize..400, turn: u64) {
-        let sum: u64 = (0..of).map(|rank| VmRank { rank, vm_count: of }.share_of(requests, turn)).sum();
+    fn shares_of_all_vms_add_up(requests in 0_u64..5_000, of in 1_usize..400, rotation: u64) {
+        let sum: u64 = (0..of).map(|rank| VmRank { rank, vm_count: of }.share_of(requests, rotation)).sum();
         prop_assert_eq!(sum, requests);
     }
 }
 
 #[test]
-fn what_a_vm_has_not_sent_is_lost_after_a_second() {
+fn unused_allowance_expires_after_a_second() {
     let mut allowance = Allowance::default();
-    let seat = VmRank { rank: 0, vm_count: 1 };
-    let sent = (0..100).filter(|_| allowance.try_spend(rate(4.0), 7, seat, 60_000)).count();
+    let rank = VmRank { rank: 0, vm_count: 1 };
+    let sent = (0..100).filter(|_| allowance.try_spend(rate(4.0), 7, rank, 60_000)).count();
     assert_eq!(sent, 4);
 }
 
 #[test]
-fn a_limit_of_nothing_leaves_a_probe_in_five_seconds() {
-    let probes = sendings(0.0, 64, &[0], 50_000).len();
+fn a_zero_limit_allows_one_probe_in_five_seconds() {
+    let probes = send_times(0.0, 64, &[0], 50_000).len();
     assert!((10..=11).contains(&probes), "{probes}");
 }
 
-fn named(limit: Option<f64>) -> ServerSignals {
+fn signals_with_limit(limit: Option<f64>) -> ServerSignals {
     ServerSignals { limit: limit.map(rate), ..ServerSignals::default() }
 }
 
-fn server_0_names(table: &mut ServerTable, limit: Option<f64>) {
-    table.get_mut(&server(0), START).expect("listed").apply_signals(&named(limit), ms(0));
+fn set_limit_of_server_0(table: &mut ServerTable, limit: Option<f64>) {
+    table
+        .get_mut(&server(0), START)
+        .expect("listed")
+        .apply_signals(&signals_with_limit(limit), ms(0));
 }
 
-/// Requests of those that server 0 gets.
+/// Returns how many of the requests are placed on server 0.
 fn placed_on_0(table: &mut ServerTable, requests: usize, now: TimePoint) -> usize {
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let mut placed = 0;
@@ -111,21 +116,21 @@
 }
 
 #[test]
-fn requests_beyond_a_limit_go_to_other_servers() {
+fn requests_beyond_a_limit_are_placed_on_other_servers() {
     let mut table = table(2);
     table.set_rank(VmRank::ALONE, 1_000_000, ms(0));
-    server_0_names(&mut table, Some(4.0));
+    set_limit_of_server_0(&mut table, Some(4.0));
     let placed = placed_on_0(&mut table, 100, ms(0));
     assert!((1..=4).contains(&placed), "{placed}");
-    server_0_names(&mut table, None);
+    set_limit_of_server_0(&mut table, None);
     assert!(placed_on_0(&mut table, 100, ms(0)) > 20);
 }
 
 #[test]
-fn requests_that_no_limit_leaves_room_for_are_refused_at_once() {
+fn rejects_requests_at_once_when_all_limits_are_used_up() {
     let mut table = table(1);
     table.set_rank(VmRank { rank: 0, vm_count: 2 }, 1_000_000, ms(0));
-    server_0_names(&mut table, Some(4.0));
+    set_limit_of_server_0(&mut table, Some(4.0));
     assert!(placed_on_0(&mut table, 100, ms(0)) <= 4);
     let refused =
         table.place(&TestRequest::default().ask(), &mut Pcg64Mcg::seed_from_u64(1), ms(0));
@@ -135,14 +140,14 @@
 #[test]
 fn a_limit_ends_with_the_start_of_the_server_that_named_it() {
     let mut table = table(1);
-    server_0_names(&mut table, Some(0.0));
+    set_limit_of_server_0(&mut table, Some(0.0));
     let mut entry = entry("a");
     entry.start.0 += 1;
     table.apply_entry(&server(0), entry, ms(10));
     assert_eq!(table.get(&server(0)).and_then(Server::limit), None);
 }
 
-fn rests(table: &mut ServerTable, at: usize, rest: u64, now: u64) {
+fn request_rest(table: &mut ServerTable, at: usize, rest: u64, now: u64) {
     table.get_mut(&server(at), START).expect("listed").extend_rest(millis(rest), ms(now));
 }
 
@@ -153,37 +158,37 @@
 }
 
 #[test]
-fn a_server_that_wants_rest_gets_nothing_until_it_has_had_it() {
+fn a_resting_server_gets_no_requests_until_its_rest_ends() {
     let mut table = table(2);
-    rests(&mut table, 0, 3_000, 100);
+    request_rest(&mut table, 0, 3_000, 100);
     for now in (100..3_100).step_by(100) {
         assert_eq!(place(&table, now), Ok(1));
     }
-    rests(&mut table, 1, 60_000, 3_100);
+    request_rest(&mut table, 1, 60_000, 3_100);
     assert_eq!(place(&table, 3_100), Ok(0));
 }
 
-// The rest that was asked for first still counts.
+// The longer rest period that was requested first still applies.
 #[test]
 fn a_shorter_rest_does_not_end_a_longer_one() {
     let mut table = table(1);
-    rests(&mut table, 0, 3_000, 0);
-    rests(&mut table, 0, 200, 1_000);
+    request_rest(&mut table, 0, 3_000, 0);
+    request_rest(&mut table, 0, 200, 1_000);
     assert_eq!(place(&table, 2_000), Err(PlacementError::Resting { wait: millis(1_000) }));
 }
 
 #[test]
-fn where_all_want_rest_the_first_to_have_had_it_is_waited_for() {
+fn reports_the_shortest_rest_when_all_servers_rest() {
     let mut table = table(2);
-    rests(&mut table, 0, 3_000, 0);
-    rests(&mut table, 1, 1_000, 0);
+    request_rest(&mut table, 0, 3_000, 0);
+    request_rest(&mut table, 1, 1_000, 0);
     assert_eq!(place(&table, 400), Err(PlacementError::Resting { wait: millis(600) }));
 }
 
 #[test]
-fn a_rest_ends_with_the_start_of_the_server_that_wants_it() {
+fn a_rest_ends_with_the_start_that_asked_for_it() {
     let mut table = table(1);
-    rests(&mut table, 0, 60_000, 0);
+    request_rest(&mut table, 0, 60_000, 0);
     let mut entry = entry("a");
     entry.start.0 += 1;
     table.apply_entry(&server(0), entry, ms(10));
--- a/crates/quincevalve_forwarding/tests/support/mod.rs
+++ b/crates/quincevalve_forwarding/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Builders that the tests of the forwarding cores share.
+//! Builders shared by the tests of the forwarding cores.
 #![allow(dead_code, unreachable_pub, reason = "each test file uses its own part")]
 
 use std::time::Duration;
@@ -14,7 +14,7 @@
 };
 use quincevalve_names::{BackendServerName, DataCentreName, ServiceName, TimePoint};
 
-/// Names each case of a test and gives it its own test function.
+/// Generates a test function for each named case.
 #[macro_export]
 macro_rules! cases {
     ($check:ident: $($name:ident => $($argument:expr),+;)+) => {
@@ -87,7 +87,7 @@
     }
 }
 
-/// The start that servers have here unless a test says otherwise.
+/// Start of the servers in the tests unless stated otherwise.
 pub const START: ServerStart = ServerStart(1);
 
 pub fn entry(centre: &str) -> ServerEntry {
@@ -126,7 +126,7 @@
     Prompt { input, max_output: 400, expected_output: None, shared }
 }
 
-/// What a request asks that comes to an entry VM of data centre `a`.
+/// Owned input of a [`PlacementRequest`] that arrives at an entry VM of data centre `a`.
 pub struct TestRequest {
     pub service: ServiceName,
     pub data_centre: DataCentreName,
