--- a/crates/quincevalve_forwarding/tests/limits.rs
+++ b/crates/quincevalve_forwarding/tests/limits.rs
@@ -15,14 +15,14 @@
 use rand::{RngExt, SeedableRng};
 use support::{config, ms, quota};
 
-/// The draw that lets in whatever may be let in.
+/// Draw that admits every request that may be admitted.
 const DRAW: f64 = 0.0;
 
-/// No span over which quotas are counted: the bucket is a plain one.
+/// No window: the bucket is a plain token bucket.
 const PLAIN: QuotaLimits = QuotaLimits { window: Duration::ZERO, overage: 0.0, slack: 0.0 };
 
-/// What a request of that cost asks.
-fn of(cost: f64) -> QuotaRequest {
+/// A demand of the given cost.
+fn demand(cost: f64) -> QuotaRequest {
     QuotaRequest { cost, urgency: 1 }
 }
 
@@ -31,97 +31,99 @@
 }
 
 #[test]
-fn a_request_costs_its_prompt_and_the_most_that_it_may_generate() {
+fn a_request_costs_its_prompt_and_its_maximum_output() {
     assert!((cost(&quota(1.0, 1.0), Some((1_460, 80))) - 1_540.0).abs() < 1e-9);
     assert!((cost(&quota(1.0, 1.0), None) - 200.0).abs() < 1e-9);
 }
 
 #[test]
-fn what_was_refused_later_is_given_back() {
+fn refunds_a_request_that_is_rejected_later() {
     let mut table = QuotaTable::new(PLAIN, ms(0));
     let limit = quota(0.001, 100.0);
-    assert!(table.try_spend(&desk(), &limit, of(51.0), DRAW, ms(0)).is_ok());
-    assert!(table.try_spend(&desk(), &limit, of(51.0), DRAW, ms(1)).is_err());
+    assert!(table.try_spend(&desk(), &limit, demand(51.0), DRAW, ms(0)).is_ok());
+    assert!(table.try_spend(&desk(), &limit, demand(51.0), DRAW, ms(1)).is_err());
     table.refund(&desk(), 51.0, ms(1));
-    assert!(table.try_spend(&desk(), &limit, of(10.0), DRAW, ms(2)).is_ok());
+    assert!(table.try_spend(&desk(), &limit, demand(10.0), DRAW, ms(2)).is_ok());
 }
 
-// An account gets a burst more at each restart of a VM: each start begins with a whole bucket. It begins with a
-// part of one, and the rate fills it.
+// If each start began with a full bucket, an account would get an additional burst at each restart of a VM. A VM starts
+// with a fraction of it, and the rate fills the rest.
 #[test]
-fn a_vm_that_starts_has_only_a_part_of_the_burst() {
+fn a_new_vm_starts_with_a_fraction_of_the_burst() {
     let limit = quota(100.0, 100.0);
-    let let_in = |start: u64, now: u64| {
+    let admitted = |start: u64, now: u64| {
         let mut table = QuotaTable::new(PLAIN, ms(start));
         (0..1_000)
-            .filter(|_| table.try_spend(&desk(), &limit, of(1.0), DRAW, ms(now)).is_ok())
+            .filter(|_| table.try_spend(&desk(), &limit, demand(1.0), DRAW, ms(now)).is_ok())
             .count()
     };
-    assert!((45..=51).contains(&let_in(0, 0)), "{}", let_in(0, 0));
-    assert!((95..=101).contains(&let_in(0, 2_000)), "{}", let_in(0, 2_000));
+    assert!((45..=51).contains(&admitted(0, 0)), "{}", admitted(0, 0));
+    assert!((95..=101).contains(&admitted(0, 2_000)), "{}", admitted(0, 2_000));
 }
 
-// An account gets more than its part on both sides of a partition: what the others let in falls to nothing, and the bucket is
-// filled beyond the part of the burst that stands for the VMs that are heard.
+// When reported spending drops to zero during a partition, the bucket must not fill beyond the fraction of the burst
+// for the reachable VMs. Otherwise an account gets more than its share on both sides.
 #[test]
-fn what_others_no_longer_spend_fills_a_part_of_the_bucket_only() {
+fn does_not_fill_beyond_the_reachable_fraction_when_peer_spending_ends() {
     let config = config(1, Vec::new());
     let limit = quota(1_000.0, 1_000.0);
     let mut table = QuotaTable::new(PLAIN, ms(0));
     table.set_peer_spending(&[(desk(), 900.0)].into_iter().collect(), 0.5, &config, ms(0));
     table.set_peer_spending(&[(desk(), 900.0)].into_iter().collect(), 0.5, &config, ms(5_000));
     table.set_peer_spending(&Spending::new(), 0.5, &config, ms(20_000));
-    let let_in =
-        (0..5_000).filter(|_| table.try_spend(&desk(), &limit, of(1.0), DRAW, ms(20_000)).is_ok());
-    let let_in = let_in.count();
-    assert!(let_in <= 501, "{let_in}");
+    let admitted = (0..5_000)
+        .filter(|_| table.try_spend(&desk(), &limit, demand(1.0), DRAW, ms(20_000)).is_ok());
+    let admitted = admitted.count();
+    assert!(admitted <= 501, "{admitted}");
 }
 
-// A wave of an account that keeps to its quota is refused by the hundred, though most of what operators tolerate is left: the
-// ramp lay over what is tolerated, too, and let requests in by chance from half of it on.
+// The ramp covered the tolerance too, so it rejected hundreds of requests of an account that keeps to its quota,
+// although most of the tolerance was left.
 #[test]
-fn what_is_tolerated_is_not_let_in_by_chance() {
+fn the_ramp_does_not_cover_the_tolerance() {
     let limits = QuotaLimits { window: Duration::from_secs(8), overage: 0.1, slack: 100_000.0 };
     let limit = quota(1_000.0, 1_000.0);
     let mut table = QuotaTable::new(limits, ms(0));
-    let mut take = || table.try_spend(&desk(), &limit, of(100.0), 0.99, ms(0)).is_ok();
+    let mut take = || table.try_spend(&desk(), &limit, demand(100.0), 0.99, ms(0)).is_ok();
+    // A VM starts with half of 500 units of the burst and 50,450 units of tolerance.
     // A VM begins with half of 500 units of the burst and 50,450 that are tolerated.
-    let let_in = (0..1_000).filter(|_| take()).count();
-    assert!((250..=255).contains(&let_in), "{let_in}");
+    let admitted = (0..1_000).filter(|_| take()).count();
+    assert!((250..=255).contains(&admitted), "{admitted}");
 }
 
-/// Units that one VM lets in each 10 ms, of an account that asks `asked` times its rate for so long.
-fn let_in_each_step(limits: QuotaLimits, asked: f64, seconds: usize) -> Vec<f64> {
+/// Returns the units that one VM admits in each 10 ms, for an account that sends `asked` times its rate.
+fn admitted_per_step(limits: QuotaLimits, asked: f64, seconds: usize) -> Vec<f64> {
     let limit = quota(1_000.0, 2_000.0);
     let mut table = QuotaTable::new(limits, ms(0));
     let take = |step: usize| {
-        let taken = table.try_spend(&desk(), &limit, of(asked * 10.0), DRAW, ms(step as u64 * 10));
+        let taken =
+            table.try_spend(&desk(), &limit, demand(asked * 10.0), DRAW, ms(step as u64 * 10));
         if taken.is_ok() { asked * 10.0 } else { 0.0 }
     };
     (0..seconds * 100).map(take).collect()
 }
 
-// A third of an account's requests is refused all day, though no window of eight seconds holds more than its
-// rate and its burst allow: the burst was given out once. Now it is spread over the window.
+// A plain bucket grants the burst once; a third of an account's requests would be rejected all day, although no window
+// of eight seconds holds more than rate and burst allow. The burst is spread over the window.
 #[test]
-fn the_burst_is_given_out_in_each_window() {
+fn grants_the_burst_in_each_window() {
     let window = QuotaLimits { window: Duration::from_secs(8), ..PLAIN };
-    let spread: f64 = let_in_each_step(window, 1.1, 60).iter().sum();
+    let spread: f64 = admitted_per_step(window, 1.1, 60).iter().sum();
     assert!(spread >= 0.999 * 1_100.0 * 60.0, "{spread}");
     for asked in [1.2, 2.0, 6.0] {
-        let let_in = let_in_each_step(window, asked, 60);
-        let most = let_in.windows(800).map(|it| it.iter().sum::<f64>()).fold(0.0, f64::max);
+        let admitted = admitted_per_step(window, asked, 60);
+        let most = admitted.windows(800).map(|it| it.iter().sum::<f64>()).fold(0.0, f64::max);
         assert!(most <= 1_000.0 * 8.0 + 2_000.0, "{asked}: {most}");
-        let plain: f64 = let_in_each_step(PLAIN, asked, 60).iter().sum();
-        let spread: f64 = let_in.iter().sum();
+        let plain: f64 = admitted_per_step(PLAIN, asked, 60).iter().sum();
+        let spread: f64 = admitted.iter().sum();
         assert!(spread >= 1.08 * plain, "{asked}: {spread} {plain}");
     }
 }
 
-// Accounts that keep to their quota over each window are refused in waves of their callers. What the operators tolerate
-// beyond a window covers the wave, and no window holds more than they tolerate.
+// Accounts that keep to their quota over each window are rejected in bursts of their callers. The tolerance covers such
+// bursts, and no window holds more than it allows.
 #[test]
-fn a_wave_within_what_is_tolerated_is_let_in() {
+fn admits_a_burst_within_the_tolerance() {
     let limits = QuotaLimits { window: Duration::from_secs(8), overage: 0.1, slack: 1_000.0 };
     // Half of the time 0.6 of the rate, half of the time 1.6: on the whole a tenth above it.
     let wave = |limits: QuotaLimits| {
@@ -130,79 +132,79 @@
         let taken = (0..4_000_u64).filter(|step| {
             let cost = if step / 400 % 2 == 0 { 6.0 } else { 16.0 };
             let draw = (step * 7 % 10) as f64 / 10.0;
-            table.try_spend(&desk(), &limit, of(cost), draw, ms(step * 10)).is_ok()
+            table.try_spend(&desk(), &limit, demand(cost), draw, ms(step * 10)).is_ok()
         });
         taken.count()
     };
     let strict = QuotaLimits { overage: 0.0, slack: 0.0, ..limits };
     assert!(wave(limits) > wave(strict) + 150, "{} {}", wave(limits), wave(strict));
     for asked in [1.2, 2.0, 6.0] {
-        let let_in = let_in_each_step(limits, asked, 60);
-        let most = let_in.windows(800).map(|it| it.iter().sum::<f64>()).fold(0.0, f64::max);
+        let admitted = admitted_per_step(limits, asked, 60);
+        let most = admitted.windows(800).map(|it| it.iter().sum::<f64>()).fold(0.0, f64::max);
         assert!(most <= 10_000.0 + 0.5 * (0.1 * 10_000.0 + 1_000.0), "{asked}: {most}");
     }
 }
 
-// An account rests until its bucket is full, and then asks six times its rate. Half of what is tolerated is left for what
-// isn't heard in time.
+// An account is idle until its bucket is full and then sends six times its rate. Half of the tolerance remains for
+// spending that is reported late.
 #[test]
-fn half_of_the_tolerance_is_kept() {
+fn keeps_half_of_the_tolerance_in_reserve() {
     let limits = QuotaLimits { window: Duration::from_secs(8), overage: 0.1, slack: 1_000.0 };
     let limit = quota(1_000.0, 2_000.0);
     let mut table = QuotaTable::new(limits, ms(0));
     let taken = (0..800_u64).filter(|step| {
-        table.try_spend(&desk(), &limit, of(60.0), DRAW, ms(60_000 + step * 10)).is_ok()
+        table.try_spend(&desk(), &limit, demand(60.0), DRAW, ms(60_000 + step * 10)).is_ok()
     });
-    let let_in = 60.0 * taken.count() as f64;
+    let admitted = 60.0 * taken.count() as f64;
     let most = 10_000.0 + 0.5 * (0.1 * 10_000.0 + 1_000.0);
-    assert!(let_in <= most + 60.0, "{let_in}");
-    assert!(let_in >= most - 200.0, "{let_in}");
+    assert!(admitted <= most + 60.0, "{admitted}");
+    assert!(admitted >= most - 200.0, "{admitted}");
 }
 
-// A VM is out of touch with half of the others, and lets an account in as if it were alone. It uses the part of
-// the burst and of the rate that stands for those it hears.
+// A VM that can't reach half of the others must use only the fraction of rate and burst for the VMs it reaches, not
+// admit as if it were alone.
 #[test]
-fn a_cut_off_vm_uses_its_part() {
+fn a_partitioned_vm_uses_only_its_share() {
     let mut table = QuotaTable::new(PLAIN, ms(0));
     let limit = quota(100.0, 100.0);
     table.set_peer_spending(&Spending::new(), 0.5, &config(1, Vec::new()), ms(0));
     let mut taken = 0;
     for step in 0..1_000 {
         taken +=
-            usize::from(table.try_spend(&desk(), &limit, of(1.0), DRAW, ms(step * 10)).is_ok());
+            usize::from(table.try_spend(&desk(), &limit, demand(1.0), DRAW, ms(step * 10)).is_ok());
     }
     assert!((500..=551).contains(&taken), "{taken}");
 }
 
 #[test]
-fn who_is_over_its_quota_is_told_when_there_is_room() {
+fn rejection_states_when_units_are_available() {
     let mut table = QuotaTable::new(PLAIN, ms(0));
     let limit = quota(100.0, 10.0);
-    table.try_spend(&desk(), &limit, of(53.0), DRAW, ms(0)).unwrap();
-    let over = table.try_spend(&desk(), &limit, of(1.0), DRAW, ms(0)).unwrap_err();
+    table.try_spend(&desk(), &limit, demand(53.0), DRAW, ms(0)).unwrap();
+    let over = table.try_spend(&desk(), &limit, demand(1.0), DRAW, ms(0)).unwrap_err();
     assert!((400..=600).contains(&over.retry_after.as_millis()), "{over:?}");
     let later = ms(over.retry_after.as_millis() as u64 + 20);
-    assert!(table.try_spend(&desk(), &limit, of(1.0), DRAW, later).is_ok());
+    assert!(table.try_spend(&desk(), &limit, demand(1.0), DRAW, later).is_ok());
 }
 
-// An account gets many times its quota: several VMs each let it in as if they were alone. What others spend
-// leaves the bucket here.
+// If several VMs each admitted requests as if they were alone, an account would get many times its quota. Reported
+// spending of other VMs is subtracted from the bucket.
 #[test]
-fn what_others_spend_counts_here() {
+fn subtracts_spending_of_other_vms() {
     let mut table = QuotaTable::new(PLAIN, ms(0));
     let limit = quota(1_000.0, 1_000.0);
     let config = config(1, Vec::new());
-    assert!(table.try_spend(&desk(), &limit, of(1.0), DRAW, ms(2_000)).is_ok());
+    assert!(table.try_spend(&desk(), &limit, demand(1.0), DRAW, ms(2_000)).is_ok());
     table.set_peer_spending(&[(desk(), 3_000.0)].into_iter().collect(), 1.0, &config, ms(2_000));
-    assert!(table.try_spend(&desk(), &limit, of(1.0), DRAW, ms(3_000)).is_err());
+    assert!(table.try_spend(&desk(), &limit, demand(1.0), DRAW, ms(3_000)).is_err());
     table.set_peer_spending(&[(desk(), 0.0)].into_iter().collect(), 1.0, &config, ms(3_000));
-    assert!(table.try_spend(&desk(), &limit, of(1.0), DRAW, ms(5_500)).is_ok());
+    assert!(table.try_spend(&desk(), &limit, demand(1.0), DRAW, ms(5_500)).is_ok());
 }
 
-/// What forty VMs let in that hear of each other 400 ms late, of callers who ask for six times the quota.
-fn let_in_by_many(seconds: u64) -> f64 {
+/// Returns the units that forty VMs admit whose reports arrive 400 ms late, for callers who send six times the quota.
+fn admitted_by_many(seconds: u64) -> f64 {
     const VMS: usize = 40;
-    const LATE_STEPS: usize = 40;
+    const DELAY_STEPS: usize = 40;
     let limit = quota(40_000.0, 40_000.0);
     let account = quincevalve_forwarding::config::Account {
         keys: Vec::new(),
@@ -218,42 +220,42 @@
     );
     let mut rng = rand_pcg::Pcg64Mcg::seed_from_u64(3);
     let mut tables = vec![QuotaTable::new(PLAIN, ms(0)); VMS];
-    let mut told_at: Vec<Vec<f64>> = Vec::new();
+    let mut reported: Vec<Vec<f64>> = Vec::new();
     let mut total = 0.0;
     for step in 0..seconds as usize * 100 {
         let now = ms(step as u64 * 10);
         for table in &mut tables {
             // 60 units each 10 ms and VM are 240,000 a second.
-            if table.try_spend(&desk(), &limit, of(60.0), rng.random(), now).is_ok() {
+            if table.try_spend(&desk(), &limit, demand(60.0), rng.random(), now).is_ok() {
                 total += 60.0;
             }
         }
         let spending = |it: &QuotaTable| it.spending(now).map(|(_, it)| it).sum();
-        told_at.push(tables.iter().map(spending).collect());
-        if step < LATE_STEPS {
+        reported.push(tables.iter().map(spending).collect());
+        if step < DELAY_STEPS {
             continue;
         }
-        let heard = &told_at[step - LATE_STEPS];
-        let all: f64 = heard.iter().sum();
+        let received = &reported[step - DELAY_STEPS];
+        let all: f64 = received.iter().sum();
         for (at, table) in tables.iter_mut().enumerate() {
-            let others = [(desk(), all - heard[at])].into_iter().collect();
+            let others = [(desk(), all - received[at])].into_iter().collect();
             table.set_peer_spending(&others, 1.0, &config, now);
         }
     }
     total
 }
 
-// An account gets half more than its quota over many VMs: each time the bucket fills, all of them let it in
-// until they hear of each other. Over eight seconds the sum stays within a tenth and half a second of rate.
+// Each time the bucket fills, all VMs admit requests until the first reports arrive; an account got half more than its
+// quota. Over eight seconds, the sum stays within a tenth and half a second of rate.
 #[test]
-fn many_vms_that_hear_late_stay_near_the_quota() {
-    let total = let_in_by_many(8);
+fn many_vms_with_late_reports_stay_near_the_quota() {
+    let total = admitted_by_many(8);
     let allowed = (40_000.0 * 8.0 + 40_000.0) * 1.1 + 20_000.0;
     assert!(total <= allowed, "{total} of {allowed}");
     assert!(total >= 200_000.0, "{total} is far below the quota");
 }
 
-/// Requests of one kind, of an account that asks several times its quota for some seconds.
+/// Requests of one kind, of an account that sends several times its quota for some seconds.
 #[derive(Clone, Copy)]
 struct Kind {
     cost: f64,
@@ -266,10 +268,11 @@
 const TAG: Kind = Kind { cost: 2_400.0, urgency: 2, per_second: 205.0 };
 const CALL: Kind = Kind { cost: 200.0, urgency: 2, per_second: 210.0 };
 
-/// The part of each kind that forty VMs let in, who hear of each other 200 ms late, and the most units in eight seconds.
-fn let_in_by_kind(kinds: &[Kind], seconds: usize) -> (Vec<f64>, f64) {
+/// Returns the fraction of each kind that forty VMs admit whose reports arrive 200 ms late, and the maximum of units in
+/// eight seconds.
+fn admitted_by_kind(kinds: &[Kind], seconds: usize) -> (Vec<f64>, f64) {
     const VMS: usize = 40;
-    const LATE_STEPS: usize = 20;
+    const DELAY_STEPS: usize = 20;
     let limits = QuotaLimits { window: Duration::from_secs(8), overage: 0.1, slack: 140_000.0 };
     let limit = quota(1_090_000.0, 1_090_000.0);
     let mut config = config(1, Vec::new());
@@ -277,10 +280,11 @@
     account.quota = Some(limit);
     let mut rng = rand_pcg::Pcg64Mcg::seed_from_u64(7);
     let mut tables = vec![QuotaTable::new(limits, ms(0)); VMS];
-    let mut told_at: Vec<Vec<f64>> = Vec::new();
+    let mut reported: Vec<Vec<f64>> = Vec::new();
     let mut asked = vec![0.0; kinds.len()];
     let mut taken = vec![0.0; kinds.len()];
     let mut units = Vec::new();
+    // The buckets fill before the load starts.
     // The buckets fill before the load comes.
     let begin = 6_000;
     for step in 0..seconds * 100 {
@@ -303,11 +307,13 @@
         }
         units.push(of_step);
         let spending = |it: &QuotaTable| it.spending(now).map(|(_, it)| it).sum();
-        told_at.push(tables.iter().map(spending).collect());
-        let Some(heard) = step.checked_sub(LATE_STEPS).map(|it| &told_at[it]) else { continue };
-        let all: f64 = heard.iter().sum();
+        reported.push(tables.iter().map(spending).collect());
+        let Some(received) = step.checked_sub(DELAY_STEPS).map(|it| &reported[it]) else {
+            continue;
+        };
+        let all: f64 = received.iter().sum();
         for (at, table) in tables.iter_mut().enumerate() {
-            let others = [(desk(), all - heard[at])].into_iter().collect();
+            let others = [(desk(), all - received[at])].into_iter().collect();
             table.set_peer_spending(&others, 1.0, &config, now);
         }
     }
@@ -315,46 +321,47 @@
     (taken.iter().zip(&asked).map(|(taken, asked)| taken / asked).collect(), most)
 }
 
-// An account asks twice its quota in tokens. Its bookings, which cost two hundred tokens each, are refused as often as its
-// long briefs, though all of them together are a fiftieth of what it asks.
+// An account sends twice its quota in tokens. Its bookings of two hundred tokens each were rejected as often as its
+// long briefs, though they are a fiftieth of the load.
 #[test]
-fn what_costs_little_is_let_in_while_long_prompts_are_held_back() {
-    let (parts, most) = let_in_by_kind(&[BRIEF, CHAT, TAG, CALL], 12);
-    let [brief, chat, tag, call] = parts[..] else { panic!("four kinds") };
+fn admits_small_requests_while_large_ones_are_rejected() {
+    let (shares, most) = admitted_by_kind(&[BRIEF, CHAT, TAG, CALL], 12);
+    let [brief, chat, tag, call] = shares[..] else { panic!("four kinds") };
     assert!(call >= 0.9 && chat >= 0.7, "calls {call:.2}, chats {chat:.2}");
     assert!(brief >= 0.25 && tag >= 0.25, "briefs {brief:.2}, tags {tag:.2}");
     let allowed = (1_090_000.0 * 8.0 + 1_090_000.0) * 1.1 + 140_000.0;
     assert!(most <= allowed, "{most} of {allowed}");
 }
 
-// Small requests take what they are let in beyond an empty bucket from the larger ones: alone they get the quota and no more.
+// Small requests that are admitted beyond an empty bucket use units of larger ones; alone they must get no more than
+// the quota.
 #[test]
 fn small_requests_alone_get_no_more_than_the_quota() {
     let many = Kind { per_second: 20_000.0, ..CALL };
-    let (parts, most) = let_in_by_kind(&[many], 12);
+    let (shares, most) = admitted_by_kind(&[many], 12);
     let allowed = (1_090_000.0 * 8.0 + 1_090_000.0) * 1.1 + 140_000.0;
-    assert!(most <= allowed, "{most} of {allowed}, {parts:?}");
+    assert!(most <= allowed, "{most} of {allowed}, {shares:?}");
     assert!(most >= 0.8 * 1_090_000.0 * 8.0, "{most} is far below the quota");
 }
 
-// An account is locked out for seconds: its quota was lowered, and what it had spent under the old one counted
-// as debt under the new.
+// Spending under the old quota counted as debt under a lowered one, and locked the account out for seconds.
 #[test]
 fn a_lowered_quota_starts_without_debt() {
     let mut table = QuotaTable::new(PLAIN, ms(0));
-    table.try_spend(&desk(), &quota(1_000.0, 1_000.0), of(5_000.0), DRAW, ms(0)).unwrap();
-    assert!(table.try_spend(&desk(), &quota(100.0, 100.0), of(10.0), DRAW, ms(100)).is_ok());
+    table.try_spend(&desk(), &quota(1_000.0, 1_000.0), demand(5_000.0), DRAW, ms(0)).unwrap();
+    assert!(table.try_spend(&desk(), &quota(100.0, 100.0), demand(10.0), DRAW, ms(100)).is_ok());
 }
 
-/// Two VMs that tell each other every 150 ms, or don't, with callers who ask for far more than the quota.
-fn let_in(hear_each_other: bool, seconds: u64) -> f64 {
+/// Returns the units that two VMs admit that report to each other every 150 ms or not at all, for callers who send far
+/// more than the quota.
+fn admitted(exchange_reports: bool, seconds: u64) -> f64 {
     let limit = quota(1_000.0, 1_000.0);
     let config = config(1, Vec::new());
     let mut rng = rand_pcg::Pcg64Mcg::seed_from_u64(3);
     let mut tables = [QuotaTable::new(PLAIN, ms(0)), QuotaTable::new(PLAIN, ms(0))];
     let mut sums = [PartialSums::default(), PartialSums::default()];
     let mut total = 0.0;
-    if !hear_each_other {
+    if !exchange_reports {
         for table in &mut tables {
             table.set_peer_spending(&Spending::new(), 0.5, &config, ms(0));
         }
@@ -362,11 +369,11 @@
     for step in 0..seconds * 100 {
         let now = ms(step * 10);
         for table in &mut tables {
-            if table.try_spend(&desk(), &limit, of(50.0), rng.random(), now).is_ok() {
+            if table.try_spend(&desk(), &limit, demand(50.0), rng.random(), now).is_ok() {
                 total += 50.0;
             }
         }
-        if hear_each_other && step % 15 == 0 {
+        if exchange_reports && step % 15 == 0 {
             for at in 0..2 {
                 let spending = tables[1 - at].spending(now).collect();
                 sums[at].insert(
@@ -385,14 +392,14 @@
 
 #[test]
 fn the_sum_over_vms_stays_near_the_quota() {
-    let total = let_in(true, 20);
+    let total = admitted(true, 20);
     assert!((19_000.0..24_000.0).contains(&total), "{total}");
 }
 
 #[test]
-fn vms_that_do_not_hear_each_other_use_their_part() {
-    // Each side of a cut has its own burst, once.
-    let total = let_in(false, 20);
+fn partitioned_vms_use_only_their_shares() {
+    // Each side of a partition has its own burst, once.
+    let total = admitted(false, 20);
     assert!((19_000.0..23_000.0).contains(&total), "{total}");
 }
 
@@ -400,38 +407,38 @@
     RetryLimits { ratio: 0.2, slack: 40.0, window: Duration::from_secs(10) };
 
 #[test]
-fn an_empty_budget_refuses() {
+fn rejects_retries_when_the_budget_is_empty() {
     let mut window = RetryBudget::default();
     let none = RetryLimits { slack: 0.0, ..LIMITS };
     assert!(!window.try_spend(&none, 1, ms(0)));
 }
 
-// Requests that fail are given up though there is budget: only the slack was used, and each VM's part of it is small.
-// Requests earn repeats, too, for as long as the window lasts.
+// If only the slack counted, each VM's share would be small and failing requests would be given up despite the
+// remaining budget. Requests also earn retries while they are in the window.
 #[test]
-fn requests_earn_repeats() {
+fn requests_earn_retries() {
     let mut window = RetryBudget::default();
     let none = RetryLimits { slack: 0.0, ..LIMITS };
     for _ in 0..20 {
         window.record_request(ms(0));
     }
-    // 0.7 of a fifth of twenty.
+    // 0.7 of a fifth of twenty requests.
     assert_eq!((0..20).filter(|_| window.try_spend(&none, 1, ms(1_000))).count(), 2);
     assert!(!window.try_spend(&none, 1, ms(10_001)));
 }
 
 #[test]
-fn repeats_of_long_ago_do_not_count() {
+fn retries_outside_the_window_do_not_count() {
     let mut window = RetryBudget::default();
     while window.try_spend(&LIMITS, 1, ms(0)) {}
     assert!(!window.try_spend(&LIMITS, 1, ms(9_000)));
     assert!(window.try_spend(&LIMITS, 1, ms(10_001)));
 }
 
-// A VM writes more lines than it serves requests: callers that are refused come back at once. Lines of refusals
-// are bounded by themselves, and what is left out is counted.
+// Rejected callers return at once, and a VM would write more log lines than it serves requests. Lines of rejections
+// have their own bound, and suppressed lines are counted.
 #[test]
-fn lines_of_refusals_are_bounded() {
+fn bounds_log_lines_of_rejections() {
     let mut budget = LineBudget::for_refusals();
     let written = (0..50_000_u64).filter(|step| budget.take(ms(step / 10))).count();
     assert!((1_900..=2_200).contains(&written), "{written} lines in five seconds");
@@ -447,16 +454,16 @@
         ..ProptestConfig::default()
     })]
 
-    // A service that fails gets more load from its own failures, and stays down. Whatever the mix of requests
-    // and failures on any number of VMs, no window holds more repeats than the budget of them all.
+    // For any mix of requests and failures on any number of VMs, no window holds more retries than their common budget,
+    // so a failing service isn't kept down by its own retries.
     #[test]
-    fn repeats_over_all_vms_stay_within_the_budget(
+    fn retries_of_all_vms_stay_within_the_budget(
         vms in 1..12_usize,
         steps in prop::collection::vec((0..12_usize, any::<bool>(), 0..400_u64), 1..600),
     ) {
         let mut windows = vec![RetryBudget::default(); vms];
         let mut requests = Vec::new();
-        let mut repeats = Vec::new();
+        let mut retries = Vec::new();
         let mut now = 0;
         for (vm, is_request, pause) in steps {
             now += pause;
@@ -465,11 +472,11 @@
                 window.record_request(ms(now));
                 requests.push(now);
             } else if window.try_spend(&LIMITS, vms, ms(now)) {
-                repeats.push(now);
+                retries.push(now);
             }
             let within = |times: &[u64]| times.iter().filter(|it| now - **it <= 10_000).count();
             let allowed = LIMITS.slack + LIMITS.ratio * within(&requests) as f64;
-            prop_assert!(within(&repeats) as f64 <= allowed);
+            prop_assert!(within(&retries) as f64 <= allowed);
         }
     }
 }
--- a/crates/quincevalve_forwarding/tests/quota_restarts.rs
+++ b/crates/quincevalve_forwarding/tests/quota_restarts.rs
@@ -1,4 +1,4 @@
-//! Quotas while entry VMs restart one after the other, the collectors of their data centres among them.
+//! Quotas while entry VMs, including the collectors of their groups, restart one after the other.
 
 mod support;
 
@@ -18,24 +18,24 @@
 const CENTRES: usize = 5;
 const VMS_EACH: usize = 13;
 const VMS: usize = CENTRES * VMS_EACH;
-/// Milliseconds of a step.
+/// Length of a step in milliseconds.
 const STEP_MS: u64 = 20;
 /// Steps between two digests of a VM.
-const PERIOD: u64 = 6;
-/// Steps for which a VM that restarts is away.
-const AWAY: u64 = 25;
-/// Steps after which a collector that is away is replaced.
-const SILENT: u64 = 40;
+const DIGEST_STEPS: u64 = 6;
+/// Steps for which a restarting VM is down.
+const DOWN_STEPS: u64 = 25;
+/// Steps after which a collector that is down is replaced.
+const FAILURE_DETECTION_STEPS: u64 = 40;
 /// How the quota is counted, without a tolerance.
 const STRICT: QuotaLimits =
     QuotaLimits { window: Duration::from_secs(8), overage: 0.0, slack: 0.0 };
-/// The same with what operators tolerate.
+/// The same with a tolerance.
 const TOLERANT: QuotaLimits = QuotaLimits { overage: 0.1, slack: 190_000.0, ..STRICT };
 /// Tokens of a request.
-const TOKENS: f64 = 3_000.0;
+const REQUEST_TOKENS: f64 = 3_000.0;
 
-/// What a request of that cost asks.
-fn of(cost: f64) -> QuotaRequest {
+/// A demand of the given cost.
+fn demand(cost: f64) -> QuotaRequest {
     QuotaRequest { cost, urgency: 1 }
 }
 
@@ -59,28 +59,28 @@
 }
 
 struct Vm {
-    book: QuotaTable,
+    quotas: QuotaTable,
     members: PartialSums,
     collectors: PartialSums,
     rest: PartialSums,
     starts: u64,
-    away_since: Option<u64>,
+    down_since: Option<u64>,
 }
 
 impl Vm {
     fn new(starts: u64, limits: QuotaLimits, now: TimePoint) -> Self {
         Self {
-            book: QuotaTable::new(limits, now),
+            quotas: QuotaTable::new(limits, now),
             members: PartialSums::default(),
             collectors: PartialSums::default(),
             rest: PartialSums::default(),
             starts,
-            away_since: None,
+            down_since: None,
         }
     }
 
     fn own(&self, now: TimePoint) -> PartialSum {
-        let spending = self.book.spending(now).collect();
+        let spending = self.quotas.spending(now).collect();
         PartialSum { vms: 1, spending, ..PartialSum::default() }
     }
 }
@@ -98,17 +98,19 @@
         Self { vms, config: config(), limits, rng: Pcg64Mcg::seed_from_u64(7) }
     }
 
-    /// The VM that collects for a data centre: the first that is there, or not yet known to be away.
+    /// Returns the VM that collects for a data centre: the first that is up or whose failure is not yet detected.
     fn collector(&self, centre: usize, step: u64) -> usize {
-        let known = |it: &usize| self.vms[*it].away_since.is_none_or(|since| step - since < SILENT);
+        let known = |it: &usize| {
+            self.vms[*it].down_since.is_none_or(|since| step - since < FAILURE_DETECTION_STEPS)
+        };
         (0..VMS_EACH).map(|it| it * CENTRES + centre).find(known).expect("some VM is up")
     }
 
     fn is_up(&self, at: usize) -> bool {
-        self.vms[at].away_since.is_none()
+        self.vms[at].down_since.is_none()
     }
 
-    fn tell(&mut self, at: usize, step: u64, now: TimePoint) {
+    fn send_reports(&mut self, at: usize, step: u64, now: TimePoint) {
         let centre = at % CENTRES;
         let collector = self.collector(centre, step);
         let own = self.vms[at].own(now);
@@ -140,8 +142,8 @@
         }
     }
 
-    /// Takes over what others told.
-    fn take_over(&mut self, at: usize, step: u64, now: TimePoint) {
+    /// Applies the received reports.
+    fn apply_reports(&mut self, at: usize, step: u64, now: TimePoint) {
         let collects = self.collector(at % CENTRES, step) == at;
         let vm = &mut self.vms[at];
         let mut others = PartialSum::default();
@@ -152,129 +154,134 @@
             vm.rest.add_to(&mut others, None, now);
         }
         let part = (f64::from(others.vms + 1) / VMS as f64).min(1.0);
-        vm.book.set_peer_spending(&others.spending, part, &self.config, now);
+        vm.quotas.set_peer_spending(&others.spending, part, &self.config, now);
     }
 
-    /// Tokens let in at each step, of callers who ask for 3.6 times the quota; `restarts` VMs go each 1.3 s.
+    /// Returns the tokens admitted in each step, for callers who send 3.6 times the quota; `restarts` VMs restart every
+    /// 1.3 s.
     fn play(&mut self, steps: u64, restarts: usize) -> Vec<f64> {
-        let goes = |step: u64| if step % 65 == 64 { restarts } else { 0 };
-        self.play_asked(3.6, steps, goes).into_iter().map(|(_, let_in)| let_in).collect()
+        let stopping = |step: u64| if step % 65 == 64 { restarts } else { 0 };
+        self.play_with_load(3.6, steps, stopping)
+            .into_iter()
+            .map(|(_, admitted)| admitted)
+            .collect()
     }
 
-    /// Tokens asked of VMs that are up and tokens let in at each step, of callers who ask for `asked` times the quota;
-    /// `goes` says how many VMs go at a step, one after the other.
-    fn play_asked<F>(&mut self, asked: f64, steps: u64, goes: F) -> Vec<(f64, f64)>
+    /// Returns the tokens sent to running VMs and the tokens admitted in each step, for callers who send `asked` times
+    /// the quota. `stopping` returns how many VMs stop at a step, one after the other.
+    fn play_with_load<F>(&mut self, asked: f64, steps: u64, stopping: F) -> Vec<(f64, f64)>
     where
         F: Fn(u64) -> usize,
     {
-        let chance = asked * limit().per_second * STEP_MS as f64 / 1_000.0 / TOKENS / VMS as f64;
+        let chance =
+            asked * limit().per_second * STEP_MS as f64 / 1_000.0 / REQUEST_TOKENS / VMS as f64;
         let mut played = Vec::new();
         let mut next = 0;
         for step in 0..steps {
             let now = ms(10_000 + step * STEP_MS);
-            for _ in 0..goes(step) {
-                self.vms[next % VMS].away_since = Some(step);
+            for _ in 0..stopping(step) {
+                self.vms[next % VMS].down_since = Some(step);
                 next += 1;
             }
-            let (mut asked, mut let_in) = (0.0, 0.0);
+            let (mut asked, mut admitted) = (0.0, 0.0);
             for at in 0..VMS {
-                if let Some(since) = self.vms[at].away_since {
-                    if step - since < AWAY {
+                if let Some(since) = self.vms[at].down_since {
+                    if step - since < DOWN_STEPS {
                         continue;
                     }
                     self.vms[at] = Vm::new(self.vms[at].starts + 1, self.limits, now);
                 }
-                if (step + at as u64).is_multiple_of(PERIOD) {
-                    self.take_over(at, step, now);
-                    self.tell(at, step, now);
+                if (step + at as u64).is_multiple_of(DIGEST_STEPS) {
+                    self.apply_reports(at, step, now);
+                    self.send_reports(at, step, now);
                 }
                 if self.rng.random::<f64>() < chance {
                     let draw = self.rng.random();
-                    let book = &mut self.vms[at].book;
-                    let taken = book.try_spend(&desk(), &limit(), of(TOKENS), draw, now);
-                    asked += TOKENS;
-                    let_in += if taken.is_ok() { TOKENS } else { 0.0 };
+                    let quotas = &mut self.vms[at].quotas;
+                    let taken =
+                        quotas.try_spend(&desk(), &limit(), demand(REQUEST_TOKENS), draw, now);
+                    asked += REQUEST_TOKENS;
+                    admitted += if taken.is_ok() { REQUEST_TOKENS } else { 0.0 };
                 }
             }
-            played.push((asked, let_in));
+            played.push((asked, admitted));
         }
         played
     }
 }
 
-/// The most that was let in within eight seconds.
-fn most_in_a_window(let_in: &[f64]) -> f64 {
+/// Returns the maximum of tokens admitted within eight seconds.
+fn max_in_a_window(admitted: &[f64]) -> f64 {
     let steps = (8_000 / STEP_MS) as usize;
-    let_in.windows(steps).map(|it| it.iter().sum::<f64>()).fold(0.0, f64::max)
+    admitted.windows(steps).map(|it| it.iter().sum::<f64>()).fold(0.0, f64::max)
 }
 
-/// What the rate and the burst let expect in eight seconds.
-fn promised() -> f64 {
+/// Returns what rate and burst allow in eight seconds.
+fn allowed_in_a_window() -> f64 {
     limit().per_second * 8.0 + limit().burst
 }
 
-// An account gets a seventh more than its quota: VMs restart in turn, and each time a collector goes, nobody
-// hears for a second what its members spend; the restarted VMs begin with a full bucket. What others were
-// spending goes on counting until they are heard again, and a VM that starts begins with a part.
+// An account got a seventh more than its quota when VMs restarted in turn: nobody received the reports of a restarting
+// collector's members for a second, and restarted VMs began with a full bucket. The last reported spending counts until
+// new reports arrive, and a VM starts with a fraction of the burst.
 #[test]
 fn restarts_in_turn_do_not_raise_the_quota() {
-    let let_in = Fleet::new(STRICT).play(1_000, 4);
-    let most = most_in_a_window(&let_in);
-    assert!(most <= promised() * 1.05, "{most} of {}", promised());
+    let admitted = Fleet::new(STRICT).play(1_000, 4);
+    let most = max_in_a_window(&admitted);
+    assert!(most <= allowed_in_a_window() * 1.05, "{most} of {}", allowed_in_a_window());
 }
 
 #[test]
 fn without_restarts_an_account_gets_its_quota() {
-    let let_in = Fleet::new(STRICT).play(1_000, 0);
-    let most = most_in_a_window(&let_in);
-    assert!(most <= promised() * 1.03, "{most} of {}", promised());
-    let all: f64 = let_in.iter().sum();
+    let admitted = Fleet::new(STRICT).play(1_000, 0);
+    let most = max_in_a_window(&admitted);
+    assert!(most <= allowed_in_a_window() * 1.03, "{most} of {}", allowed_in_a_window());
+    let all: f64 = admitted.iter().sum();
     assert!(all >= 0.9 * 20.0 * limit().per_second, "{all}");
 }
 
-// A part of what operators tolerate is given out. Restarts in turn add to it what isn't heard in time; both together
-// stay within what is tolerated.
+// A fraction of the tolerance is granted, and restarts in turn add spending that is reported late. Both together stay
+// within the tolerance.
 #[test]
-fn what_is_tolerated_covers_restarts_too() {
-    let tolerated = promised() * 1.1 + 190_000.0;
+fn the_tolerance_covers_restarts() {
+    let tolerated = allowed_in_a_window() * 1.1 + 190_000.0;
     for restarts in [0, 4] {
-        let let_in = Fleet::new(TOLERANT).play(1_000, restarts);
-        let most = most_in_a_window(&let_in);
+        let admitted = Fleet::new(TOLERANT).play(1_000, restarts);
+        let most = max_in_a_window(&admitted);
         assert!(most <= tolerated, "{restarts}: {most} of {tolerated}");
     }
 }
 
-/// The step at which all VMs are killed together.
-const ALL_GO: u64 = 500;
+/// Step at which all VMs are killed together.
+const KILL_STEP: u64 = 500;
 
-fn all_go(step: u64) -> usize {
-    if step == ALL_GO { VMS } else { 0 }
+fn stop_all(step: u64) -> usize {
+    if step == KILL_STEP { VMS } else { 0 }
 }
 
-/// The part that is refused in the first second after all VMs are back, of callers who ask for so much of the quota.
-fn refused_after_all_are_back(asked: f64) -> f64 {
-    let played = Fleet::new(STRICT).play_asked(asked, 1_000, all_go);
-    let back = (ALL_GO + AWAY) as usize;
+/// Returns the fraction of requests rejected in the first second after all VMs are back, for callers who send `asked`
+/// times the quota.
+fn rejected_after_all_are_back(asked: f64) -> f64 {
+    let played = Fleet::new(STRICT).play_with_load(asked, 1_000, stop_all);
+    let back = (KILL_STEP + DOWN_STEPS) as usize;
     let second = &played[back..back + (1_000 / STEP_MS) as usize];
     let sum = |of: fn(&(f64, f64)) -> f64| second.iter().map(of).sum::<f64>();
     1.0 - sum(|it| it.1) / sum(|it| it.0)
 }
 
-// Callers of an account that keeps well below its quota are refused for a second: all VMs were killed and are back
-// together, and until they hear of each other each gives out its own part only. That part is gone with the first request,
-// and the bucket fills from nothing.
+// After all VMs were killed and restarted together, each grants only its own share until the first reports arrive. The
+// first request uses that share up, so callers of an account well below its quota were rejected for a second.
 #[test]
 fn an_account_below_its_quota_is_served_at_once_after_all_vms_restart() {
-    let refused = refused_after_all_are_back(0.55);
-    assert!(refused <= 0.1, "{refused}");
+    let rejected = rejected_after_all_are_back(0.55);
+    assert!(rejected <= 0.1, "{rejected}");
 }
 
-// The other side of it: an account that asks several times its quota gets no more than what operators tolerate, though all
-// VMs begin anew.
+// An account that sends several times its quota gets no more than the tolerance allows, though all VMs restart.
 #[test]
-fn a_restart_of_all_vms_stays_within_what_is_tolerated() {
-    let played = Fleet::new(TOLERANT).play_asked(3.6, 1_000, all_go);
-    let let_in: Vec<_> = played.into_iter().map(|(_, it)| it).collect();
-    let most = most_in_a_window(&let_in);
-    assert!(most <= promised() * 1.1 + 190_000.0, "{most}");
+fn a_restart_of_all_vms_stays_within_the_tolerance() {
+    let played = Fleet::new(TOLERANT).play_with_load(3.6, 1_000, stop_all);
+    let admitted: Vec<_> = played.into_iter().map(|(_, it)| it).collect();
+    let most = max_in_a_window(&admitted);
+    assert!(most <= allowed_in_a_window() * 1.1 + 190_000.0, "{most}");
 }
