--- a/crates/quincevalve_forwarding/tests/signals_world/main.rs
+++ b/crates/quincevalve_forwarding/tests/signals_world/main.rs
@@ -1,4 +1,4 @@
-//! Servers that say things of themselves, at 8, 64 and 295 VMs, with the VMs' real decision cores.
+//! Servers that send signals about themselves to 8, 64 and 295 VMs with real decision cores.
 //!
 //! `cargo test -p quincevalve_forwarding --test signals_world -- --nocapture` prints the figures of a few seeds,
 //! with `--ignored` those of fifty.
@@ -103,7 +103,7 @@
 
 // Without its share of the limit each VM sends a limited server what it would send anyway.
 #[test]
-fn without_parts_a_limit_is_broken() {
+fn a_limit_is_exceeded_without_shares() {
     for (vms, servers) in SIZES {
         let safeguards = Safeguards { parts: false, ..ALL };
         let plan = Plan { limited: servers, safeguards, ..Plan::new(vms, servers) };
@@ -113,9 +113,9 @@
     }
 }
 
-// VMs that each keep a limit as if they were alone send its multiple together.
+// VMs that each keep to a limit as if they were alone together send a multiple of it.
 #[test]
-fn without_seats_a_limit_is_broken() {
+fn a_limit_is_exceeded_without_ranks() {
     for (vms, servers) in SIZES {
         let safeguards = Safeguards { seats: false, ..ALL };
         let plan = Plan { limited: servers, safeguards, ..Plan::new(vms, servers) };
@@ -125,9 +125,9 @@
     }
 }
 
-// Without digest each other, VMs learn of a limit one after the other.
+// Without reports, VMs learn of a limit one after the other.
 #[test]
-fn without_telling_a_limit_is_known_late() {
+fn a_limit_is_known_late_without_reports() {
     let (vms, servers) = SIZES[2];
     let told = play(&Plan::new(vms, servers), 0);
     let safeguards = Safeguards { told: false, ..ALL };
@@ -137,9 +137,9 @@
     assert!(untold.known_after.is_none_or(|it| it > 2_000), "{untold}");
 }
 
-// Requests go on to servers that say that they leave, for as long as the list doesn't say it.
+// Without signals, servers that leave get requests until the list contains their announcement.
 #[test]
-fn without_belief_servers_that_leave_get_requests() {
+fn leaving_servers_get_requests_when_signals_are_ignored() {
     for (vms, servers) in SIZES {
         let safeguards = Safeguards { leaving: false, ..ALL };
         let plan = Plan { safeguards, leaving: Some((2, 4_000)), ..Plan::new(vms, servers) };
@@ -147,9 +147,9 @@
     }
 }
 
-// Servers that turn requests away get the next ones at once.
+// Without rest periods, servers that reject requests get the next ones at once.
 #[test]
-fn without_rest_servers_that_want_it_get_requests() {
+fn resting_servers_get_requests_when_rest_is_ignored() {
     for (vms, servers) in SIZES {
         let safeguards = Safeguards { rest: false, ..ALL };
         let resting = Some((servers, 6_000..12_000, 3_000));
--- a/crates/quincevalve_forwarding/tests/signals_world/world.rs
+++ b/crates/quincevalve_forwarding/tests/signals_world/world.rs
@@ -1,4 +1,4 @@
-//! Many VMs with their real decision cores, and servers that say things of themselves, in virtual time.
+//! Simulation of many VMs with their real decision cores and of servers that send signals, in virtual time.
 
 use std::{fmt, ops::Range, time::Duration};
 
@@ -14,68 +14,69 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Milliseconds of a step.
+/// Length of a step in milliseconds.
 const STEP: u64 = 10;
-/// Milliseconds between two turns in which a VM tells others.
+/// Interval in milliseconds at which a VM reports to others.
 const PERIOD: u64 = 60;
-/// Milliseconds that a datagram takes, from and to.
+/// Range of a datagram's delay in milliseconds.
 const DATAGRAM_DELAY: Range<u64> = 1..8;
-/// Milliseconds that a request takes to a server, from and to.
+/// Range of a request's delay to a server in milliseconds.
 const REQUEST_DELAY: Range<u64> = 1..15;
-/// Milliseconds from a request's arrival to the head of its answer, from and to.
+/// Range of the time from a request's arrival to the head of its answer, in milliseconds.
 const ANSWER_TIME: Range<u64> = 20..300;
-/// Milliseconds that a VM's time of day may be wrong by, either way.
+/// Maximum error of a VM's wall clock in milliseconds, in either direction.
 const CLOCK_ERROR: i64 = 50;
-/// Up to this many VMs everyone tells everyone; else one of each group collects.
+/// Up to this many VMs, every VM reports to every other; beyond, each group has a collector.
 const SMALL: usize = 16;
-/// VMs of a group.
+/// VMs per group.
 const GROUP: usize = 50;
-/// Milliseconds of contact for which a VM must have run undisturbed to be held to a limit.
+/// Milliseconds for which a VM must have run undisturbed before limits are checked against it.
 const CONTACT: u64 = 3_000;
-/// Milliseconds from an answer that a VM passed on until it is held to what that says.
+/// Milliseconds from an answer that a VM relayed until its signals are checked against that VM.
 const HEARD: u64 = 500;
-/// Milliseconds over which a server counts what it gets, and what it bears beyond its limit: a factor and a number.
+/// Window in milliseconds over which a server counts requests, and what it tolerates beyond its limit: a factor and a
+/// constant.
 const SPAN: u64 = 4_000;
 const FACTOR: f64 = 1.5;
 const SLACK: f64 = 5.0;
 
-/// Requests a second that come to a VM on average.
+/// Mean requests per second of a VM.
 const REQUESTS_OF_VM: f64 = 6.0;
-/// Shared beginnings of prompts.
+/// Number of shared prompt prefixes.
 const SHARED: u64 = 2_000;
 
-/// Milliseconds from an answer that a VM passed on until no request that a caller sends then reaches a server that leaves.
+/// Milliseconds from an answer that a VM relayed until requests of callers must no longer reach the leaving server.
 const LEAVING_TIME: u64 = 2_000;
-/// Requests that a VM may send a server in the time for which that wants rest.
+/// Requests that a VM may send to a server during its rest period.
 const IN_REST: usize = 2;
-/// Milliseconds between two readings of a list that knows nothing of what servers say.
+/// Interval in milliseconds at which a list without the servers' signals is read.
 const STALE_LIST: u64 = 1_000;
-/// Milliseconds until a request is turned away.
+/// Milliseconds until a request is rejected.
 const TURN_AWAY_TIME: u64 = 5;
 
 /// A span of time, in milliseconds.
 pub(crate) type Span = Range<u64>;
 
-/// Which safeguards are at work.
+/// Safeguards that are active.
 #[expect(clippy::struct_excessive_bools, reason = "a test takes out each of them by itself")]
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Safeguards {
-    /// VMs keep to their part of a limit.
+    /// VMs keep to their shares of limits.
     pub(crate) parts: bool,
-    /// What VMs don't send is lost, and whose a request is changes by frame: false divides as if each VM were alone.
+    /// VMs know their ranks; without, each divides a limit as if it were the only VM.
     pub(crate) seats: bool,
-    /// VMs tell each other what servers said.
+    /// VMs report signals of servers to each other.
     pub(crate) told: bool,
     /// VMs believe a server that says that it leaves.
     pub(crate) leaving: bool,
-    /// VMs leave a server alone that wants rest.
+    /// VMs send nothing to a resting server.
     pub(crate) rest: bool,
 }
 
 pub(crate) const ALL: Safeguards =
     Safeguards { parts: true, seats: true, told: true, leaving: true, rest: true };
 
-/// What happens in a world.
+/// Events of a simulation.
 #[derive(Clone, Debug)]
 pub(crate) struct Plan {
     pub(crate) vms: usize,
@@ -88,17 +89,17 @@
     pub(crate) safeguards: Safeguards,
     /// The first servers, so many, say from that time on that they leave.
     pub(crate) leaving: Option<(usize, u64)>,
-    /// The first servers, so many, turn everything away in that time and want so many milliseconds of rest.
+    /// The first servers, this many, reject all requests in that span and ask for a rest of this many milliseconds.
     pub(crate) resting: Option<(usize, Span, u64)>,
-    /// The part of datagrams that is lost.
+    /// Fraction of datagrams that is lost.
     pub(crate) loss: f64,
-    /// VMs that hear no other VM meanwhile.
+    /// The first VMs, this many, are partitioned from the others in that span.
     pub(crate) cut: Option<(usize, Span)>,
-    /// VMs that stand still meanwhile.
+    /// The first VMs, this many, are frozen in that span.
     pub(crate) frozen: Option<(usize, Span)>,
-    /// Each of these is killed at that time, and knows nothing when it is back.
+    /// The first VMs, this many, are killed at that time and restart without state.
     pub(crate) killed: Option<(usize, u64)>,
-    /// VMs that come at that time; others learn of them up to a second later.
+    /// This many VMs are added at that time; others learn of them up to a second later.
     pub(crate) added: Option<(usize, u64)>,
     /// Milliseconds until the end.
     pub(crate) length: u64,
@@ -148,7 +149,7 @@
     }
 }
 
-/// What came of it.
+/// Results of a simulation.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct Outcome {
     /// Spans in which a server got more than its limit allows.
@@ -269,7 +270,7 @@
     }
 }
 
-/// Plays a plan.
+/// Runs a simulation.
 pub(crate) fn play(plan: &Plan, seed: u64) -> Outcome {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let added = plan.added.map_or(0, |(count, _)| count);
@@ -368,7 +369,7 @@
         }
     }
 
-    /// The place of a VM among all that it knows. VMs hear of new ones one after the other within a second.
+    /// Returns a VM's rank among all VMs that it knows. VMs learn of new ones one after the other within a second.
     fn seat(&self, vm: usize) -> VmRank {
         if !self.plan.safeguards.seats {
             return VmRank::ALONE;
@@ -381,7 +382,7 @@
         VmRank { rank: vm, vm_count: if knows || vm >= old { self.plan.vms } else { old } }
     }
 
-    /// A VM's periodic turn: its seat, its clock, and news for others.
+    /// A VM's periodic work: its rank, its clock, and reports to others.
     fn turn(&mut self, vm: usize) {
         let (seat, now) = (self.seat(vm), self.now);
         let true_ms = 1_700_000_000_000 + now.cast_signed() + self.vms[vm].clock_error;
@@ -396,7 +397,8 @@
         self.tell(vm, near, &members, SignalSource::OwnCollector);
     }
 
-    /// Whom a VM tells: its collector or the other collectors, and its members; and what it is to the former.
+    /// Returns the recipients of a VM's reports, its collector or the other collectors and its members, and its role
+    /// for the former.
     fn audience(&self, vm: usize) -> (Vec<usize>, Vec<usize>, SignalSource) {
         let all = self.plan.vms;
         if all <= SMALL {
