--- a/crates/quincevalve_forwarding/tests/support/mod.rs
+++ b/crates/quincevalve_forwarding/tests/support/mod.rs
@@ -132,8 +132,8 @@
     pub data_centre: DataCentreName,
     pub prompt: Option<Prompt>,
     pub urgency: u8,
-    pub within: Duration,
-    pub had: Vec<BackendServerName>,
+    pub latency_budget: Duration,
+    pub tried: Vec<BackendServerName>,
 }
 
 impl Default for TestRequest {
@@ -143,8 +143,8 @@
             data_centre: "a".into(),
             prompt: Some(prompt(2_000, None)),
             urgency: 1,
-            within: millis(800),
-            had: Vec::new(),
+            latency_budget: millis(800),
+            tried: Vec::new(),
         }
     }
 }
@@ -155,9 +155,9 @@
             service: &self.service,
             prompt: self.prompt.map(|it| (it, engine())),
             urgency: self.urgency,
-            latency_budget: self.within,
+            latency_budget: self.latency_budget,
             data_centre: &self.data_centre,
-            tried: &self.had,
+            tried: &self.tried,
             scope: None,
         }
     }
--- a/crates/quincevalve_node/src/rollouts.rs
+++ b/crates/quincevalve_node/src/rollouts.rs
@@ -97,7 +97,7 @@
     let around = RefreshContext {
         wall_clock_ms: node.wall.borrow().estimate_ms(now),
         has_engines: engine.is_some(),
-        vm_rank: node.peers.borrow().book.seat(order.0),
+        vm_rank: node.peers.borrow().book.rank(order.0),
         is_connected: is_in_touch(node),
     };
     let mut book = node.rollouts.borrow_mut();
