--- a/crates/quincevalve_forwarding/tests/rollout.rs
+++ b/crates/quincevalve_forwarding/tests/rollout.rs
@@ -476,9 +476,7 @@
                 server: at % 4,
                 expected: Some(Duration::from_millis(50)),
             };
-            let ticket = rollouts
-                .start_tracking(run, now)
-                .expect("both servers_of_both_versions are compared");
+            let ticket = rollouts.start_tracking(run, now).expect("both versions are compared");
             rollouts.add_first_part(ticket, now + Duration::from_millis(50));
             let sample = if fails { Sample::Failed } else { Sample::Succeeded };
             rollouts.add_sample(ticket, sample, now);
