--- a/crates/quincevalve_node/src/request/front.rs
+++ b/crates/quincevalve_node/src/request/front.rs
@@ -207,7 +207,7 @@
     if !node.was_proved() && clock::now().since(node.began) < STARTUP_WINDOW {
         return STARTUP_RETRY_AFTER;
     }
-    let is_isolated = node.peers.borrow().reachable_part() < MIN_REACHABLE_FRACTION;
+    let is_isolated = node.peers.borrow().reachable_fraction() < MIN_REACHABLE_FRACTION;
     if is_isolated { OTHER_VM_RETRY_AFTER } else { STALE_CONFIG_RETRY_AFTER }
 }
 
@@ -245,7 +245,7 @@
         node.quota.borrow_mut().try_spend(account, &quota, quota_request, draw, clock::now());
     spent.map(|()| cost).map_err(|over| {
         if node.may_tell_refusal() {
-            let reachable_fraction = node.peers.borrow().reachable_part();
+            let reachable_fraction = node.peers.borrow().reachable_fraction();
             log::info!(
                 id = req.id, account = account.as_str(), cost, level = over.level,
                 others = over.peer_spending, per_second = quota.per_second, burst = quota.burst,
