--- a/crates/quincevalve_node/src/node.rs
+++ b/crates/quincevalve_node/src/node.rs
@@ -40,7 +40,7 @@
     peers::Peers,
     ports::HeaderNames,
     quarantine::QuarantineStore,
-    request::{backends::Backends, mover::Mover},
+    request::{connection_pool::ConnectionPool, migration::MigrationClient},
     settings::NodeSettings,
     store::{config_copy::ConfigCopy, state_copy::StateCopy, view::StoreView},
 };
@@ -84,10 +84,10 @@
     pub(crate) demand: RefCell<IndexMap<ServiceName, WorkRate>>,
     /// The work that callers ask of services whose servers are ordered, as measured here.
     pub(crate) measured: RefCell<IndexMap<ServiceName, MeasuredDemand>>,
-    pub(crate) backends: Backends,
+    pub(crate) connections: ConnectionPool,
     pub(crate) rng: RefCell<Pcg64Mcg>,
     pub(crate) in_flight: Cell<usize>,
-    pub(crate) mover: Mover,
+    pub(crate) migrations: MigrationClient,
     /// What is known of requests under which servers exit.
     pub(crate) poison: RefCell<PoisonGuard>,
     pub(crate) quarantine: QuarantineStore,
@@ -115,7 +115,7 @@
     pub(crate) fn new(
         settings: NodeSettings,
         headers: HeaderNames,
-        mover: Mover,
+        migrations: MigrationClient,
         quarantine: QuarantineStore,
     ) -> Self {
         let seed = clock::now().as_micros() ^ quincevalve_names::hash_text(settings.name.as_str());
@@ -134,10 +134,10 @@
             peers: RefCell::new(Peers::new(card(&settings), settings.link)),
             demand: RefCell::default(),
             measured: RefCell::default(),
-            backends: Backends::new(settings.ip),
+            connections: ConnectionPool::new(settings.ip),
             rng: RefCell::new(Pcg64Mcg::seed_from_u64(seed)),
             in_flight: Cell::new(0),
-            mover,
+            migrations,
             poison: RefCell::new(PoisonGuard::new(settings.name.as_str())),
             quarantine,
             rollouts: RefCell::new(RolloutTable::new(settings.exposure)),
--- a/crates/quincevalve_node/src/peers/send.rs
+++ b/crates/quincevalve_node/src/peers/send.rs
@@ -60,7 +60,7 @@
             log::info!(peer = expired; "peer-forgotten");
             node.wall.borrow_mut().forget(&expired);
         }
-        node.backends.sweep();
+        node.connections.remove_expired();
         if node.peers.borrow_mut().take_has_new_sums() || turn.is_multiple_of(SUMS_REFRESH_PERIODS)
         {
             apply_peer_sums(&node, now);
--- a/crates/quincevalve_node/src/quarantine.rs
+++ b/crates/quincevalve_node/src/quarantine.rs
@@ -18,14 +18,14 @@
 use crate::{
     clock,
     node::Node,
-    request::{identify::Identified, trace::note},
+    request::{identify::IdentifiedRequest, trace::log_request},
 };
 
 /// How long a caller whose trial the store didn't answer is told to stay away.
 const UNANSWERED_HOLD: Duration = Duration::from_secs(1);
 
 /// Lets a request go to a server, or says for how long it is kept from all, as far as known.
-pub(crate) async fn admit(node: &Node, req: &Identified) -> Result<(), Duration> {
+pub(crate) async fn admit(node: &Node, req: &IdentifiedRequest) -> Result<(), Duration> {
     let standing = standing(node, req);
     let hold = match standing {
         SendDecision::Allowed => return Ok(()),
@@ -39,16 +39,16 @@
             UNANSWERED_HOLD
         }
     };
-    note!(node, req, digest = req.digest(), hold_ms = hold.as_millis() as u64; "withheld");
+    log_request!(node, req, digest = req.digest(), hold_ms = hold.as_millis() as u64; "withheld");
     Err(hold)
 }
 
 /// Whether a request is kept from servers at present.
-pub(crate) fn is_quarantined(node: &Node, req: &Identified) -> bool {
+pub(crate) fn is_quarantined(node: &Node, req: &IdentifiedRequest) -> bool {
     standing(node, req) != SendDecision::Allowed
 }
 
-fn standing(node: &Node, req: &Identified) -> SendDecision {
+fn standing(node: &Node, req: &IdentifiedRequest) -> SendDecision {
     let poison = node.poison.borrow();
     if !poison.has_quarantined() {
         return SendDecision::Allowed;
@@ -58,8 +58,8 @@
 }
 
 /// Notes that a request ended well: it is not what ends servers.
-pub(crate) fn note_completed(node: &Node, req: &Identified) {
-    let Some(digest) = req.cheap_digest() else { return };
+pub(crate) fn note_completed(node: &Node, req: &IdentifiedRequest) {
+    let Some(digest) = req.digest_if_cheap() else { return };
     if node.poison.borrow_mut().record_completion(digest, clock::now()) {
         node.quarantine.lift(digest);
     }
--- a/crates/quincevalve_node/src/request.rs
+++ b/crates/quincevalve_node/src/request.rs
@@ -1,19 +1,19 @@
 //! Processing of a caller's request.
 //!
-//! [`front`] accepts the request, [`identify`] finds its route, account and prompt, and [`dispatch`] runs attempts until
-//! one yields an answer: [`placing`] picks a server, [`exchange`] sends the request over a connection of [`backends`],
-//! and [`relay`] forwards a streamed answer.
+//! [`frontend`] accepts the request, [`identify`] finds its route, account and prompt, and [`dispatch`] runs attempts
+//! until one yields an answer: [`server_selection`] picks a server, [`exchange`] sends the request over a connection of
+//! [`connection_pool`], and [`relay`] forwards a streamed answer.
 
-pub(crate) mod backends;
 pub(crate) mod body;
+pub(crate) mod connection_pool;
 pub(crate) mod dispatch;
 pub(crate) mod exchange;
 pub(crate) mod exit_check;
-pub(crate) mod front;
+pub(crate) mod frontend;
 pub(crate) mod identify;
-pub(crate) mod mover;
-pub(crate) mod placing;
+pub(crate) mod migration;
 pub(crate) mod refusal;
 pub(crate) mod relay;
+pub(crate) mod server_selection;
 mod signals;
 pub(crate) mod trace;
--- a/crates/quincevalve_node/src/request/body.rs
+++ b/crates/quincevalve_node/src/request/body.rs
@@ -14,13 +14,13 @@
 /// truncated response doesn't look complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("the answer was aborted before it was complete"))]
-pub(crate) struct BrokenOff;
+pub(crate) struct AnswerAborted;
 
 /// A response body, either complete from the start or streamed as it arrives.
 #[derive(Debug)]
 pub(crate) enum AnswerBody {
     Whole(Option<Bytes>),
-    Stream(mpsc::Receiver<Result<Bytes, BrokenOff>>),
+    Stream(mpsc::Receiver<Result<Bytes, AnswerAborted>>),
 }
 
 impl AnswerBody {
@@ -31,12 +31,12 @@
 
 impl Body for AnswerBody {
     type Data = Bytes;
-    type Error = BrokenOff;
+    type Error = AnswerAborted;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, AnswerAborted>>> {
         match self.get_mut() {
             Self::Whole(bytes) => Poll::Ready(bytes.take().map(|it| Ok(Frame::data(it)))),
             Self::Stream(rx) => rx.poll_recv(cx).map(|it| it.map(|it| it.map(Frame::data))),
--- a/crates/quincevalve_node/src/request/backends.rs
+++ b/crates/quincevalve_node/src/request/connection_pool.rs
@@ -92,12 +92,12 @@
 /// A server that restarts during a network partition leaves connections that appear open. They are never used for
 /// the new start of the server.
 #[derive(Debug)]
-pub(crate) struct Backends {
+pub(crate) struct ConnectionPool {
     local: IpAddr,
     idle: RefCell<HashMap<(BackendServerName, ServerStart), Vec<IdleConnection>>>,
 }
 
-impl Backends {
+impl ConnectionPool {
     pub(crate) fn new(local: IpAddr) -> Self {
         Self { local, idle: RefCell::default() }
     }
@@ -165,7 +165,7 @@
     }
 
     /// Drops connections that have expired or are closed.
-    pub(crate) fn sweep(&self) {
+    pub(crate) fn remove_expired(&self) {
         let now = Instant::now();
         self.idle.borrow_mut().retain(|_, idle| {
             idle.retain(|it| it.expires_at > now && !it.connection.sender.is_closed());
--- a/crates/quincevalve_node/src/request/dispatch.rs
+++ b/crates/quincevalve_node/src/request/dispatch.rs
@@ -19,11 +19,11 @@
             update_server,
         },
         exit_check::record_if_exited,
-        identify::Identified,
-        placing::{RETRY_AFTER_RANGE, WorkGuard, find_server, unlisted_ms},
+        identify::IdentifiedRequest,
         refusal::{Refusal, Refused, promises_not_run},
         relay,
-        trace::note,
+        server_selection::{RETRY_AFTER_RANGE, WorkGuard, find_server, unlisted_ms},
+        trace::log_request,
     },
 };
 
@@ -35,7 +35,7 @@
 /// Sends a request to servers until one answers or no further attempt is allowed.
 pub(crate) async fn dispatch(
     node: &Rc<Node>,
-    req: Rc<Identified>,
+    req: Rc<IdentifiedRequest>,
 ) -> Result<Response<AnswerBody>, Refused> {
     let mut tried: Vec<BackendServerName> = Vec::new();
     let mut refusals = 0;
@@ -56,14 +56,14 @@
         let mut guard = WorkGuard::new(node, &place);
         guard.start_tracking(&req, &place);
         let sent = Instant::now();
-        note!(
+        log_request!(
             node, req,
             server = place.server.as_str(), urgency = req.urgency, version = &place.version,
             affinity = place.affinity.map_or(-1, usize::cast_signed) as i64,
             predicted_ms = place.predicted.as_millis() as u64, running = place.known_load.requests,
             prefill = place.known_load.prefill, recent = place.known_load.recent_prefill,
             told_age_ms = place.peer_report_age.as_millis() as u64, unlisted_ms = unlisted_ms(&place),
-            digest = req.cheap_digest().map_or_else(String::new, |it| it.to_string());
+            digest = req.digest_if_cheap().map_or_else(String::new, |it| it.to_string());
             "placed"
         );
         let failed = match exchange(node, &req, &place, &[]).await {
@@ -101,7 +101,7 @@
         if !may_retry(node, &req, failed, runs, refusals) {
             return Err(refusal_without_answer(runs));
         }
-        note!(node, req, servers = tried.len(), runs = runs, refusals = refusals; "send-again");
+        log_request!(node, req, servers = tried.len(), runs = runs, refusals = refusals; "send-again");
     }
 }
 
@@ -119,7 +119,7 @@
 /// run, or that may run again, are retried. Every retry spends the retry budget.
 fn may_retry(
     node: &Node,
-    req: &Identified,
+    req: &IdentifiedRequest,
     failed: AttemptError,
     runs: u32,
     refusals: usize,
@@ -136,7 +136,7 @@
 /// Forwards a server's answer to the caller, or returns why another server should be tried.
 async fn handle_answer(
     node: &Rc<Node>,
-    req: &Rc<Identified>,
+    req: &Rc<IdentifiedRequest>,
     place: &Placement,
     answer: ServerAnswer,
     mut guard: WorkGuard,
@@ -162,14 +162,14 @@
     // The server didn't report that it has not run the request, but the caller would infer so from the status.
     if promises_not_run(status) && !req.retry_safety().is_retryable() {
         guard.record_outcome(false);
-        note!(node, req, server = place.server.as_str(), status = status.as_u16(); "server-error");
+        log_request!(node, req, server = place.server.as_str(), status = status.as_u16(); "server-error");
         return Err(AttemptError::MayHaveRun);
     }
     let should_retry = status.is_server_error()
         && req.retry_safety() == RetrySafety::Idempotent
         && runs + 1 < req.route.max_servers;
     if should_retry {
-        note!(node, req, server = place.server.as_str(), status = status.as_u16(); "server-error");
+        log_request!(node, req, server = place.server.as_str(), status = status.as_u16(); "server-error");
         return Err(AttemptError::MayHaveRun);
     }
     if status.is_success() && req.retry_safety().is_stream() {
@@ -199,6 +199,6 @@
     if runs == 0 {
         node.note_began(req.account.as_ref());
     }
-    node.backends.release(place, answer.connection, &answer.keep_alive);
+    node.connections.release(place, answer.connection, &answer.keep_alive);
     Ok(caller_response(status, &head.headers, AnswerBody::whole(body)))
 }
--- a/crates/quincevalve_node/src/request/exchange.rs
+++ b/crates/quincevalve_node/src/request/exchange.rs
@@ -18,12 +18,12 @@
     node::{Node, left},
     quarantine,
     request::{
-        backends::{Connection, KeepAlive},
         body::AnswerBody,
+        connection_pool::{Connection, KeepAlive},
         exit_check::record_if_exited,
-        identify::{Identified, header_text, is_hop_by_hop},
+        identify::{IdentifiedRequest, header_text, is_hop_by_hop},
         signals::apply_signals,
-        trace::note,
+        trace::log_request,
     },
 };
 
@@ -56,7 +56,7 @@
 /// Sends a request to the server that was picked for it and returns the server's response.
 pub(crate) async fn exchange(
     node: &Rc<Node>,
-    req: &Identified,
+    req: &IdentifiedRequest,
     place: &Placement,
     extra_headers: &[(HeaderName, HeaderValue)],
 ) -> Result<ServerAnswer, AttemptError> {
@@ -65,14 +65,14 @@
         .map_err(|remaining| AttemptError::Quarantined { remaining })?;
     let address = node.servers.borrow().get(&place.server).map(|it| it.entry.address);
     let address = address.ok_or(AttemptError::NotRun)?;
-    let connection = node.backends.acquire(place, address);
+    let connection = node.connections.acquire(place, address);
     let mut connection = match timeout_at(req.deadline, connection).await {
         Ok(Ok(connection)) => connection,
         Ok(Err(error)) => {
             log::warn!(id = req.id, server = place.server.as_str(), error:% = error; "connect-failed");
             let mut servers = node.servers.borrow_mut();
             let unreachable = servers.mark_unreachable(&place.server, place.start, clock::now());
-            node.backends.drop_all_idle(unreachable);
+            node.connections.drop_all_idle(unreachable);
             return Err(AttemptError::NotRun);
         }
         Err(_) => return Err(AttemptError::NotRun),
@@ -106,7 +106,7 @@
             }
             node.metrics.sending(service, "lost");
             // The other idle connections to this server have probably failed too.
-            node.backends.drop_idle(place);
+            node.connections.drop_idle(place);
             update_server(node, place, |it, now| it.load.record_unreachable(now));
             record_if_exited(node, req, place);
             return Err(AttemptError::MayHaveRun);
@@ -117,7 +117,7 @@
 
 fn classify(
     node: &Node,
-    req: &Identified,
+    req: &IdentifiedRequest,
     place: &Placement,
     connection: Connection,
     response: Response<Incoming>,
@@ -141,7 +141,7 @@
         apply_signals(node, place, status, response.headers());
     }
     if not_run {
-        note!(
+        log_request!(
             node, req, server = place.server.as_str(), status = status.as_u16();
             "server-refused"
         );
@@ -151,7 +151,7 @@
                 place.start,
                 LeaveReason::Replaced,
             );
-            node.backends.drop_idle(place);
+            node.connections.drop_idle(place);
         } else {
             update_server(node, place, |it, now| it.load.pause(FULL_SERVER_PAUSE, now));
         }
@@ -166,7 +166,7 @@
 /// Builds the request that is sent to the server.
 fn outgoing_request(
     node: &Node,
-    req: &Identified,
+    req: &IdentifiedRequest,
     place: &Placement,
     extra_headers: &[(HeaderName, HeaderValue)],
 ) -> Option<Request<Full<Bytes>>> {
--- a/crates/quincevalve_node/src/request/exit_check.rs
+++ b/crates/quincevalve_node/src/request/exit_check.rs
@@ -8,12 +8,12 @@
 use crate::{
     clock,
     node::Node,
-    request::{backends::ProbeResult, identify::Identified},
+    request::{connection_pool::ProbeResult, identify::IdentifiedRequest},
 };
 
 /// Checks in the background whether a server has exited after its connection closed before the answer was complete, and
 /// records the exit under the request's digest.
-pub(crate) fn record_if_exited(node: &Rc<Node>, req: &Identified, place: &Placement) {
+pub(crate) fn record_if_exited(node: &Rc<Node>, req: &IdentifiedRequest, place: &Placement) {
     let (node, place) = (node.clone(), place.clone());
     let (id, digest) = (req.id.clone(), req.digest());
     spawn_local(async move {
@@ -46,7 +46,7 @@
         }
         server.entry.address
     };
-    match node.backends.probe(place, address).await {
+    match node.connections.probe(place, address).await {
         ProbeResult::Listening | ProbeResult::Unknown => false,
         ProbeResult::ConnectionRefused => true,
     }
--- a/crates/quincevalve_node/src/request/front.rs
+++ b/crates/quincevalve_node/src/request/frontend.rs
@@ -23,9 +23,9 @@
     request::{
         body::AnswerBody,
         dispatch::dispatch,
-        identify::{Identified, header_text, identify},
+        identify::{IdentifiedRequest, header_text, identify},
         refusal::{Refusal, Refused},
-        trace::note,
+        trace::log_request,
     },
 };
 
@@ -124,9 +124,9 @@
 }
 
 /// Logs and counts an answer. Ends the request's trace unless the answer is a stream, whose trace ends with the stream.
-fn record_answer(node: &Node, req: &Identified, status: StatusCode) {
+fn record_answer(node: &Node, req: &IdentifiedRequest, status: StatusCode) {
     let took = req.arrived.elapsed();
-    note!(
+    log_request!(
         node, req,
         route = &req.route.name, status = status.as_u16(), took_ms = took.as_millis() as u64,
         version = req.config.version;
@@ -234,7 +234,7 @@
 }
 
 /// Charges the request's cost to its account's quota and returns the cost.
-fn take_quota(node: &Node, req: &Identified) -> Result<f64, Refused> {
+fn take_quota(node: &Node, req: &IdentifiedRequest) -> Result<f64, Refused> {
     let Some(account) = &req.account else { return Ok(0.0) };
     let quota = req.config.accounts.get(account).and_then(|it| it.quota);
     let Some(quota) = quota else { return Ok(0.0) };
--- a/crates/quincevalve_node/src/request/identify.rs
+++ b/crates/quincevalve_node/src/request/identify.rs
@@ -25,7 +25,7 @@
 
 /// A request whose route, account and prompt are known.
 #[derive(Debug)]
-pub(crate) struct Identified {
+pub(crate) struct IdentifiedRequest {
     pub(crate) id: String,
     pub(crate) body: Bytes,
     digest: OnceCell<RequestDigest>,
@@ -45,7 +45,7 @@
     pub(crate) trace: Trace,
 }
 
-impl Identified {
+impl IdentifiedRequest {
     pub(crate) fn retry_safety(&self) -> RetrySafety {
         self.route.retry_safety
     }
@@ -57,7 +57,7 @@
     }
 
     /// Returns the digest, or `None` if hashing the body would cost more than the digest is worth.
-    pub(crate) fn cheap_digest(&self) -> Option<RequestDigest> {
+    pub(crate) fn digest_if_cheap(&self) -> Option<RequestDigest> {
         (self.body.len() <= MAX_CHEAP_BODY).then(|| self.digest())
     }
 
@@ -72,7 +72,7 @@
     node: &Node,
     req: &Request<B>,
     arrived: Instant,
-) -> Result<Identified, Refusal> {
+) -> Result<IdentifiedRequest, Refusal> {
     let names = &node.headers;
     let config = node.config().filter(|_| node.was_proved()).ok_or(Refusal::StaleConfig)?;
     let host = header_text(req.headers(), &header::HOST).ok_or(Refusal::Malformed)?;
@@ -86,7 +86,7 @@
         header_number(req.headers(), &names.deadline_ms).map(Duration::from_millis);
     let timeout = caller_timeout.map_or(route.timeout, |it| it.min(route.timeout));
     let urgency = account.as_ref().and_then(|it| config.accounts.get(it)?.urgency);
-    Ok(Identified {
+    Ok(IdentifiedRequest {
         body: Bytes::new(),
         digest: OnceCell::new(),
         method: req.method().clone(),
--- a/crates/quincevalve_node/src/request/mover.rs
+++ b/crates/quincevalve_node/src/request/migration.rs
@@ -21,11 +21,11 @@
 
 /// Handle to the task that asks engines to migrate runs. It spares the rest of the process the engine's type parameter.
 #[derive(Clone, Debug)]
-pub(crate) struct Mover {
+pub(crate) struct MigrationClient {
     requests: mpsc::Sender<MigrationRequest>,
 }
 
-impl Mover {
+impl MigrationClient {
     /// Spawns the task and returns a handle to it.
     pub(crate) fn start<E>(engines: E) -> Self
     where
@@ -48,7 +48,7 @@
 
     /// Asks an engine to stop a run and copy its memory to another engine. Returns `None` if too many migrations are
     /// waiting.
-    pub(crate) fn move_run(
+    pub(crate) fn migrate(
         &self,
         from: SocketAddr,
         to: SocketAddr,
--- a/crates/quincevalve_node/src/request/relay.rs
+++ b/crates/quincevalve_node/src/request/relay.rs
@@ -17,13 +17,13 @@
     node::{InFlight, Node},
     quarantine,
     request::{
-        backends::{Connection, KeepAlive},
-        body::{AnswerBody, BrokenOff},
+        body::{AnswerAborted, AnswerBody},
+        connection_pool::{Connection, KeepAlive},
         exchange::{ServerAnswer, caller_response, exchange, record_first_answer, update_server},
         exit_check::record_if_exited,
-        identify::Identified,
-        placing::{WorkGuard, find_server_now, unlisted_ms},
-        trace::note,
+        identify::IdentifiedRequest,
+        server_selection::{WorkGuard, find_server_now, unlisted_ms},
+        trace::log_request,
     },
 };
 
@@ -61,7 +61,7 @@
 /// Starts to relay a stream to the caller. `runs_before` servers may have run the request already.
 pub(crate) fn start_stream(
     node: &Rc<Node>,
-    req: &Rc<Identified>,
+    req: &Rc<IdentifiedRequest>,
     place: &Placement,
     answer: ServerAnswer,
     guard: WorkGuard,
@@ -100,8 +100,8 @@
 
 struct Relay {
     node: Rc<Node>,
-    req: Rc<Identified>,
-    tx: mpsc::Sender<Result<Bytes, BrokenOff>>,
+    req: Rc<IdentifiedRequest>,
+    tx: mpsc::Sender<Result<Bytes, AnswerAborted>>,
     /// The received part of an event whose end has not arrived yet.
     partial: BytesMut,
     last_event: Option<HeaderValue>,
@@ -133,7 +133,7 @@
                         let mean_gap = self.gap_sum / self.gap_count;
                         source.guard.record_pace(mean_gap.as_secs_f64() * 1_000.0);
                     }
-                    self.node.backends.release(
+                    self.node.connections.release(
                         &source.place,
                         source.connection,
                         &source.keep_alive,
@@ -166,7 +166,7 @@
     /// Logs and counts the end of the stream, and ends the request's trace.
     fn record_end(&self, how: &str, servers: &[quincevalve_names::BackendServerName]) {
         let first_ms = self.first_after.map_or(0, |it| it.as_millis() as u64);
-        note!(
+        log_request!(
             self.node, self.req,
             how = how, servers = servers.len(), server = servers.last().map_or("", |it| it.as_str()),
             first_ms = first_ms, pause_ms = self.longest_gap.as_millis() as u64,
@@ -182,7 +182,7 @@
     /// Closes the caller's connection, so that the truncated answer doesn't look complete.
     async fn abort(&self) {
         // If the caller has disconnected meanwhile, there is nothing to close.
-        let _ = self.tx.send(Err(BrokenOff)).await;
+        let _ = self.tx.send(Err(AnswerAborted)).await;
     }
 
     /// Forwards complete events until the source ends or the stream has to be migrated.
@@ -217,7 +217,7 @@
                 source.guard.complete_prefill();
                 source.guard.record_first_part();
                 source.guard.record_outcome(true);
-                note!(
+                log_request!(
                     self.node, self.req,
                     server = source.place.server.as_str(),
                     took_ms = source.sent.elapsed().as_millis() as u64,
@@ -275,7 +275,7 @@
             to.as_ref().and_then(|to| Some((address(&source.place)?, address(to)?)))
         };
         let migration =
-            addresses.and_then(|(from, to)| self.node.mover.move_run(from, to, &self.req.id));
+            addresses.and_then(|(from, to)| self.node.migrations.migrate(from, to, &self.req.id));
         // Tokens that the engine generates until it stops the run still arrive on the old stream.
         let end = self.forward_events(&mut source, false).await;
         let has_ended =
@@ -314,7 +314,7 @@
             StreamEnd::Whole => {
                 quarantine::note_completed(&self.node, &self.req);
                 self.record_end("whole", servers);
-                self.node.backends.release(&source.place, source.connection, &source.keep_alive);
+                self.node.connections.release(&source.place, source.connection, &source.keep_alive);
             }
             StreamEnd::TimedOut => {
                 self.record_end("timed-out", servers);
@@ -374,7 +374,7 @@
         let last_event = last_event.map(|it| (self.node.headers.last_event.clone(), it.clone()));
         let is_migration = extra.is_some();
         let extra: Vec<(HeaderName, HeaderValue)> = last_event.chain(extra).collect();
-        note!(
+        log_request!(
             self.node, self.req,
             server = place.server.as_str(), moved = is_migration, unlisted_ms = unlisted_ms(&place);
             "stream-resumed"
--- a/crates/quincevalve_node/src/request/placing.rs
+++ b/crates/quincevalve_node/src/request/server_selection.rs
@@ -16,7 +16,7 @@
     node::Node,
     request::{
         exchange::update_server,
-        identify::Identified,
+        identify::IdentifiedRequest,
         refusal::{Refusal, Refused},
     },
     rollouts::{self, WatchedRun},
@@ -53,7 +53,7 @@
     }
 
     /// Starts to track the attempt if it is compared with attempts at another version.
-    pub(crate) fn start_tracking(&mut self, req: &Identified, place: &Placement) {
+    pub(crate) fn start_tracking(&mut self, req: &IdentifiedRequest, place: &Placement) {
         self.tracker = WatchedRun::begin(&self.node, req, place);
     }
 
@@ -99,7 +99,7 @@
 /// Picks a server for the request, immediately or after a short wait.
 pub(super) async fn find_server(
     node: &Node,
-    req: &Identified,
+    req: &IdentifiedRequest,
     tried: &[BackendServerName],
 ) -> Result<Placement, Refused> {
     let wait_end = req.arrived + req.route.objective.mul_f64(MAX_WAIT_FRACTION);
@@ -131,7 +131,7 @@
 /// Picks a server that can continue a stream, if one is available immediately.
 pub(crate) fn find_server_now(
     node: &Node,
-    req: &Identified,
+    req: &IdentifiedRequest,
     tried: &[BackendServerName],
 ) -> Option<Placement> {
     let choice = rollouts::regular(node, &req.service);
@@ -140,7 +140,7 @@
 
 fn placement_request<'a>(
     node: &'a Node,
-    req: &'a Identified,
+    req: &'a IdentifiedRequest,
     tried: &'a [BackendServerName],
     latency_budget: Duration,
 ) -> PlacementRequest<'a> {
--- a/crates/quincevalve_node/src/request/trace.rs
+++ b/crates/quincevalve_node/src/request/trace.rs
@@ -49,7 +49,7 @@
 }
 
 /// Writes a log line of a request, or buffers it if the line budget is used up.
-macro_rules! note {
+macro_rules! log_request {
     ($node:expr, $req:expr, $($key:ident = $value:expr),* ; $name:literal) => {
         if $node.lines.borrow_mut().take($crate::clock::now()) {
             log::info!(id = $req.id, $($key:% = $value),*; $name);
@@ -59,4 +59,4 @@
         }
     };
 }
-pub(crate) use note;
+pub(crate) use log_request;
--- a/crates/quincevalve_node/src/rollouts.rs
+++ b/crates/quincevalve_node/src/rollouts.rs
@@ -15,7 +15,7 @@
 use quincevalve_names::ServiceName;
 use rand::RngExt;
 
-use crate::{clock, node::Node, ports::OwnItem, request::identify::Identified};
+use crate::{clock, node::Node, ports::OwnItem, request::identify::IdentifiedRequest};
 
 /// Keys of roll-outs, each with its [`RolloutRecord`]: the service's name after it.
 pub(crate) const ROLLOUT_KEYS: &str = "rollout/";
@@ -119,7 +119,7 @@
 }
 
 /// Where a new request may go.
-pub(crate) fn choose(node: &Node, req: &Identified) -> VersionChoice {
+pub(crate) fn choose(node: &Node, req: &IdentifiedRequest) -> VersionChoice {
     if node.rollouts.borrow().is_idle() {
         return VersionChoice::Any;
     }
@@ -142,7 +142,11 @@
 }
 
 impl WatchedRun {
-    pub(crate) fn begin(node: &Rc<Node>, req: &Identified, place: &Placement) -> Option<Self> {
+    pub(crate) fn begin(
+        node: &Rc<Node>,
+        req: &IdentifiedRequest,
+        place: &Placement,
+    ) -> Option<Self> {
         let mut book = node.rollouts.borrow_mut();
         if book.is_idle() {
             return None;
--- a/crates/quincevalve_node/src/start.rs
+++ b/crates/quincevalve_node/src/start.rs
@@ -17,7 +17,7 @@
     peers,
     ports::{CloudApi, EngineApi, HeaderNames, PlatformStore},
     quarantine::{QuarantineStore, keep_quarantine},
-    request::{front, mover::Mover},
+    request::{frontend, migration::MigrationClient},
     settings::NodeSettings,
     store::sync::{follow_store, maintain_entry},
 };
@@ -130,7 +130,7 @@
     let mut terminate = signal(SignalKind::terminate()).context(SignalsSnafu)?;
     let mut hangup = signal(SignalKind::hangup()).context(SignalsSnafu)?;
     let (quarantine, quarantine_orders) = QuarantineStore::new();
-    let node = Rc::new(Node::new(settings, headers, Mover::start(engines), quarantine));
+    let node = Rc::new(Node::new(settings, headers, MigrationClient::start(engines), quarantine));
     let (closing_tx, closing) = watch::channel(false);
     let Listeners { front, ready, metrics, peers: socket } = listeners;
     let socket = Rc::new(socket);
@@ -138,9 +138,9 @@
         vm = node.settings.name.as_str(), data_centre = node.settings.data_centre.as_str(),
         incarnation = node.incarnation; "started"
     );
-    spawn_local(front::serve_ready(node.clone(), ready));
+    spawn_local(frontend::serve_ready(node.clone(), ready));
     spawn_local(crate::metrics::serve_metrics(node.clone(), metrics));
-    spawn_local(front::serve_callers(node.clone(), front, closing));
+    spawn_local(frontend::serve_callers(node.clone(), front, closing));
     spawn_local(follow_store(node.clone(), store.clone(), socket.clone()));
     spawn_local(maintain_entry(node.clone(), store.clone()));
     spawn_local(keep_quarantine(node.clone(), store.clone(), quarantine_orders));
--- a/crates/quincevalve_node/src/store/view/tests.rs
+++ b/crates/quincevalve_node/src/store/view/tests.rs
@@ -190,10 +190,7 @@
 fn a_leaving_server_is_unusable_after_a_full_read() {
     let snapshots = [
         Snapshot { servers: vec![("i-1".into(), draining())], ..Snapshot::default() },
-        Snapshot {
-            unreadable: vec![("i-1".into(), "spoiled".to_owned())],
-            ..Snapshot::default()
-        },
+        Snapshot { unreadable: vec![("i-1".into(), "spoiled".to_owned())], ..Snapshot::default() },
         Snapshot::default(),
     ];
     for snapshot in snapshots {
--- a/crates/quincevalve_node/src/test_node.rs
+++ b/crates/quincevalve_node/src/test_node.rs
@@ -16,7 +16,7 @@
     node::Node,
     ports::{DecodedSignals, EngineApi, HeaderNames, MoveError, MovedRun},
     quarantine::QuarantineStore,
-    request::mover::Mover,
+    request::migration::MigrationClient,
     settings::{Bounds, Duties, NodeSettings},
 };
 
@@ -84,7 +84,7 @@
             lease: Duration::from_secs(3),
         },
     };
-    Node::new(settings, headers(), Mover::start(NoEngines), QuarantineStore::new().0)
+    Node::new(settings, headers(), MigrationClient::start(NoEngines), QuarantineStore::new().0)
 }
 
 /// Runs a test where the node's tasks can run.
--- a/crates/quincevalve_node/tests/logs_listed.rs
+++ b/crates/quincevalve_node/tests/logs_listed.rs
@@ -7,7 +7,7 @@
 
 /// The event names in a source text: the literal after the `;` of each logging macro.
 fn events(source: &str) -> Vec<String> {
-    let macros = ["log::debug!(", "log::info!(", "log::warn!(", "log::error!(", "note!("];
+    let macros = ["log::debug!(", "log::info!(", "log::warn!(", "log::error!(", "log_request!("];
     let starts = macros.iter().flat_map(|it| source.match_indices(it));
     let mut events = Vec::new();
     for (at, name) in starts {
