--- a/crates/quincevalve_node/src/duties.rs
+++ b/crates/quincevalve_node/src/duties.rs
@@ -1,4 +1,6 @@
-//! What one entry VM does for all: usage reports and orders for servers.
+//! Duties that one entry VM performs for all: usage reports, server orders and roll-outs.
+//!
+//! The holder is elected by a key of the store under a lease; its fencing number grows with each change of holder.
 
 mod orders;
 mod reports;
@@ -18,19 +20,19 @@
     store::view::HOLDER_KEY,
 };
 
-use self::{orders::order_servers, reports::report_usage, rollouts::lead_rollouts};
+use self::{orders::order_servers, reports::report_usage, rollouts::run_rollouts};
 
-/// The key that counts the holders; it has no lease.
+/// Store key of the current term, from which the fencing number comes. It has no lease, so the number never restarts.
 const TERM_KEY: &str = "duty/term";
-/// Renewals in the life of a lease.
-const RENEWALS: u32 = 4;
-/// Pause between two looks of a VM that doesn't hold the duties.
-const LOOK: Duration = Duration::from_millis(400);
-/// Milliseconds over which VMs spread their attempts to take the duties over.
-const SPREAD_MS: u64 = 300;
+/// Number of renewals within the duration of a lease.
+const RENEWALS_PER_LEASE: u32 = 4;
+/// Poll interval of a VM that doesn't hold the duties, and of the report task.
+const POLL_INTERVAL: Duration = Duration::from_millis(400);
+/// Maximum random delay in milliseconds added to each poll, so that VMs don't attempt the takeover at once.
+const MAX_JITTER_MS: u64 = 300;
 
-/// Holds the duties whenever no other VM does, and does them.
-pub(crate) async fn hold_duties<S, C>(
+/// Takes the duties over whenever no other VM holds them, and performs them until the lease is lost or the VM stops.
+pub(crate) async fn run_duties<S, C>(
     node: Rc<Node>,
     store: S,
     cloud: C,
@@ -41,21 +43,21 @@
 {
     let mut vacancy = None;
     loop {
-        let wait = node.rng.borrow_mut().random_range(0..SPREAD_MS);
-        sleep(LOOK + Duration::from_millis(wait)).await;
-        if !may_try(&node, &mut vacancy) {
+        let wait = node.rng.borrow_mut().random_range(0..MAX_JITTER_MS);
+        sleep(POLL_INTERVAL + Duration::from_millis(wait)).await;
+        if !may_attempt_takeover(&node, &mut vacancy) {
             continue;
         }
         match take_over(&node, &store).await {
             Ok(lease) => {
                 tokio::select! {
-                    () = act(&node, &store, &cloud, lease) => {}
+                    () = perform_duties(&node, &store, &cloud, lease) => {}
                     _ = stopped.wait_for(|it| *it) => {}
                 }
                 node.duty.borrow_mut().record_lost();
                 log::info!("duty-lost");
                 if *stopped.borrow() {
-                    // The lease runs out by itself where this fails; with it another VM need not wait.
+                    // Revoking lets another VM take over at once; if it fails, the lease expires by itself.
                     if let Err(error) = store.revoke(lease).await {
                         log::debug!(error:% = error; "duty-not-released");
                     }
@@ -67,16 +69,16 @@
     }
 }
 
-/// The duties without a holder, as this VM sees it.
+/// A period without a holder of the duties, as observed by this VM.
 #[derive(Clone, Copy, Debug)]
 struct Vacancy {
     since: TimePoint,
-    /// This VM's random place among those that try to take them over.
+    /// Random draw that decides how long this VM waits, compared with others, before it attempts the takeover.
     draw: f64,
 }
 
-/// Whether this VM may try to take the duties over at this moment.
-fn may_try(node: &Node, vacancy: &mut Option<Vacancy>) -> bool {
+/// Returns whether this VM may attempt to take the duties over now.
+fn may_attempt_takeover(node: &Node, vacancy: &mut Option<Vacancy>) -> bool {
     if !node.is_ready() || node.peers.borrow().has_holder() {
         *vacancy = None;
         return false;
@@ -99,7 +101,7 @@
     let before: Term =
         item.and_then(|it| serde_json::from_slice(&it.value).ok()).unwrap_or_default();
     let term = before.next(me);
-    let asked = clock::now();
+    let requested_at = clock::now();
     let lease = store.grant(ttl).await?;
     let value = serde_json::to_vec(&term)
         .map_err(|error| StoreError::Unreadable { what: error.to_string() })?;
@@ -115,23 +117,23 @@
         ..Commit::default()
     };
     store.commit(&commit).await?;
-    node.duty.borrow_mut().record_acquired(me, &before, &term, ttl, asked);
+    node.duty.borrow_mut().record_acquired(me, &before, &term, ttl, requested_at);
     node.peers.borrow_mut().holder_seen(Some(me.to_owned()));
     log::info!(number = term.number.0, before = before.holder; "duty-taken");
     Ok(lease)
 }
 
-/// Does the duties until the lease is lost or the process ends.
-async fn act<S, C>(node: &Rc<Node>, store: &S, cloud: &C, lease: LeaseId)
+/// Performs the duties until the lease is lost.
+async fn perform_duties<S, C>(node: &Rc<Node>, store: &S, cloud: &C, lease: LeaseId)
 where
     S: PlatformStore,
     C: CloudApi,
 {
     let renewal = renew(node, store, lease);
-    let recalled = Cell::new(false);
-    let reports = report_usage(node, store, cloud, &recalled);
-    let orders = order_servers(node, cloud, &recalled);
-    let rollouts = lead_rollouts(node, store);
+    let is_inherited = Cell::new(false);
+    let reports = report_usage(node, store, cloud, &is_inherited);
+    let orders = order_servers(node, cloud, &is_inherited);
+    let rollouts = run_rollouts(node, store);
     tokio::select! {
         () = renewal => {}
         () = reports => {}
@@ -144,12 +146,12 @@
 where
     S: PlatformStore,
 {
-    let period = node.settings.duties.lease / RENEWALS;
+    let period = node.settings.duties.lease / RENEWALS_PER_LEASE;
     loop {
         sleep(period).await;
-        let asked = clock::now();
+        let requested_at = clock::now();
         match store.renew(lease).await {
-            Ok(()) => node.duty.borrow_mut().record_renewal(asked),
+            Ok(()) => node.duty.borrow_mut().record_renewal(requested_at),
             Err(StoreError::LeaseEnded) => return,
             Err(error) => log::debug!(error:% = error; "duty-not-renewed"),
         }
@@ -159,7 +161,8 @@
     }
 }
 
-fn acting(node: &Node) -> Option<ActingHolder> {
+/// Returns the identity for calls that only the holder may make; `None` if this VM doesn't hold the duties.
+fn current_holder(node: &Node) -> Option<ActingHolder> {
     let number = node.duty.borrow().fencing_number(clock::now())?;
     Some(ActingHolder { name: node.settings.name.as_str().to_owned(), number })
 }
--- a/crates/quincevalve_node/src/duties/orders.rs
+++ b/crates/quincevalve_node/src/duties/orders.rs
@@ -1,4 +1,4 @@
-//! Orders for backend servers.
+//! Orders of backend servers from the cloud.
 
 use std::{cell::Cell, time::Duration};
 
@@ -13,26 +13,28 @@
 use quincevalve_names::{DataCentreName, ServiceName};
 use tokio::time::{Instant, sleep};
 
-use super::acting;
+use super::current_holder;
 use crate::{
     clock,
     node::Node,
     ports::{CloudApi, CloudError, ServerOrder},
 };
 
-/// Time between two plans of the fleet.
-const PLAN_PERIOD: Duration = Duration::from_secs(1);
-/// Kinds of servers, which are ordered one after the other.
-const KINDS: usize = 2;
-/// The longest time for which a new holder waits with orders for what the last one measured: three calls of a slow store,
-/// little against the five seconds that a server takes to start.
-const INHERIT_TIME: Duration = Duration::from_millis(800);
-/// Pause between two looks whether it is known.
-const INHERIT_LOOK: Duration = Duration::from_millis(20);
-/// Pause after a change, so that changes that come together are planned for together.
-const CHANGES_TOGETHER: Duration = Duration::from_millis(50);
+/// Interval between two plans of the fleet.
+const PLAN_INTERVAL: Duration = Duration::from_secs(1);
+/// Number of server kinds, which are ordered one after the other.
+const SERVER_KINDS: usize = 2;
+/// Maximum time for which a new holder delays its orders until the previous holder's measured demand is read.
+///
+/// It covers three calls to a slow store and is short against the five seconds that a server takes to start.
+const MAX_INHERIT_WAIT: Duration = Duration::from_millis(800);
+/// Interval at which a new holder checks whether the previous holder's state has been read.
+const INHERIT_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Delay between a change and the next plan, so that changes in quick succession are planned for together.
+const CHANGE_BATCH_DELAY: Duration = Duration::from_millis(50);
 
-pub(super) async fn order_servers<C>(node: &Node, cloud: &C, recalled: &Cell<bool>)
+/// Plans the fleet of every scaled service and orders servers while this VM holds the duties.
+pub(super) async fn order_servers<C>(node: &Node, cloud: &C, is_inherited: &Cell<bool>)
 where
     C: CloudApi,
 {
@@ -40,21 +42,22 @@
         return std::future::pending().await;
     }
     let mut planners: IndexMap<ServiceName, FleetPlanner> = IndexMap::new();
-    await_recall(node, recalled).await;
+    await_inherited_demand(node, is_inherited).await;
     loop {
         let Some(config) = node.config() else {
-            sleep(PLAN_PERIOD).await;
+            sleep(PLAN_INTERVAL).await;
             continue;
         };
         let promised = expected_demand(&config);
         for (name, service) in &config.services {
             let Some(scaling) = &service.scaling else { continue };
             let now = clock::now();
-            // An order names a number in all: by an incomplete list it would give servers back.
+            // An order names the total count, so an order from an incomplete list would release servers.
             if node.servers.borrow().may_be_incomplete(now) {
                 continue;
             }
-            // The old servers go, and the new ones are as many: what is there says nothing for some seconds.
+            // During a promotion the old servers leave while as many new ones serve, so for some seconds the number of
+            // present servers says nothing about capacity.
             if node.rollouts.borrow().is_promoting(name) {
                 continue;
             }
@@ -63,10 +66,11 @@
             if let Some(measured) = node.measured.borrow().get(name) {
                 planner.set_demand(measured.clone());
             }
-            let present = present(node, name, scaling.prices.keys());
-            let part = node.peers.borrow().reachable_part();
-            let busy = planner.observe(node.demand_of(name), part, promised, &present, now);
-            for _ in 0..KINDS {
+            let present = count_present(node, name, scaling.prices.keys());
+            let reachable_fraction = node.peers.borrow().reachable_part();
+            let busy =
+                planner.observe(node.demand_of(name), reachable_fraction, promised, &present, now);
+            for _ in 0..SERVER_KINDS {
                 for order in planner.due_orders(scaling, busy, &present, clock::now()) {
                     let sent = send_order(node, cloud, name, &order, busy, scaling.max).await;
                     let Some(outcome) = sent else { break };
@@ -74,29 +78,30 @@
                 }
             }
         }
-        // A notice of a reclaim is answered at once: a server takes seconds to start.
+        // A reclaim notice triggers a plan at once, because a replacement takes seconds to start.
         tokio::select! {
-            () = sleep(PLAN_PERIOD) => {}
-            () = node.changed.notified() => sleep(CHANGES_TOGETHER).await,
+            () = sleep(PLAN_INTERVAL) => {}
+            () = node.changed.notified() => sleep(CHANGE_BATCH_DELAY).await,
         }
     }
 }
 
-/// Waits until it is known what the last holder measured, for a while.
+/// Waits, for at most [`MAX_INHERIT_WAIT`], until the previous holder's measured demand is read.
 ///
-/// Failure: all VMs are killed, and the first that takes the duties over orders before it has read what was measured.
-/// Symptom: it plans by what quotas promise, three times the servers that are needed, and in a wave keeps them.
-async fn await_recall(node: &Node, recalled: &Cell<bool>) {
+/// If all VMs are killed and the first new holder orders without that demand, it plans by the demand that quotas allow:
+/// it orders three times the servers that are needed and keeps them during a burst.
+async fn await_inherited_demand(node: &Node, is_inherited: &Cell<bool>) {
     if !node.settings.duties.usage {
         return;
     }
-    let until = Instant::now() + INHERIT_TIME;
-    while !recalled.get() && Instant::now() < until {
-        sleep(INHERIT_LOOK).await;
+    let until = Instant::now() + MAX_INHERIT_WAIT;
+    while !is_inherited.get() && Instant::now() < until {
+        sleep(INHERIT_POLL_INTERVAL).await;
     }
 }
 
-fn present<'a>(
+/// Counts the servers of a service that the plan relies on, by data centre and kind.
+fn count_present<'a>(
     node: &Node,
     service: &ServiceName,
     centres: impl Iterator<Item = &'a DataCentreName>,
@@ -105,7 +110,7 @@
         centres.map(|it| (it.clone(), ServerCounts::default())).collect();
     let servers = node.servers.borrow();
     let usable = servers.usable(service, clock::now());
-    for (_, server) in usable.filter(|(_, it)| planned(node, service, it) == Planned::Counted) {
+    for (_, server) in usable.filter(|(_, it)| plan_role(node, service, it) == PlanRole::Counted) {
         let centre = present.entry(server.entry.data_centre.clone()).or_default();
         if server.entry.reclaimable {
             centre.reclaimable += 1;
@@ -116,68 +121,68 @@
     present
 }
 
-/// What the plan makes of a server.
+/// How the fleet plan counts a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Planned {
+enum PlanRole {
     Counted,
-    /// It is of a version that doesn't carry the traffic.
+    /// Its version doesn't carry the service's load.
     OtherVersion,
-    /// It names a limit that leaves it little to do.
+    /// It signals a request limit too low to count as a whole server.
     Limited,
 }
 
-fn planned(node: &Node, service: &ServiceName, server: &Server) -> Planned {
+fn plan_role(node: &Node, service: &ServiceName, server: &Server) -> PlanRole {
     if !node.rollouts.borrow().carries_load(service, &server.entry.version) {
-        return Planned::OtherVersion;
+        return PlanRole::OtherVersion;
     }
     if counts_toward_fleet(server.limit(), node.busy_each(service)) {
-        Planned::Counted
+        PlanRole::Counted
     } else {
-        Planned::Limited
+        PlanRole::Limited
     }
 }
 
-/// The number that an order names: what the plan wants, and what is there beside it.
+/// Returns the count that an order names: the planned servers plus those that the plan doesn't count.
 ///
-/// Failure: an order names all servers of a kind, and the plan knows the old version's only. Symptom: while both versions
-/// serve, an order for one more server gives back those of the new version. Servers with a limit count as far as the service
-/// may have so many in a data centre, for an order beyond that is refused.
-fn count_ordered(node: &Node, service: &ServiceName, order: &Order, most: u32) -> u32 {
+/// An order names all servers of a kind, but the plan counts only the version that carries the load. If the other
+/// version's servers weren't added, an order for one more server during a roll-out would release them. Limited servers
+/// are added only up to the service's maximum in a data centre, because the cloud rejects an order beyond it.
+fn count_ordered(node: &Node, service: &ServiceName, order: &Order, max_servers: u32) -> u32 {
     let servers = node.servers.borrow();
     let is_reclaimable = order.kind == ServerKind::Reclaimable;
     let (mut other_version, mut limited, mut other_kind) = (0, 0, 0);
-    let there = servers.usable(service, clock::now());
-    for (_, server) in there.filter(|(_, it)| it.entry.data_centre == order.data_centre) {
-        let planned = planned(node, service, server);
+    let usable = servers.usable(service, clock::now());
+    for (_, server) in usable.filter(|(_, it)| it.entry.data_centre == order.data_centre) {
+        let plan_role = plan_role(node, service, server);
         if server.entry.reclaimable != is_reclaimable {
             other_kind += 1;
-        } else if planned == Planned::OtherVersion {
+        } else if plan_role == PlanRole::OtherVersion {
             other_version += 1;
-        } else if planned == Planned::Limited {
+        } else if plan_role == PlanRole::Limited {
             limited += 1;
         }
     }
-    let room = most.saturating_sub(other_kind + order.count);
-    order.count + other_version + limited.min(room)
+    let headroom = max_servers.saturating_sub(other_kind + order.count);
+    order.count + other_version + limited.min(headroom)
 }
 
-/// Sends an order; `None` where this VM may no longer act.
+/// Sends an order; returns `None` if this VM no longer holds the duties.
 async fn send_order<C>(
     node: &Node,
     cloud: &C,
     service: &ServiceName,
     order: &Order,
     busy: f64,
-    most: u32,
+    max_servers: u32,
 ) -> Option<OrderOutcome>
 where
     C: CloudApi,
 {
-    let holder = acting(node)?;
+    let holder = current_holder(node)?;
     let wanted = ServerOrder {
         service: service.clone(),
         data_centre: order.data_centre.clone(),
-        count: count_ordered(node, service, order, most),
+        count: count_ordered(node, service, order, max_servers),
         reclaimable: order.kind == ServerKind::Reclaimable,
     };
     let result = cloud.order(&holder, &wanted).await;
--- a/crates/quincevalve_node/src/duties/orders/tests.rs
+++ b/crates/quincevalve_node/src/duties/orders/tests.rs
@@ -6,7 +6,7 @@
 };
 use quincevalve_names::DataCentreName;
 
-use super::{count_ordered, present};
+use super::{count_ordered, count_present};
 use crate::{
     clock,
     node::Node,
@@ -15,7 +15,7 @@
 
 const START: ServerStart = ServerStart(1);
 
-/// A VM that knows three servers of a service, of which the first takes that many requests a second.
+/// Returns a VM that knows three servers of a service; the first signals a limit of `limit` requests a second.
 fn node_with_servers(limit: f64) -> Node {
     let node = node("vm-1");
     for name in ["s-1", "s-2", "s-3"] {
@@ -47,23 +47,23 @@
 
 fn counted(node: &Node) -> u32 {
     let centre: DataCentreName = "a".into();
-    present(node, &"engines".into(), [&centre].into_iter())[&centre].reclaimable
+    count_present(node, &"engines".into(), [&centre].into_iter())[&centre].reclaimable
 }
 
-// The plan takes a server that does next to nothing for a whole one, and callers are refused meanwhile.
+// A server whose signalled limit leaves it almost idle counts as a whole server in the plan, and callers are rejected.
 #[test]
-fn a_server_in_need_is_replaced_and_not_given_back() {
+fn replaces_a_limited_server_without_releasing_it() {
     run(|| {
         let node = node_with_servers(0.5);
         assert_eq!(counted(&node), 2);
         assert_eq!(count_ordered(&node, &"engines".into(), &order(3), 6), 4);
-        // No more than the service may have in a data centre.
+        // At most the service's maximum in a data centre.
         assert_eq!(count_ordered(&node, &"engines".into(), &order(3), 3), 3);
     });
 }
 
 #[test]
-fn a_server_whose_limit_leaves_it_enough_to_do_counts() {
+fn counts_a_server_whose_limit_exceeds_its_load() {
     run(|| {
         let node = node_with_servers(100.0);
         assert_eq!(counted(&node), 3);
--- a/crates/quincevalve_node/src/duties/reports.rs
+++ b/crates/quincevalve_node/src/duties/reports.rs
@@ -1,4 +1,4 @@
-//! Usage reports: one for each window, the same whoever sends it.
+//! Usage reports: one for each window, with the same content whichever VM sends it.
 
 use std::{cell::Cell, time::Duration};
 
@@ -8,52 +8,52 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::sleep;
 
-use super::{LOOK, acting};
+use super::{POLL_INTERVAL, current_holder};
 use crate::{
     clock,
     node::Node,
     ports::{ActingHolder, CloudApi, Commit, PlatformStore, StoreError, StoreRevision},
 };
 
-/// The key with the newest usage report, written before the report is sent.
+/// Store key of the newest usage report, which is written before the report is sent.
 const REPORT_KEY: &str = "duty/usage";
-/// The key with the counts of windows that are not reported yet.
+/// Store key of the counts of windows that aren't reported yet.
 const COUNTS_KEY: &str = "duty/counts";
-/// Time between two writings of it: what began in the last second before all VMs are killed is lost.
-const KEEP_PERIOD: Duration = Duration::from_secs(1);
-/// Bytes a second that the writing may take; a large system writes less often.
-const KEEP_BYTES_PER_SECOND: f64 = 20_000.0;
-/// From the end of a usage window to its report, where all peers were heard: what began at the window's
-/// end has been told by then.
-const REPORT_AFTER_MS: i64 = 1_000;
-/// The same where some peers are out of reach: reports are due ten seconds after a window's end, and most
-/// cuts heal within this time.
-const REPORT_ANYWAY_MS: i64 = 8_000;
-/// A digest that a peer sent this long after a window's end holds all that began in it: first events are on
-/// their way to the peer for some milliseconds.
-const TOLD_AFTER_MS: i64 = 300;
-/// The part of a window's counts that may be missing from its report: less than half of the twentieth by which
+/// Minimum interval between two writes of the counts. If all VMs are killed, the requests counted since are lost.
+const MIN_WRITE_INTERVAL: Duration = Duration::from_secs(1);
+/// Maximum average rate of these writes in bytes per second; a large system writes less often.
+const MAX_WRITE_BYTES_PER_SECOND: f64 = 20_000.0;
+/// Milliseconds from the end of a usage window to its report if all peers have reported, enough for peers to report
+/// requests that began at the window's end.
+const REPORT_DELAY_MS: i64 = 1_000;
+/// Milliseconds from the end of a usage window to its report if some peers are unreachable. Reports are due ten seconds
+/// after a window's end, and most network partitions heal within this time.
+const MAX_REPORT_DELAY_MS: i64 = 8_000;
+/// Milliseconds after a window's end from which a peer's digest contains all requests that began in the window: their
+/// first events take some milliseconds to reach the peer.
+const COMPLETE_DIGEST_DELAY_MS: i64 = 300;
+/// Maximum fraction of a window's counts that may be missing from its report, less than half of the twentieth by which
 /// reports may be off.
-const MAY_BE_MISSING: f64 = 0.02;
+const MAX_MISSING_FRACTION: f64 = 0.02;
 
-/// A usage report as it was or will be sent.
+/// A usage report that was sent or is to be sent.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 struct Report {
     window: u64,
     counts: IndexMap<ClientAccountName, u64>,
-    /// Busy servers by service as its holder measured them, for its successor.
+    /// Demand by service in busy servers, as measured by the holder, for the next holder's planning.
     busy: IndexMap<ServiceName, f64>,
 }
 
-/// Reports each window once.
+/// Reports the usage of each window with the same counts, also across changes of the holder.
 ///
-/// Failure: a holder dies between a report and the note that it was sent. Symptom: its successor reports
-/// the window again with other counts. The report is written to the store first, and a successor sends
-/// what stands there, word for word, before it goes on.
+/// A report is written to the store before it is sent, and a new holder first sends the stored report unchanged.
+/// Otherwise, if a holder failed between sending a report and recording it, the next holder would report the window
+/// again with other counts.
 ///
-/// `recalled` is set once it is known what the last holder left.
-pub(super) async fn report_usage<S, C>(node: &Node, store: &S, cloud: &C, recalled: &Cell<bool>)
+/// `is_inherited` is set once the previous holder's report is read.
+pub(super) async fn report_usage<S, C>(node: &Node, store: &S, cloud: &C, is_inherited: &Cell<bool>)
 where
     S: PlatformStore,
     C: CloudApi,
@@ -62,50 +62,50 @@
         return std::future::pending().await;
     }
     let mut known: Option<(StoreRevision, Option<Report>)> = None;
-    let mut counts = KeptCounts::default();
+    let mut counts = StoredCounts::default();
     loop {
         if known.is_some() {
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
-        if counts.revision.is_none() && !counts.recall(node, store).await {
-            sleep(LOOK).await;
+        if counts.revision.is_none() && !counts.restore_from_store(node, store).await {
+            sleep(POLL_INTERVAL).await;
             continue;
         }
         let Some((revision, last)) = &known else {
-            match last_report(store).await {
+            match read_last_report(store).await {
                 Ok(found) => {
                     if let Some(report) = &found.1 {
-                        inherit(node, report);
+                        inherit_demand(node, report);
                     }
-                    recalled.set(true);
-                    if let (Some(report), Some(holder)) = (&found.1, acting(node)) {
+                    is_inherited.set(true);
+                    if let (Some(report), Some(holder)) = (&found.1, current_holder(node)) {
                         send_report(cloud, &holder, report).await;
                     }
                     known = Some(found);
                 }
                 Err(error) => {
                     log::debug!(error:% = error; "last-report-unknown");
-                    sleep(LOOK).await;
+                    sleep(POLL_INTERVAL).await;
                 }
             }
             continue;
         };
-        counts.keep(node, store, last.as_ref().map_or(0, |it| it.window + 1)).await;
+        counts.write_if_due(node, store, last.as_ref().map_or(0, |it| it.window + 1)).await;
         let Some(window) = due_window(node, last.as_ref()) else { continue };
-        if acting(node).is_none() {
+        if current_holder(node).is_none() {
             continue;
         }
-        let busy = measured(node);
+        let busy = measured_demand(node);
         let report = Report { window, counts: node.usage.borrow().total(window), busy };
         match write_report(store, *revision, &report).await {
             Ok(revision) => {
-                if let Some(holder) = acting(node) {
+                if let Some(holder) = current_holder(node) {
                     send_report(cloud, &holder, &report).await;
                 }
                 known = Some((revision, Some(report)));
             }
             Err(error) => {
-                // Whether it was written is unknown: read it back.
+                // The write may have taken effect, so the stored report is read again.
                 log::debug!(window, error:% = error; "report-not-written");
                 known = None;
             }
@@ -113,18 +113,18 @@
     }
 }
 
-/// The counts in the store, for a successor.
+/// The counts kept in the store for the next holder.
 #[derive(Default)]
-struct KeptCounts {
-    /// The revision of what stands there; `None` where that isn't known.
+struct StoredCounts {
+    /// Revision of the stored counts; `None` while unknown.
     revision: Option<StoreRevision>,
-    /// Not before this time.
-    next: TimePoint,
+    /// Earliest time of the next write.
+    next_write: TimePoint,
 }
 
-impl KeptCounts {
-    /// Takes what the last holder kept; `false` if the store could not tell.
-    async fn recall<S>(&mut self, node: &Node, store: &S) -> bool
+impl StoredCounts {
+    /// Restores the counts that the previous holder stored; returns `false` if the store can't be read.
+    async fn restore_from_store<S>(&mut self, node: &Node, store: &S) -> bool
     where
         S: PlatformStore,
     {
@@ -138,36 +138,36 @@
         self.revision = Some(item.as_ref().map_or(StoreRevision::ABSENT, |it| it.revision));
         let Some(item) = item else { return true };
         match bincode::deserialize::<UsageSnapshot>(&item.value) {
-            Ok(kept) => node.usage.borrow_mut().restore(kept, me(node)),
-            // The next writing replaces it.
+            Ok(snapshot) => node.usage.borrow_mut().restore(snapshot, identity(node)),
+            // The next write replaces the unreadable counts.
             Err(error) => log::warn!(error:% = error; "counts-unreadable"),
         }
         true
     }
 
-    /// Writes what is known of windows from `since` on, if it is time.
-    async fn keep<S>(&mut self, node: &Node, store: &S, since: u64)
+    /// Writes the counts of the windows from `since` on, if the next write is due.
+    async fn write_if_due<S>(&mut self, node: &Node, store: &S, since: u64)
     where
         S: PlatformStore,
     {
         let now = clock::now();
-        let Some(revision) = self.revision.filter(|_| now >= self.next) else { return };
-        if acting(node).is_none() {
+        let Some(revision) = self.revision.filter(|_| now >= self.next_write) else { return };
+        if current_holder(node).is_none() {
             return;
         }
-        let kept = node.usage.borrow().snapshot(me(node), since);
-        let value = match bincode::serialize(&kept) {
+        let snapshot = node.usage.borrow().snapshot(identity(node), since);
+        let value = match bincode::serialize(&snapshot) {
             Ok(value) => value,
             Err(error) => return log::error!(error:% = error; "counts-not-encoded"),
         };
-        let pause = Duration::from_secs_f64(value.len() as f64 / KEEP_BYTES_PER_SECOND);
-        self.next = now + pause.max(KEEP_PERIOD);
+        let pause = Duration::from_secs_f64(value.len() as f64 / MAX_WRITE_BYTES_PER_SECOND);
+        self.next_write = now + pause.max(MIN_WRITE_INTERVAL);
         let expected = vec![(COUNTS_KEY.to_owned(), revision)];
         let puts = vec![(COUNTS_KEY.to_owned(), value, None)];
         self.revision = match store.commit(&Commit { expected, puts, ..Commit::default() }).await {
             Ok(revision) => Some(revision),
             Err(error) => {
-                // Whether it was written is unknown: read it back.
+                // The write may have taken effect, so the stored counts are read again.
                 log::debug!(error:% = error; "counts-not-kept");
                 None
             }
@@ -175,19 +175,19 @@
     }
 }
 
-/// This VM and its start.
-fn me(node: &Node) -> (&str, u64) {
+/// Returns the name and the incarnation of this VM.
+fn identity(node: &Node) -> (&str, u64) {
     (node.settings.name.as_str(), node.incarnation)
 }
 
-/// The demand that was measured here, in busy servers.
-fn measured(node: &Node) -> IndexMap<ServiceName, f64> {
+/// Returns the demand by service that this VM measured, in busy servers.
+fn measured_demand(node: &Node) -> IndexMap<ServiceName, f64> {
     let demands = node.measured.borrow();
     demands.iter().filter_map(|(name, it)| Some((name.clone(), it.measured()?))).collect()
 }
 
-/// Takes over the demand that the last holder measured, unless enough was measured here.
-fn inherit(node: &Node, report: &Report) {
+/// Takes the previous holder's measured demand for services without a measurement of this VM.
+fn inherit_demand(node: &Node, report: &Report) {
     let mut measured = node.measured.borrow_mut();
     for (service, busy) in &report.busy {
         let known = measured.entry(service.clone()).or_default();
@@ -197,7 +197,8 @@
     }
 }
 
-async fn last_report<S>(store: &S) -> Result<(StoreRevision, Option<Report>), StoreError>
+/// Reads the newest report and its revision.
+async fn read_last_report<S>(store: &S) -> Result<(StoreRevision, Option<Report>), StoreError>
 where
     S: PlatformStore,
 {
@@ -222,28 +223,31 @@
     store.commit(&Commit { expected, puts, ..Commit::default() }).await
 }
 
-/// The next window to report, if its time has come.
+/// Returns the next window to report, if it is due.
 ///
-/// Failure: a data centre is cut off from the holder for some seconds at a window's end. Symptom: the report
-/// lacks all that began there. The report waits for what every known peer has to tell, as long as it can.
+/// The report waits for the counts of every known peer for as long as the deadline allows. Otherwise, if a data centre
+/// is cut off from the holder for some seconds at a window's end, the report would lack all requests that began there.
 fn due_window(node: &Node, last: Option<&Report>) -> Option<u64> {
     let now = clock::now();
     let now_ms = node.wall.borrow().estimate_ms(now)?;
     let length = node.settings.duties.usage_window.as_millis().max(1) as i64;
-    let newest = ((now_ms - REPORT_AFTER_MS) / length - 1) as u64;
-    // Without a report so far the newest window that has ended is the first.
+    let newest = ((now_ms - REPORT_DELAY_MS) / length - 1) as u64;
+    // If nothing was reported yet, the first window is the newest one that has ended.
     let next = last.map_or(newest, |it| it.window + 1).max(newest.saturating_sub(2));
     if next > newest {
         return None;
     }
     let since_end_ms = now_ms - (next.cast_signed() + 1) * length;
     let begin = next.cast_signed() * length;
-    let told_since = begin + length + TOLD_AFTER_MS;
+    let complete_since = begin + length + COMPLETE_DIGEST_DELAY_MS;
     let peers = node.peers.borrow();
-    let missing =
-        node.usage.borrow().missing_fraction(peers.book.expected_reporters(now), begin, told_since);
-    let complete = missing <= MAY_BE_MISSING;
-    (complete || since_end_ms >= REPORT_ANYWAY_MS).then_some(next)
+    let missing = node.usage.borrow().missing_fraction(
+        peers.book.expected_reporters(now),
+        begin,
+        complete_since,
+    );
+    let complete = missing <= MAX_MISSING_FRACTION;
+    (complete || since_end_ms >= MAX_REPORT_DELAY_MS).then_some(next)
 }
 
 async fn send_report<C>(cloud: &C, holder: &ActingHolder, report: &Report)
--- a/crates/quincevalve_node/src/duties/rollouts.rs
+++ b/crates/quincevalve_node/src/duties/rollouts.rs
@@ -1,4 +1,6 @@
-//! Roll-outs as the holder of the duties leads them: one record for all VMs, and the word to the operators.
+//! Roll-outs as led by the holder of the duties.
+//!
+//! The holder writes the one record that all VMs follow and the status for operators.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -13,7 +15,7 @@
 use quincevalve_names::{ServiceName, TimePoint};
 use tokio::time::sleep;
 
-use super::acting;
+use super::current_holder;
 use crate::{
     clock,
     node::Node,
@@ -22,88 +24,94 @@
     store::view::HOLDER_KEY,
 };
 
-/// Time between two looks at roll-outs.
-const LOOK: Duration = Duration::from_millis(100);
-/// Pause after a call to the store that failed: each one counts, also those that are refused.
-const FAILED_PAUSE: Duration = Duration::from_millis(400);
-/// Time between two lines that tell what was seen.
-const LINE_PERIOD: Duration = Duration::from_secs(1);
-/// The part of its time that a server of the new version may be busy when it takes over.
-const WANTED_BUSY: f64 = 0.8;
-/// The part of the old servers that the new ones have to be where no demand is measured.
-const LEAST_PART: f64 = 0.75;
+/// Interval between two evaluations of the roll-outs.
+const EVALUATION_INTERVAL: Duration = Duration::from_millis(100);
+/// Delay after a failed store call: each call counts towards the limit on store calls, rejected ones included.
+const STORE_FAILURE_DELAY: Duration = Duration::from_millis(400);
+/// Interval between two log lines about a roll-out's evidence.
+const EVIDENCE_LOG_INTERVAL: Duration = Duration::from_secs(1);
+/// Maximum utilization of the new version's servers when the version takes over.
+const MAX_UTILIZATION: f64 = 0.8;
+/// Upper bound of the needed new servers as a fraction of the old ones; applies as it is where no demand is measured.
+const MAX_NEEDED_FRACTION: f64 = 0.75;
 
-/// A record as it stands in the store, and its revision.
-type Stored = (StoreRevision, Option<RolloutRecord>);
+/// The stored record of a roll-out, if any, and its revision.
+type StoredRecord = (StoreRevision, Option<RolloutRecord>);
 
-/// Leads all roll-outs for as long as this VM holds the duties.
-pub(super) async fn lead_rollouts<S>(node: &Node, store: &S)
+/// Advances all roll-outs for as long as this VM holds the duties.
+pub(super) async fn run_rollouts<S>(node: &Node, store: &S)
 where
     S: PlatformStore,
 {
-    let mut lead = Lead { node, store, since: None, stored: HashMap::new(), told: HashMap::new() };
+    let mut leader = RolloutLeader {
+        node,
+        store,
+        holder_revision: None,
+        stored: HashMap::new(),
+        last_logged: HashMap::new(),
+    };
     loop {
-        sleep(LOOK).await;
+        sleep(EVALUATION_INTERVAL).await;
         let services: Vec<_> = node.rollouts.borrow().services().cloned().collect();
         for service in services {
-            if acting(node).is_none() {
+            if current_holder(node).is_none() {
                 continue;
             }
-            if let Err(error) = lead.go_on(&service).await {
+            if let Err(error) = leader.advance(&service).await {
                 log::warn!(service = service.as_str(), error:% = error; "rollout-call-failed");
-                sleep(FAILED_PAUSE).await;
+                sleep(STORE_FAILURE_DELAY).await;
             }
         }
     }
 }
 
-struct Lead<'a, S> {
+struct RolloutLeader<'a, S> {
     node: &'a Node,
     store: &'a S,
-    /// The revision at which this VM stands as the holder of the duties, once it was read: a write that expects it fails
-    /// once another does.
-    since: Option<StoreRevision>,
-    /// What stands in the store; missing where that isn't known.
-    stored: HashMap<ServiceName, Stored>,
-    /// When what was seen was told last.
-    told: HashMap<ServiceName, TimePoint>,
+    /// Revision of the store entry that names this VM as the holder, once read. A write that expects this revision
+    /// fails as soon as another VM holds the duties.
+    holder_revision: Option<StoreRevision>,
+    /// The stored record by service; a service is missing while its stored record is unknown.
+    stored: HashMap<ServiceName, StoredRecord>,
+    /// When the evidence of a service was last logged.
+    last_logged: HashMap<ServiceName, TimePoint>,
 }
 
-impl<S> Lead<'_, S>
+impl<S> RolloutLeader<'_, S>
 where
     S: PlatformStore,
 {
-    /// Writes the next record of a service's roll-out, if it is time.
-    async fn go_on(&mut self, service: &ServiceName) -> Result<(), StoreError> {
-        let Some(since) = self.held_since().await? else { return Ok(()) };
+    /// Writes the next record of a service's roll-out, if one is due.
+    async fn advance(&mut self, service: &ServiceName) -> Result<(), StoreError> {
+        let Some(holder_revision) = self.read_holder_revision().await? else { return Ok(()) };
         let (revision, known) = self.stored(service).await?;
-        // An incomplete list of servers says nothing of what there is.
+        // An incomplete list of servers would give wrong counts of both versions.
         if self.node.servers.borrow().may_be_incomplete(clock::now()) {
             return Ok(());
         }
-        self.tell(service, known.as_ref());
-        let Some(next) = self.next(service, known.as_ref()) else { return Ok(()) };
-        // Until it is answered it is unknown whether it was written: after a failure it is read back.
+        self.log_evidence(service, known.as_ref());
+        let Some(next) = self.next_record(service, known.as_ref()) else { return Ok(()) };
+        // A failed write may have taken effect, so the record is forgotten first and read again after a failure.
         self.stored.remove(service);
-        let revision = self.write(service, since, revision, &next).await?;
-        self.tell_step(service, &next);
+        let revision = self.write(service, holder_revision, revision, &next).await?;
+        self.log_step(service, &next);
         self.stored.insert(service.clone(), (revision, Some(next.clone())));
         take_record(self.node, service, next);
         self.node.changed.notify_waiters();
         Ok(())
     }
 
-    /// The revision at which this VM stands as the holder; `None` where another does.
-    async fn held_since(&mut self) -> Result<Option<StoreRevision>, StoreError> {
-        if self.since.is_none() {
+    /// Returns the revision of the store entry that names this VM as the holder; `None` if another VM is named.
+    async fn read_holder_revision(&mut self) -> Result<Option<StoreRevision>, StoreError> {
+        if self.holder_revision.is_none() {
             let me = self.node.settings.name.as_str().as_bytes();
             let holder = self.store.get(HOLDER_KEY).await?;
-            self.since = holder.filter(|it| it.value == me).map(|it| it.revision);
+            self.holder_revision = holder.filter(|it| it.value == me).map(|it| it.revision);
         }
-        Ok(self.since)
+        Ok(self.holder_revision)
     }
 
-    async fn stored(&mut self, service: &ServiceName) -> Result<Stored, StoreError> {
+    async fn stored(&mut self, service: &ServiceName) -> Result<StoredRecord, StoreError> {
         if let Some(stored) = self.stored.get(service) {
             return Ok(stored.clone());
         }
@@ -112,7 +120,7 @@
         Ok(stored)
     }
 
-    async fn read(&self, service: &ServiceName) -> Result<Stored, StoreError> {
+    async fn read(&self, service: &ServiceName) -> Result<StoredRecord, StoreError> {
         let key = rollout_key(service);
         let Some(item) = self.store.get(&key).await? else {
             return Ok((StoreRevision::ABSENT, None));
@@ -124,56 +132,60 @@
         Ok((item.revision, known))
     }
 
-    fn next(&self, service: &ServiceName, known: Option<&RolloutRecord>) -> Option<RolloutRecord> {
+    fn next_record(
+        &self,
+        service: &ServiceName,
+        known: Option<&RolloutRecord>,
+    ) -> Option<RolloutRecord> {
         let node = self.node;
         let now = clock::now();
         let now_ms = node.wall.borrow().estimate_ms(now)?;
         let config = node.config()?;
-        let book = node.rollouts.borrow();
-        let order = book.orders().find(|(it, _)| *it == service).map(|(_, it)| it);
+        let rollouts = node.rollouts.borrow();
+        let order = rollouts.orders().find(|(it, _)| *it == service).map(|(_, it)| it);
         let to = order.map(|it| &it.to).or(known.map(|it| &it.to))?;
         let servers = node.servers.borrow();
         let (new, old): (Vec<_>, Vec<_>) =
             servers.usable(service, now).partition(|(_, it)| it.entry.version == *to);
-        let old = old.iter().filter(|(_, it)| book.admits(service, &it.entry.version)).count();
+        let old = old.iter().filter(|(_, it)| rollouts.admits(service, &it.entry.version)).count();
         let measured = node.measured.borrow();
         let busy = measured.get(service).and_then(MeasuredDemand::measured);
         let peers = node.peers.borrow();
         let vms = node.vms();
-        let told = book.progress(service).unwrap_or_default();
-        let is_own_follower = u32::from(book.has_switched(service, now));
-        let situation = StepInput {
+        let progress = rollouts.progress(service).unwrap_or_default();
+        let own_switched = u32::from(rollouts.has_switched(service, now));
+        let input = StepInput {
             now_ms,
             order,
             record: known,
-            verdict: book.verdict(service),
+            verdict: rollouts.verdict(service),
             has_engines: config.services.get(service).is_some_and(|it| it.engine.is_some()),
             new_servers: new.len(),
-            needed_servers: needed(old, busy),
+            needed_servers: needed_servers(old, busy),
             has_old_servers: old > 0,
             vms: PromotionProgress {
                 vms,
                 reachable: (peers.reachable_part() * vms as f64).round() as usize,
-                switched: (told.switched + is_own_follower) as usize,
-                old_in_flight: told.old_in_flight,
+                switched: (progress.switched + own_switched) as usize,
+                old_in_flight: progress.old_in_flight,
             },
         };
-        next_record(&situation)
+        next_record(&input)
     }
 
-    /// Writes the record and the word to the operators, if this VM still holds the duties and the order still stands.
+    /// Writes the record and the status for operators, if this VM still holds the duties and the order is unchanged.
     async fn write(
         &self,
         service: &ServiceName,
-        since: StoreRevision,
-        over: StoreRevision,
+        holder_revision: StoreRevision,
+        expected: StoreRevision,
         next: &RolloutRecord,
     ) -> Result<StoreRevision, StoreError> {
         let value = serde_json::to_vec(next)
             .map_err(|error| StoreError::Unreadable { what: error.to_string() })?;
         let key = rollout_key(service);
         let commit = Commit {
-            expected: vec![(key.clone(), over), (HOLDER_KEY.to_owned(), since)],
+            expected: vec![(key.clone(), expected), (HOLDER_KEY.to_owned(), holder_revision)],
             puts: vec![(key, value, None)],
             ..Commit::default()
         };
@@ -182,55 +194,55 @@
         let status = RolloutStatus {
             service: service.clone(),
             to: next.to.clone(),
-            state: state(next.phase),
+            state: rollout_state(next.phase),
             order: StoreRevision(order.0),
         };
         self.store.commit_rollout(&commit, &status).await
     }
 
-    fn left_ms(&self, record: &RolloutRecord) -> i64 {
+    fn remaining_ms(&self, record: &RolloutRecord) -> i64 {
         let now_ms = self.node.wall.borrow().estimate_ms(clock::now());
         record.deadline_ms() - now_ms.unwrap_or(record.ordered_ms)
     }
 
-    fn tell_step(&self, service: &ServiceName, next: &RolloutRecord) {
+    fn log_step(&self, service: &ServiceName, next: &RolloutRecord) {
         let cause = match next.phase {
             Phase::RolledBack(cause) => cause.name(),
             Phase::Canary | Phase::Promoting | Phase::Completed => "",
         };
-        let told = self.node.rollouts.borrow().progress(service).unwrap_or_default();
+        let progress = self.node.rollouts.borrow().progress(service).unwrap_or_default();
         log::info!(
             service = service.as_str(), order = next.order.0, to:% = next.to, phase:? = next.phase,
-            cause, old_runs = told.old_in_flight, left_ms = self.left_ms(next);
+            cause, old_runs = progress.old_in_flight, left_ms = self.remaining_ms(next);
             "rollout-step"
         );
     }
 
-    /// Tells what was seen of both versions, now and then.
-    fn tell(&mut self, service: &ServiceName, known: Option<&RolloutRecord>) {
+    /// Logs the evidence about both versions, at most once per [`EVIDENCE_LOG_INTERVAL`].
+    fn log_evidence(&mut self, service: &ServiceName, known: Option<&RolloutRecord>) {
         let now = clock::now();
         let Some(known) = known.filter(|it| !it.phase.is_final()) else { return };
-        if self.told.get(service).is_some_and(|it| now.since(*it) < LINE_PERIOD) {
+        if self.last_logged.get(service).is_some_and(|it| now.since(*it) < EVIDENCE_LOG_INTERVAL) {
             return;
         }
-        self.told.insert(service.clone(), now);
-        let book = self.node.rollouts.borrow();
-        let Some(judged) = book.comparison(service) else { return };
-        let Some(found) = judged.judgement else { return };
-        let (old, new) = (judged.evidence.old_version(), judged.evidence.new_version());
+        self.last_logged.insert(service.clone(), now);
+        let rollouts = self.node.rollouts.borrow();
+        let Some(comparison) = rollouts.comparison(service) else { return };
+        let Some(judgement) = comparison.judgement else { return };
+        let (old, new) = (comparison.evidence.old_version(), comparison.evidence.new_version());
         log::info!(
             service = service.as_str(), order = known.order.0, phase:? = known.phase,
-            left_ms = self.left_ms(known), verdict:? = found.verdict,
+            left_ms = self.remaining_ms(known), verdict:? = judgement.verdict,
             new_answers = new.answers, new_failed = new.failed,
             old_answers = old.answers, old_failed = old.failed,
-            failures = found.failures, bound = found.failures_bound,
-            first = found.first.mean, first_error = found.first.error,
-            pace = found.pace.mean, pace_error = found.pace.error, outliers = found.outliers;
+            failures = judgement.failures, bound = judgement.failures_bound,
+            first = judgement.first.mean, first_error = judgement.first.error,
+            pace = judgement.pace.mean, pace_error = judgement.pace.error, outliers = judgement.outliers;
             "rollout-look"
         );
         let Some(config) = self.node.config() else { return };
         for route in config.routes() {
-            let Some(pair) = judged.evidence.routes.get(&RouteKey::of(&route.name)) else {
+            let Some(pair) = comparison.evidence.routes.get(&RouteKey::of(&route.name)) else {
                 continue;
             };
             log::info!(
@@ -244,14 +256,14 @@
     }
 }
 
-/// Servers of the new version that are needed where `old` ones serve: those that the measured demand keeps busy.
-fn needed(old: usize, busy: Option<f64>) -> usize {
-    let most = (old as f64 * LEAST_PART).ceil() as usize;
-    let by_demand = busy.map(|it| (it / WANTED_BUSY).ceil() as usize);
-    by_demand.map_or(most, |it| it.min(most)).max(1)
+/// Returns how many servers of the new version can replace `old` ones; `busy` is the measured demand in busy servers.
+fn needed_servers(old: usize, busy: Option<f64>) -> usize {
+    let upper_bound = (old as f64 * MAX_NEEDED_FRACTION).ceil() as usize;
+    let needed_for_demand = busy.map(|it| (it / MAX_UTILIZATION).ceil() as usize);
+    needed_for_demand.map_or(upper_bound, |it| it.min(upper_bound)).max(1)
 }
 
-const fn state(phase: Phase) -> RolloutState {
+const fn rollout_state(phase: Phase) -> RolloutState {
     match phase {
         Phase::Canary | Phase::Promoting => RolloutState::Active,
         Phase::Completed => RolloutState::Completed,
--- a/crates/quincevalve_node/src/lib.rs
+++ b/crates/quincevalve_node/src/lib.rs
@@ -1,8 +1,7 @@
-//! The forwarding path as one process on an entry VM: HTTP in, HTTP out, and what it has to know for that.
+//! The forwarding process of an entry VM: it receives callers' HTTP requests and forwards them to backend servers.
 //!
-//! The process runs on one thread: an entry VM has a fraction of a core, and state that many requests
-//! share needs no locks then. Decisions live in `quincevalve_forwarding`; what the platform calls things
-//! stays behind the traits in [`ports`].
+//! The process runs on one thread, because an entry VM has a fraction of a core and shared state then needs no locks.
+//! Decisions are made in `quincevalve_forwarding`; the traits in [`ports`] hide the platform's API.
 
 mod clock;
 mod duties;
--- a/crates/quincevalve_node/src/metrics.rs
+++ b/crates/quincevalve_node/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and latency histograms, in the text format that scrapers read.
+//! Counters, gauges and latency histograms, served in the OpenMetrics text format.
 
 use std::{convert::Infallible, rc::Rc, time::Duration};
 
@@ -19,31 +19,32 @@
 
 use crate::{clock, node::Node, request::body::AnswerBody};
 
-/// Pause after a failure to accept.
+/// Delay after a failure to accept a connection.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// Buckets of the histograms: from 2 ms, doubling, to 16 s.
+/// Upper bound of the first histogram bucket; the bounds double from 2 ms to 16 s.
 const FIRST_BUCKET_SECONDS: f64 = 0.002;
-const BUCKETS: u16 = 14;
+/// Number of histogram buckets.
+const BUCKET_COUNT: u16 = 14;
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
-struct Ended {
+struct RequestLabels {
     route: String,
     outcome: String,
 }
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
-struct ToRoute {
+struct RouteLabels {
     route: String,
 }
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
-struct ToServer {
+struct AttemptLabels {
     service: String,
     result: String,
 }
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
-struct ToVersion {
+struct VersionLabels {
     service: String,
     version: String,
 }
@@ -51,11 +52,11 @@
 /// All metrics of the process.
 pub(crate) struct Metrics {
     registry: Registry,
-    requests: Family<Ended, Counter>,
-    first_answer: Family<ToRoute, Histogram>,
-    between_events: Family<ToRoute, Histogram>,
-    sendings: Family<ToServer, Counter>,
-    sendings_by_version: Family<ToVersion, Counter>,
+    requests: Family<RequestLabels, Counter>,
+    first_answer: Family<RouteLabels, Histogram>,
+    between_events: Family<RouteLabels, Histogram>,
+    attempts: Family<AttemptLabels, Counter>,
+    attempts_by_version: Family<VersionLabels, Counter>,
     in_flight: Gauge,
     servers: Gauge,
     limited_servers: Gauge,
@@ -63,7 +64,7 @@
     config_version: Gauge,
     proof_age_ms: Gauge,
     quarantined: Gauge,
-    lines_left_out: Counter,
+    suppressed_lines: Counter,
 }
 
 impl Default for Metrics {
@@ -71,15 +72,15 @@
         let mut registry = Registry::with_prefix("quincevalve");
         let requests = Family::default();
         let [first_answer, between_events] = std::array::from_fn(|_| {
-            Family::<ToRoute, Histogram>::new_with_constructor(|| {
-                Histogram::new(exponential_buckets(FIRST_BUCKET_SECONDS, 2.0, BUCKETS))
+            Family::<RouteLabels, Histogram>::new_with_constructor(|| {
+                Histogram::new(exponential_buckets(FIRST_BUCKET_SECONDS, 2.0, BUCKET_COUNT))
             })
         });
-        let sendings = Family::default();
-        let sendings_by_version = Family::default();
+        let attempts = Family::default();
+        let attempts_by_version = Family::default();
         let [in_flight, servers, limited_servers, vms, config_version, proof_age_ms, quarantined] =
             std::array::from_fn(|_| Gauge::default());
-        let lines_left_out = Counter::default();
+        let suppressed_lines = Counter::default();
         registry.register("requests", "Requests by route and outcome", requests.clone());
         registry.register(
             "first_answer_seconds",
@@ -88,34 +89,42 @@
         );
         registry.register(
             "between_events_seconds",
-            "Time between two events of a stream, as they go to the caller",
+            "Time between two events of a stream, as sent to the caller",
             between_events.clone(),
         );
-        registry.register("sendings", "Sendings to servers by result", sendings.clone());
+        registry.register("sendings", "Attempts at servers by result", attempts.clone());
         registry.register(
             "sendings_by_version",
-            "Sendings to servers by their software's version",
-            sendings_by_version.clone(),
+            "Attempts at servers by the server's software version",
+            attempts_by_version.clone(),
         );
-        registry.register("in_flight", "Requests and streams at present", in_flight.clone());
+        registry.register("in_flight", "Requests and streams in flight", in_flight.clone());
         registry.register("servers", "Servers that take new work", servers.clone());
         registry.register(
             "limited_servers",
-            "Servers that name a limit of requests",
+            "Servers that signal a request limit",
             limited_servers.clone(),
         );
-        registry.register("vms", "Entry VMs that are known", vms.clone());
-        registry.register("config_version", "Configuration in force", config_version.clone());
-        registry.register("proof_age_ms", "Age of the newest proof", proof_age_ms.clone());
-        registry.register("quarantined", "Requests kept from servers", quarantined.clone());
-        registry.register("log_lines_left_out", "Log lines not written", lines_left_out.clone());
+        registry.register("vms", "Known entry VMs", vms.clone());
+        registry.register(
+            "config_version",
+            "Version of the configuration in force",
+            config_version.clone(),
+        );
+        registry.register(
+            "proof_age_ms",
+            "Age of the newest freshness confirmation",
+            proof_age_ms.clone(),
+        );
+        registry.register("quarantined", "Quarantined requests", quarantined.clone());
+        registry.register("log_lines_left_out", "Suppressed log lines", suppressed_lines.clone());
         Self {
             registry,
             requests,
             first_answer,
             between_events,
-            sendings,
-            sendings_by_version,
+            attempts,
+            attempts_by_version,
             in_flight,
             servers,
             limited_servers,
@@ -123,48 +132,49 @@
             config_version,
             proof_age_ms,
             quarantined,
-            lines_left_out,
+            suppressed_lines,
         }
     }
 }
 
 impl Metrics {
-    /// Counts a request that has ended.
+    /// Counts a finished request.
     pub(crate) fn request(&self, route: &str, outcome: &str) {
-        let labels = Ended { route: route.to_owned(), outcome: outcome.to_owned() };
+        let labels = RequestLabels { route: route.to_owned(), outcome: outcome.to_owned() };
         self.requests.get_or_create(&labels).inc();
     }
 
-    /// Counts a sending to a server of a version.
+    /// Counts an attempt by the server's version.
     pub(crate) fn sent_to(&self, service: &str, version: &str) {
-        let labels = ToVersion { service: service.to_owned(), version: version.to_owned() };
-        self.sendings_by_version.get_or_create(&labels).inc();
+        let labels = VersionLabels { service: service.to_owned(), version: version.to_owned() };
+        self.attempts_by_version.get_or_create(&labels).inc();
     }
 
-    /// Takes the time to a first answer.
+    /// Records the time to the first byte of an answer.
     pub(crate) fn first_answer(&self, route: &str, took: Duration) {
-        let labels = ToRoute { route: route.to_owned() };
+        let labels = RouteLabels { route: route.to_owned() };
         self.first_answer.get_or_create(&labels).observe(took.as_secs_f64());
     }
 
-    /// Takes the time between two events of a stream.
+    /// Records the time between two events of a stream.
     pub(crate) fn between_events(&self, route: &str, took: Duration) {
-        let labels = ToRoute { route: route.to_owned() };
+        let labels = RouteLabels { route: route.to_owned() };
         self.between_events.get_or_create(&labels).observe(took.as_secs_f64());
     }
 
-    /// Counts a sending to a server.
+    /// Counts an attempt by its result.
     pub(crate) fn sending(&self, service: &str, result: &str) {
-        let labels = ToServer { service: service.to_owned(), result: result.to_owned() };
-        self.sendings.get_or_create(&labels).inc();
+        let labels = AttemptLabels { service: service.to_owned(), result: result.to_owned() };
+        self.attempts.get_or_create(&labels).inc();
     }
 
-    /// Counts log lines that were not written.
+    /// Counts suppressed log lines.
     pub(crate) fn left_out(&self, lines: u64) {
-        self.lines_left_out.inc_by(lines);
+        self.suppressed_lines.inc_by(lines);
     }
 
-    fn text(&self, node: &Node) -> String {
+    /// Updates the gauges and encodes all metrics.
+    fn encode_text(&self, node: &Node) -> String {
         let now = clock::now();
         let servers = node.servers.borrow();
         let usable = servers.all().filter(|(_, it)| servers.is_usable(it, now)).count();
@@ -189,7 +199,7 @@
     i64::try_from(count).unwrap_or(i64::MAX)
 }
 
-/// Serves the metrics for as long as the process lives.
+/// Serves the metrics for as long as the process runs.
 pub(crate) async fn serve_metrics(node: Rc<Node>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -216,7 +226,7 @@
         *answer.status_mut() = StatusCode::NOT_FOUND;
         return answer;
     }
-    let mut answer = Response::new(AnswerBody::whole(node.metrics.text(node)));
+    let mut answer = Response::new(AnswerBody::whole(node.metrics.encode_text(node)));
     let text = HeaderValue::from_static("application/openmetrics-text; version=1.0.0");
     answer.headers_mut().insert(header::CONTENT_TYPE, text);
     answer
--- a/crates/quincevalve_node/src/node.rs
+++ b/crates/quincevalve_node/src/node.rs
@@ -1,4 +1,4 @@
-//! The state that all parts of the process share.
+//! State shared by all tasks of the process.
 
 use std::{
     cell::{Cell, RefCell},
@@ -45,30 +45,32 @@
     store::{config_copy::ConfigCopy, state_copy::StateCopy, view::StoreView},
 };
 
-/// Where the process stands between its start and its end.
+/// Phase of the process's life cycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
     Serving,
-    /// SIGTERM came: the platform is told that no more callers are taken, and those that come are served
-    /// as far as they can end in time.
+    /// SIGTERM was received. The readiness check fails; requests that still arrive are served if they can finish in
+    /// time.
     Draining {
-        /// When the process ends.
+        /// When the process exits.
         until: Instant,
     },
 }
 
-/// Time that a stream needs before the process ends: that of a long answer.
-const STREAM_TIME: Duration = Duration::from_millis(4_700);
+/// Minimum time that must remain to accept a stream while draining: the duration of a long answer.
+const MIN_STREAM_TIME: Duration = Duration::from_millis(4_700);
 
-/// Part of the time from a change to its being in force within which "unknown" may be said for sure.
-const CHANGE_PROOF_PART: f64 = 0.9;
+/// Maximum age of the freshness confirmation for rejecting unknown names, as a fraction of `Bounds::change_in_force`.
+const FRESH_FRACTION: f64 = 0.9;
 
-/// The shared state. The process has one thread: borrows never cross an `await`.
+/// State of the process, shared by its tasks.
+///
+/// The process has one thread, and borrows never cross an `await`.
 pub(crate) struct Node {
     pub(crate) settings: NodeSettings,
     pub(crate) headers: HeaderNames,
     pub(crate) incarnation: u64,
-    /// When this process began.
+    /// Monotonic time at which this process started.
     pub(crate) began: TimePoint,
     pub(crate) phase: Cell<Phase>,
     pub(crate) config: RefCell<Option<Rc<ForwardingConfig>>>,
@@ -80,34 +82,36 @@
     pub(crate) wall: RefCell<WallClock<String>>,
     pub(crate) duty: RefCell<DutyLease>,
     pub(crate) peers: RefCell<Peers>,
-    /// Work that is taken on here, by service.
+    /// Work that this VM accepted, by service.
     pub(crate) demand: RefCell<IndexMap<ServiceName, WorkRate>>,
-    /// The work that callers ask of services whose servers are ordered, as measured here.
+    /// Demand for services that are scaled by orders, as measured by this VM.
     pub(crate) measured: RefCell<IndexMap<ServiceName, MeasuredDemand>>,
     pub(crate) backends: Backends,
     pub(crate) rng: RefCell<Pcg64Mcg>,
     pub(crate) in_flight: Cell<usize>,
     pub(crate) mover: Mover,
-    /// What is known of requests under which servers exit.
+    /// Detects requests that make servers exit, and holds their quarantines.
     pub(crate) poison: RefCell<PoisonGuard>,
     pub(crate) quarantine: QuarantineStore,
-    /// What is known of services that are moved to another version.
+    /// Roll-outs of new versions, by service.
     pub(crate) rollouts: RefCell<RolloutTable>,
+    /// Budget of log lines.
     pub(crate) lines: RefCell<LineBudget>,
+    /// Separate budget of log lines about rejected requests.
     pub(crate) refusal_lines: RefCell<LineBudget>,
     pub(crate) metrics: Metrics,
     pub(crate) store_view: RefCell<StoreView>,
-    /// When the store answered this VM or one that it hears.
+    /// When the store last answered this VM or a VM from which it receives.
     pub(crate) store_contact: Cell<StoreContact>,
-    /// The newest version of the configuration that others have.
+    /// Newest version of the configuration that other VMs reported.
     pub(crate) told_version: Cell<u64>,
-    /// What comes of a newer configuration from other VMs.
+    /// Transfers of a newer configuration from other VMs.
     pub(crate) config_copy: RefCell<ConfigCopy>,
-    /// What comes of the store from other VMs while this one starts, and who asked for it.
+    /// Transfers of the store's state: from other VMs while this one starts, and to VMs that requested it.
     pub(crate) state_copy: RefCell<StateCopy>,
-    /// What servers said of themselves that other VMs haven't been told yet.
+    /// Signals of servers that are still to be reported to other VMs.
     pub(crate) signal_outbox: RefCell<SignalOutbox>,
-    /// Wakes those who wait for changes of servers or VMs.
+    /// Wakes tasks that wait for a change of servers or VMs.
     pub(crate) changed: Notify,
 }
 
@@ -131,7 +135,7 @@
             usage: RefCell::default(),
             wall: RefCell::default(),
             duty: RefCell::default(),
-            peers: RefCell::new(Peers::new(card(&settings), settings.link)),
+            peers: RefCell::new(Peers::new(descriptor(&settings), settings.link)),
             demand: RefCell::default(),
             measured: RefCell::default(),
             backends: Backends::new(settings.ip),
@@ -156,12 +160,12 @@
         }
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     pub(crate) fn config(&self) -> Option<Rc<ForwardingConfig>> {
         self.config.borrow().clone()
     }
 
-    /// Takes a version of the configuration; an older one than that in force changes nothing.
+    /// Applies a configuration, unless the one in force is as new or newer.
     pub(crate) fn apply_config(&self, config: ForwardingConfig) {
         let mut current = self.config.borrow_mut();
         let known = current.as_ref().map(|it| it.version);
@@ -172,16 +176,16 @@
         *current = Some(Rc::new(config));
     }
 
-    /// Whether what is known here was the newest at some time since this process began.
+    /// Returns whether this VM has had a freshness confirmation since the process started.
     ///
-    /// Failure: a VM starts and reads a copy of the store that is seconds old. Symptom: it serves by a configuration that
-    /// has changed, and uses servers that have left. Before its first proof it serves nothing.
+    /// Until then it serves nothing. A starting VM may have read a copy of the store that is seconds old; it would serve
+    /// by an outdated configuration and use servers that have left.
     pub(crate) fn was_proved(&self) -> bool {
         self.freshness.get().age(clock::now()).is_some()
     }
 
-    /// How far this VM is in touch with removals of keys.
-    fn touch(&self) -> FreshnessState {
+    /// Returns how current this VM's knowledge of removed keys is.
+    fn key_freshness(&self) -> FreshnessState {
         let bounds = self.settings.bounds;
         if !self.was_proved() {
             return FreshnessState::Expired;
@@ -192,55 +196,54 @@
         self.freshness.get().state(bounds.key_removed, clock::now())
     }
 
-    /// Whether what is known here can't have been taken away too long ago.
+    /// Returns whether callers' keys may be accepted: a removal of a key can't have gone unnoticed for too long.
     pub(crate) fn keys_are_proved(&self) -> bool {
-        self.touch() != FreshnessState::Expired
+        self.key_freshness() != FreshnessState::Expired
     }
 
-    /// Whether what is unknown here can't have been added too long ago.
+    /// Returns whether an unknown name may be rejected: an addition can't have gone unnoticed for too long.
     pub(crate) fn absence_is_proved(&self) -> bool {
-        let limit = self.settings.bounds.change_in_force.mul_f64(CHANGE_PROOF_PART);
+        let limit = self.settings.bounds.change_in_force.mul_f64(FRESH_FRACTION);
         self.freshness.get().is_within(limit, clock::now())
     }
 
-    /// Whether callers should go to other VMs, since keys are refused here or will be soon.
+    /// Returns whether callers should use other VMs, because keys are rejected here or will be soon.
     pub(crate) fn is_losing_touch(&self) -> bool {
-        self.touch() != FreshnessState::Fresh
+        self.key_freshness() != FreshnessState::Fresh
     }
 
-    /// Whether callers should be sent here.
+    /// Returns whether the platform should send callers to this VM.
     pub(crate) fn is_ready(&self) -> bool {
         self.phase.get() == Phase::Serving
             && self.config.borrow().is_some()
             && !self.is_losing_touch()
     }
 
-    /// Whether a request that comes now can end before the process does.
+    /// Returns whether a request that arrives now can finish before the process exits.
     ///
-    /// Failure: callers still reach a VM seconds after its SIGTERM, when it is the last one in its data
-    /// centre. Symptom: their streams are cut when the process ends. Such a request is refused, and its
-    /// caller comes back to another VM.
+    /// The last VM of a data centre still receives callers seconds after SIGTERM, and their streams would be aborted
+    /// when the process exits. Such a request is rejected, so that its caller retries at another VM.
     pub(crate) fn can_finish(&self, route: &Route) -> bool {
         let Phase::Draining { until } = self.phase.get() else { return true };
-        let needs = if route.retry_safety.is_stream() { STREAM_TIME } else { route.timeout };
-        left(until) >= needs.min(route.timeout)
+        let required = if route.retry_safety.is_stream() { MIN_STREAM_TIME } else { route.timeout };
+        left(until) >= required.min(route.timeout)
     }
 
-    /// How this VM takes part in reading the store.
+    /// Returns this VM's role in reading the store.
     pub(crate) fn reading_part(&self) -> StoreReadRole {
         let now = clock::now();
         let peers = self.peers.borrow();
         peers.book.store_read_role(peers.has_members(now), now)
     }
 
-    /// Whether this VM passes on what it knows of the store.
+    /// Returns whether this VM relays changes of the store to other VMs.
     pub(crate) fn relays_store(&self) -> bool {
         let now = clock::now();
         let peers = self.peers.borrow();
         peers.book.relays_store(peers.has_members(now), now)
     }
 
-    /// Whether one more line of a refusal may be written; one that may not is counted.
+    /// Takes one log line about a rejected request from its budget; a line that doesn't fit is counted as suppressed.
     pub(crate) fn may_tell_refusal(&self) -> bool {
         let may = self.refusal_lines.borrow_mut().take(clock::now());
         if !may {
@@ -249,7 +252,7 @@
         may
     }
 
-    /// Whether one more line may be written; one that may not is counted.
+    /// Takes one log line from the budget; a line that doesn't fit is counted as suppressed.
     pub(crate) fn may_write_line(&self) -> bool {
         let mut lines = self.lines.borrow_mut();
         let may = lines.take(clock::now());
@@ -259,7 +262,7 @@
         may
     }
 
-    /// The entry VMs that are known, this one included.
+    /// Returns the number of known entry VMs, including this one.
     pub(crate) fn vms(&self) -> usize {
         self.peers.borrow().book.vm_count()
     }
@@ -273,23 +276,23 @@
         self.metrics.sent_to(service.as_str(), place.version.as_str());
     }
 
-    /// Takes one repeat out of a service's retry budget.
+    /// Spends one retry of a service's retry budget; returns `false` if none is available.
     pub(crate) fn spend_retry(&self, service: &ServiceName) -> bool {
         let vms = self.vms();
-        let mut windows = self.retries.borrow_mut();
-        let window = windows.entry(service.clone()).or_default();
-        window.try_spend(&self.settings.retries, vms, clock::now())
+        let mut budgets = self.retries.borrow_mut();
+        let budget = budgets.entry(service.clone()).or_default();
+        budget.try_spend(&self.settings.retries, vms, clock::now())
     }
 
-    /// Notes a request that began to run, in the window of true time.
+    /// Counts a started request of an account in the current usage window of wall-clock time.
     pub(crate) fn note_began(&self, account: Option<&ClientAccountName>) {
         let Some(account) = account else { return };
         let Some(now_ms) = self.wall.borrow().estimate_ms(clock::now()) else { return };
-        let length = self.settings.duties.usage_window.as_millis().max(1) as i64;
-        self.usage.borrow_mut().record_start((now_ms / length) as u64, account);
+        let window_ms = self.settings.duties.usage_window.as_millis().max(1) as i64;
+        self.usage.borrow_mut().record_start((now_ms / window_ms) as u64, account);
     }
 
-    /// Notes work that was asked of `service`, and whether a server had room for it.
+    /// Records work requested of `service`, and whether a server had capacity for it.
     pub(crate) fn note_demand(&self, service: &ServiceName, work: Work, was_placed: bool) {
         let config = self.config.borrow();
         let engine = config.as_ref().and_then(|it| it.services.get(service)?.engine);
@@ -300,20 +303,20 @@
         rate.add(load::demand(work.busy_seconds(slots), was_placed), now);
     }
 
-    /// The work that all entry VMs take on for a service at present, in busy servers.
+    /// Returns the work that all entry VMs accept for a service at present, in busy servers.
     pub(crate) fn demand_of(&self, service: &ServiceName) -> f64 {
         let own = self.demand.borrow().get(service).map_or(0.0, |it| it.busy(clock::now()));
         own + self.peers.borrow().others_demand(service)
     }
 
-    /// Seconds for which a request of a service keeps a server busy, as seen here lately.
+    /// Returns the mean seconds for which a request of a service occupies a server, as recently observed by this VM.
     pub(crate) fn busy_each(&self, service: &ServiceName) -> Option<f64> {
         self.demand.borrow().get(service)?.busy_seconds_per_request(clock::now())
     }
 }
 
-/// What this VM tells others of itself.
-fn card(settings: &NodeSettings) -> VmDescriptor {
+/// Creates the description of this VM that peers read.
+fn descriptor(settings: &NodeSettings) -> VmDescriptor {
     VmDescriptor {
         name: settings.name.as_str().to_owned(),
         address: SocketAddr::new(settings.ip, settings.peer_port),
@@ -322,7 +325,7 @@
     }
 }
 
-/// Counts a request for as long as it lives.
+/// Guard that counts a request as in flight until it is dropped.
 pub(crate) struct InFlight(Rc<Node>);
 
 impl InFlight {
@@ -338,7 +341,7 @@
     }
 }
 
-/// The time left until `deadline`.
+/// Returns the time remaining until `deadline`, zero once it has passed.
 pub(crate) fn left(deadline: tokio::time::Instant) -> Duration {
     deadline.saturating_duration_since(tokio::time::Instant::now())
 }
--- a/crates/quincevalve_node/src/ports.rs
+++ b/crates/quincevalve_node/src/ports.rs
@@ -1,4 +1,4 @@
-//! What the process needs from the platform, in the project's own terms.
+//! Interfaces to the platform: its store, its cloud API, its model engines and its headers.
 
 use std::{future::Future, net::SocketAddr, time::Duration};
 
@@ -23,39 +23,39 @@
     pub const ABSENT: Self = Self(0);
 }
 
-/// A lease, as the store names it.
+/// The store's identifier of a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseId(pub u64);
 
-/// What is known of the platform at a revision.
+/// The platform's data at a revision of the store.
 #[derive(Debug, Default)]
 pub struct Snapshot {
     /// The configuration, if there is one yet.
     pub config: Option<ForwardingConfig>,
     /// All backend servers.
     pub servers: Vec<(BackendServerName, ServerEntry)>,
-    /// Backend servers' names under which something stands that can't be read, and why.
+    /// Names of backend servers with unreadable entries, and the reason.
     pub unreadable: Vec<(BackendServerName, String)>,
     /// The operators' orders for roll-outs.
     pub rollouts: Vec<(ServiceName, RolloutOrder)>,
     /// The system's own keys.
     pub own: Vec<OwnItem>,
-    /// All changes up to this revision are in it.
+    /// Revision up to which all changes are included.
     pub at: StoreRevision,
-    /// The newest change that is in it: it may be read in parts, one after the other.
+    /// Newest change that is included. It may exceed `at`, because the store may be read in several requests.
     pub newest: StoreRevision,
 }
 
-/// An item that the system itself wrote.
+/// An item of the store that the system itself wrote.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OwnItem {
-    /// Its key.
+    /// Key of the item.
     pub key: String,
-    /// Its value.
+    /// Value of the item.
     pub value: Vec<u8>,
-    /// Its last change.
+    /// Revision of the item's last change.
     pub revision: StoreRevision,
-    /// The lease with which it ends, as far as told: changes don't tell it.
+    /// The lease that the item is attached to, if known; changes don't contain it.
     pub lease: Option<LeaseId>,
 }
 
@@ -68,17 +68,17 @@
     Server(BackendServerName, ServerEntry),
     /// A backend server's entry was removed.
     ServerRemoved(BackendServerName),
-    /// What stands under a backend server's name can't be read; the reason is logged.
+    /// A backend server's entry can't be read; the reason is logged.
     ServerUnreadable(BackendServerName, String),
     /// An order to move a service to another version.
     RolloutOrder(ServiceName, RolloutOrder),
-    /// Such an order was removed.
+    /// An order to move a service to another version was removed.
     RolloutOrderRemoved(ServiceName),
-    /// The system's own item.
+    /// An item of the system itself was written.
     Own(OwnItem),
-    /// The system's own item was removed.
+    /// An item of the system itself was removed; its key.
     OwnRemoved(String),
-    /// Something that can't be read; the reason is logged.
+    /// Another item can't be read; the reason is logged.
     Unreadable(String),
 }
 
@@ -87,53 +87,53 @@
 pub struct Changes {
     /// The changes with their revisions, oldest first.
     pub changes: Vec<(StoreRevision, Change)>,
-    /// The revision to go on from.
+    /// Revision from which the next read continues.
     pub at: StoreRevision,
-    /// Whether the store may have cut the answer, so that later changes may be there already.
+    /// Whether the store may have truncated the answer, so that later changes may exist already.
     pub may_be_cut: bool,
 }
 
-/// A write of the system's own keys, all or nothing.
+/// An atomic write of the system's own keys.
 #[derive(Clone, Debug, Default)]
 pub struct Commit {
-    /// Keys that must be at these revisions.
+    /// Keys with the revisions that they must have.
     pub expected: Vec<(String, StoreRevision)>,
-    /// Keys to write, some under a lease.
+    /// Keys to write with their values, and the leases to attach them to.
     pub puts: Vec<(String, Vec<u8>, Option<LeaseId>)>,
     /// Keys to remove.
     pub removes: Vec<String>,
 }
 
-/// What operators are told of a roll-out.
+/// State of a roll-out as reported to operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RolloutState {
-    /// The traffic is being moved.
+    /// Traffic is being moved to the new version.
     Active,
-    /// The old version's servers may stop.
+    /// The new version carries the traffic; the old version's servers may be stopped.
     Completed,
-    /// The new version's servers may go.
+    /// The old version carries the traffic; the new version's servers may be stopped.
     RolledBack,
 }
 
-/// The word to the operators about one order.
+/// Status of one order, reported to operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RolloutStatus {
     /// The service.
     pub service: ServiceName,
     /// The version that was ordered.
     pub to: ServerVersion,
-    /// How far it has come.
+    /// State of the roll-out.
     pub state: RolloutState,
-    /// The revision at which the order has to stand for the word to be written; absent where it was removed.
+    /// Revision that the order must have for the status to be written; absent if the order was removed.
     pub order: StoreRevision,
 }
 
-/// How new what is read has to be.
+/// How current the result of a read must be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadAge {
-    /// It is the newest.
+    /// The newest data.
     Newest,
-    /// It may be some seconds old; such a read costs a fraction.
+    /// Data that may be some seconds old; such a read costs a fraction.
     MayBeOld,
 }
 
@@ -144,19 +144,19 @@
     /// Keys have other revisions than expected; nothing was written.
     #[snafu(display("store: another writer was first"))]
     Conflict,
-    /// The lease has ended; nothing was written.
+    /// The lease has expired; nothing was written.
     #[snafu(display("store: the lease has ended"))]
     LeaseEnded,
-    /// The changes asked for are no longer kept.
+    /// The requested changes are no longer kept.
     #[snafu(display("store: its history no longer goes back that far"))]
     HistoryGone,
-    /// No answer, or one that says that nothing was done. A write may have taken effect.
+    /// The call failed. A write may have taken effect.
     #[snafu(display("store: {source}"))]
     Call {
         /// Why.
         source: CallError,
     },
-    /// The answer can't be understood.
+    /// The answer can't be decoded.
     #[snafu(display("store: unreadable answer: {what}"))]
     Unreadable {
         /// What was wrong.
@@ -166,13 +166,13 @@
 
 /// The platform's key-value store.
 pub trait PlatformStore: Clone + 'static {
-    /// Reads all that matters. Where it may be old, it is what stood at the revision that it names.
+    /// Reads everything that the process uses. A result that may be old is the state at the revision that it names.
     fn snapshot(&self, age: ReadAge) -> impl Future<Output = Result<Snapshot, StoreError>>;
 
-    /// Reads the system's own items whose keys begin with `prefix`, five hundred at most; they may be seconds old.
+    /// Reads the system's own items whose keys begin with `prefix`, at most 500; the result may be seconds old.
     fn own_items(&self, prefix: &str) -> impl Future<Output = Result<Vec<OwnItem>, StoreError>>;
 
-    /// Waits at most `wait` for changes after `after`.
+    /// Waits for at most `wait` for changes after `after`.
     fn changes(
         &self,
         after: StoreRevision,
@@ -185,48 +185,48 @@
         age: ReadAge,
     ) -> impl Future<Output = Result<Option<ForwardingConfig>, StoreError>>;
 
-    /// Reads one of the system's own keys, newest.
+    /// Reads the newest value of one of the system's own keys.
     fn get(&self, key: &str) -> impl Future<Output = Result<Option<OwnItem>, StoreError>>;
 
     /// Writes the system's own keys.
     fn commit(&self, commit: &Commit) -> impl Future<Output = Result<StoreRevision, StoreError>>;
 
-    /// Writes the system's own keys and, in the same write, the word about a roll-out.
+    /// Writes the system's own keys and, atomically with them, the status of a roll-out.
     fn commit_rollout(
         &self,
         commit: &Commit,
         status: &RolloutStatus,
     ) -> impl Future<Output = Result<StoreRevision, StoreError>>;
 
-    /// Takes out a lease.
+    /// Creates a lease.
     fn grant(&self, ttl: Duration) -> impl Future<Output = Result<LeaseId, StoreError>>;
 
     /// Renews a lease.
     fn renew(&self, lease: LeaseId) -> impl Future<Output = Result<(), StoreError>>;
 
-    /// Ends a lease and removes its keys.
+    /// Revokes a lease and removes its keys.
     fn revoke(&self, lease: LeaseId) -> impl Future<Output = Result<(), StoreError>>;
 }
 
-/// Who acts, for calls of which only one holder may make any.
+/// The holder of the duties, which identifies itself in calls that only the holder may make.
 #[derive(Clone, Debug)]
 pub struct ActingHolder {
-    /// The entry VM's name.
+    /// Name of the entry VM.
     pub name: String,
-    /// Grows with each change of holder.
+    /// Fencing number, which grows with each change of holder.
     pub number: FencingNumber,
 }
 
-/// An order for servers.
+/// An order for a number of servers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerOrder {
-    /// Of this service.
+    /// The service.
     pub service: ServiceName,
-    /// In this data centre.
+    /// The data centre.
     pub data_centre: DataCentreName,
-    /// How many there should be.
+    /// Total number of servers of this kind that should exist.
     pub count: u32,
-    /// Whether reclaimable ones are meant; each kind is counted by itself.
+    /// Whether the order is for reclaimable servers; each kind is counted separately.
     pub reclaimable: bool,
 }
 
@@ -234,10 +234,10 @@
 #[derive(Debug, Snafu)]
 #[snafu(module)]
 pub enum CloudError {
-    /// There are none to be had at present.
+    /// No servers are available at present.
     #[snafu(display("cloud: none available"))]
     NoneAvailable,
-    /// Any other failure; the call may have taken effect.
+    /// The call failed. It may have taken effect.
     #[snafu(display("cloud: {source}"))]
     Call {
         /// Why.
@@ -247,7 +247,7 @@
 
 /// The platform's cloud API.
 pub trait CloudApi: Clone + 'static {
-    /// Reports how many requests of each account began in a window.
+    /// Reports how many requests of each account started in a window.
     fn report_usage(
         &self,
         holder: &ActingHolder,
@@ -263,14 +263,14 @@
     ) -> impl Future<Output = Result<(), CloudError>>;
 }
 
-/// A running request that was stopped at its server, its memory copied to another.
+/// A running request that was stopped at its server and whose memory was copied to another server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MovedRun {
-    /// What the request has to carry to go on from the copy.
+    /// Header value with which the request resumes from the copy.
     pub ticket: HeaderValue,
 }
 
-/// A run that could not be moved; it goes on where it is, unless its server has stopped it.
+/// A migration failed. The request continues at its server, unless the server has stopped it.
 #[derive(Debug, Snafu)]
 #[snafu(display("engine: {source}"))]
 pub struct MoveError {
@@ -278,7 +278,7 @@
     pub source: CallError,
 }
 
-/// What a model engine can be told beside requests.
+/// Control calls to model engines.
 pub trait EngineApi: Clone + 'static {
     /// Stops a running request and copies its memory to another engine.
     fn move_run(
@@ -289,57 +289,57 @@
     ) -> impl Future<Output = Result<MovedRun, MoveError>>;
 }
 
-/// A header by which a server says something of itself, and which can't be read.
+/// A server's signal in an answer header that can't be parsed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnreadableSignal {
-    /// Its name.
+    /// Name of the header.
     pub name: HeaderName,
-    /// Its value, the first where there are several.
+    /// Value of the header; the first if there are several.
     pub value: String,
 }
 
-/// What the headers of a server's answer say of the server.
+/// A server's signals, decoded from the headers of its answer.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DecodedSignals {
-    /// What can be read.
+    /// Signals that were parsed.
     pub signals: ServerSignals,
-    /// What can't.
+    /// Headers that couldn't be parsed.
     pub unreadable: Vec<UnreadableSignal>,
 }
 
-/// The headers that callers, servers and the system exchange.
+/// Names of the headers that callers, servers and the system exchange.
 #[derive(Clone, Debug)]
 pub struct HeaderNames {
-    /// Names one attempt of a caller; servers echo it.
+    /// Identifier of one attempt of a caller; servers echo it.
     pub attempt_id: HeaderName,
-    /// Milliseconds that the sender of the request waits.
+    /// Milliseconds for which the sender of the request waits.
     pub deadline_ms: HeaderName,
     /// The caller's key.
     pub key: HeaderName,
     /// The account of the caller, set for servers.
     pub account: HeaderName,
-    /// The parts of a prompt, `ID:TOKENS` separated by commas.
+    /// Segments of the prompt, as `ID:TOKENS` separated by commas.
     pub prompt_parts: HeaderName,
-    /// Prompt tokens and the most output tokens, separated by a comma.
+    /// Number of prompt tokens and maximum number of output tokens, separated by a comma.
     pub token_counts: HeaderName,
-    /// The caller's guess of the tokens that will be generated.
+    /// The caller's estimate of the number of generated tokens.
     pub length_hint: HeaderName,
-    /// The name of the server that is meant.
+    /// Name of the server that the request is meant for.
     pub expected_server: HeaderName,
-    /// The name of the server that answered.
+    /// Name of the server that answered.
     pub answering_server: HeaderName,
-    /// The server's signature under its answer.
+    /// The server's signature of its answer.
     pub seal: HeaderName,
-    /// A server's statement that it did not run the request.
+    /// Set by a server that did not execute the request.
     pub not_run: HeaderName,
-    /// Urgency at a model engine, 0 first.
+    /// Urgency at a model engine; 0 is the most urgent.
     pub urgency: HeaderName,
-    /// The last event that was received of a stream.
+    /// Identifier of the last event that was received of a stream.
     pub last_event: HeaderName,
-    /// Where the memory is from which a moved run goes on.
+    /// Location of the copied memory from which a migrated request resumes.
     pub moved_from: HeaderName,
-    /// Decodes what the headers of a server's answer say of the server.
+    /// Decodes a server's signals from the headers of its answer.
     pub signals: fn(&HeaderMap) -> DecodedSignals,
-    /// Headers that only the system may set; a caller's are removed.
+    /// Headers that only the system may set; they are removed from callers' requests.
     pub internal: Vec<HeaderName>,
 }
--- a/crates/quincevalve_node/src/quarantine.rs
+++ b/crates/quincevalve_node/src/quarantine.rs
@@ -1,10 +1,10 @@
-//! Keeps requests under which servers exit from servers.
+//! Quarantine of requests that make servers exit.
 //!
-//! The decisions are [`quincevalve_forwarding::poison`]'s. Every sending to a server asks [`admit`] first: the first one of
-//! an attempt, the next one after a failure, a stream that goes on elsewhere, and a run that is moved.
+//! [`quincevalve_forwarding::poison`] makes the decisions. [`admit`] is called each time before a request is sent to a
+//! server: for the first attempt, a retry after a failure, a stream that resumes at another server, and a migration.
 
+mod commands;
 mod entries;
-mod orders;
 
 use std::time::Duration;
 
@@ -12,8 +12,8 @@
 
 pub use self::entries::{lift_quarantine, quarantined};
 pub(crate) use self::{
+    commands::{QuarantineStore, run_quarantine_task},
     entries::{QUARANTINE_KEYS, digest_of, listed},
-    orders::{QuarantineStore, keep_quarantine},
 };
 use crate::{
     clock,
@@ -21,34 +21,34 @@
     request::{identify::Identified, trace::note},
 };
 
-/// How long a caller whose trial the store didn't answer is told to stay away.
-const UNANSWERED_HOLD: Duration = Duration::from_secs(1);
+/// Retry delay for a caller whose trial wasn't granted by the store.
+const UNGRANTED_TRIAL_DELAY: Duration = Duration::from_secs(1);
 
-/// Lets a request go to a server, or says for how long it is kept from all, as far as known.
+/// Admits a request to servers, or returns for how long it is quarantined, as far as this VM knows.
 pub(crate) async fn admit(node: &Node, req: &Identified) -> Result<(), Duration> {
-    let standing = standing(node, req);
-    let hold = match standing {
+    let decision = send_decision(node, req);
+    let retry_after = match decision {
         SendDecision::Allowed => return Ok(()),
-        SendDecision::Quarantined(hold) => hold,
+        SendDecision::Quarantined(retry_after) => retry_after,
         SendDecision::TrialDue => {
             node.poison.borrow_mut().record_trial_request(req.digest(), clock::now());
             if node.quarantine.begin_trial(req.digest()).await {
                 log::info!(id = req.id, digest:% = req.digest(); "trial-begun");
                 return Ok(());
             }
-            UNANSWERED_HOLD
+            UNGRANTED_TRIAL_DELAY
         }
     };
-    note!(node, req, digest = req.digest(), hold_ms = hold.as_millis() as u64; "withheld");
-    Err(hold)
+    note!(node, req, digest = req.digest(), hold_ms = retry_after.as_millis() as u64; "withheld");
+    Err(retry_after)
 }
 
-/// Whether a request is kept from servers at present.
+/// Returns whether a request is quarantined at present.
 pub(crate) fn is_quarantined(node: &Node, req: &Identified) -> bool {
-    standing(node, req) != SendDecision::Allowed
+    send_decision(node, req) != SendDecision::Allowed
 }
 
-fn standing(node: &Node, req: &Identified) -> SendDecision {
+fn send_decision(node: &Node, req: &Identified) -> SendDecision {
     let poison = node.poison.borrow();
     if !poison.has_quarantined() {
         return SendDecision::Allowed;
@@ -57,7 +57,7 @@
     poison.send_decision(req.digest(), now, node.wall.borrow().estimate_ms(now))
 }
 
-/// Notes that a request ended well: it is not what ends servers.
+/// Records that a request completed, which shows that it doesn't make servers exit, and lifts its quarantine.
 pub(crate) fn note_completed(node: &Node, req: &Identified) {
     let Some(digest) = req.cheap_digest() else { return };
     if node.poison.borrow_mut().record_completion(digest, clock::now()) {
--- a/crates/quincevalve_node/src/quarantine/entries.rs
+++ b/crates/quincevalve_node/src/quarantine/entries.rs
@@ -1,13 +1,13 @@
-//! The entries of quarantined requests in the store, one for each, under its digest.
+//! Store entries of quarantined requests, one for each request, with its digest in the key.
 
 use quincevalve_forwarding::{poison::QuarantineEntry, request_digest::RequestDigest};
 
 use crate::ports::{Commit, OwnItem, PlatformStore, StoreError, StoreRevision};
 
-/// Keys of quarantined requests, each with its [`QuarantineEntry`].
+/// Prefix of the store keys of quarantined requests; the digest follows, and the value is a [`QuarantineEntry`].
 pub(crate) const QUARANTINE_KEYS: &str = "quarantine/";
 
-/// The requests that are kept from servers, as the store has them; what changed in the last seconds may be missing.
+/// Reads the quarantined requests from the store. Changes of the last seconds may be missing.
 pub async fn quarantined<S>(store: &S) -> Result<Vec<(RequestDigest, QuarantineEntry)>, StoreError>
 where
     S: PlatformStore,
@@ -16,7 +16,7 @@
     Ok(items.iter().filter_map(|it| listed(&it.key, &it.value)).collect())
 }
 
-/// Lets a request go to servers again, as if nothing had been held against it; `false` if it was not quarantined.
+/// Removes a request's quarantine entry together with its trial count; returns `false` if it wasn't quarantined.
 pub async fn lift_quarantine<S>(store: &S, digest: RequestDigest) -> Result<bool, StoreError>
 where
     S: PlatformStore,
@@ -27,7 +27,7 @@
     Ok(true)
 }
 
-/// The newest entry of a request.
+/// Reads the newest entry of a request.
 pub(super) async fn read<S>(store: &S, digest: RequestDigest) -> Result<Option<OwnItem>, StoreError>
 where
     S: PlatformStore,
@@ -35,12 +35,12 @@
     store.get(&key_of(digest)).await
 }
 
-/// Writes an entry over the one of that revision.
+/// Writes an entry if the stored one is still at revision `expected_revision`.
 pub(super) async fn put<S>(
     store: &S,
     digest: RequestDigest,
     entry: QuarantineEntry,
-    over: StoreRevision,
+    expected_revision: StoreRevision,
 ) -> Result<(), StoreError>
 where
     S: PlatformStore,
@@ -48,7 +48,7 @@
     let value = serde_json::to_vec(&entry)
         .map_err(|error| StoreError::Unreadable { what: error.to_string() })?;
     let key = key_of(digest);
-    let expected = vec![(key.clone(), over)];
+    let expected = vec![(key.clone(), expected_revision)];
     let puts = vec![(key, value, None)];
     store.commit(&Commit { expected, puts, ..Commit::default() }).await?;
     Ok(())
@@ -58,12 +58,12 @@
     format!("{QUARANTINE_KEYS}{digest}")
 }
 
-/// The digest of a key; `None` for other keys.
+/// Parses the digest in a key; returns `None` for other keys.
 pub(crate) fn digest_of(key: &str) -> Option<RequestDigest> {
     key.strip_prefix(QUARANTINE_KEYS).and_then(RequestDigest::parse)
 }
 
-/// The quarantined request of an item of the store; `None` for other items.
+/// Parses the quarantine entry of a store item; returns `None` for other items and unreadable entries.
 pub(crate) fn listed(key: &str, value: &[u8]) -> Option<(RequestDigest, QuarantineEntry)> {
     let digest = digest_of(key)?;
     match serde_json::from_slice(value) {
--- a/crates/quincevalve_node/src/rollouts.rs
+++ b/crates/quincevalve_node/src/rollouts.rs
@@ -1,4 +1,7 @@
-//! This process's part in roll-outs: what [`quincevalve_forwarding::rollout`] has to know, and what it decides.
+//! Connects [`quincevalve_forwarding::rollout`] with the process.
+//!
+//! Applies orders and records from the store, chooses versions for requests and tracks attempts for the comparison of
+//! versions.
 
 use std::rc::Rc;
 
@@ -17,19 +20,19 @@
 
 use crate::{clock, node::Node, ports::OwnItem, request::identify::Identified};
 
-/// Keys of roll-outs, each with its [`RolloutRecord`]: the service's name after it.
+/// Prefix of the store keys of roll-outs; the service's name follows, and the value is a [`RolloutRecord`].
 pub(crate) const ROLLOUT_KEYS: &str = "rollout/";
-/// The part of the VMs that must be heard for the new version's answers to be judged here.
-const HEARD_PART: f64 = 0.5;
-/// The part of the time in which a change is promised to be in force within which what is known counts as new.
-const NEW_PART: f64 = 0.6;
+/// Minimum fraction of VMs that must be reachable for this VM to judge the new version's answers.
+const MIN_REACHABLE_FRACTION: f64 = 0.5;
+/// Maximum age of the freshness confirmation for the same purpose, as a fraction of `Bounds::change_in_force`.
+const FRESH_FRACTION: f64 = 0.6;
 
-/// The key of a service's record.
+/// Returns the store key of a service's record.
 pub(crate) fn rollout_key(service: &ServiceName) -> String {
     format!("{ROLLOUT_KEYS}{}", service.as_str())
 }
 
-/// The record of an item of the store; `None` for other items.
+/// Parses the record of a store item; returns `None` for other items and unreadable records.
 pub(crate) fn record(key: &str, value: &[u8]) -> Option<(ServiceName, RolloutRecord)> {
     let service = key.strip_prefix(ROLLOUT_KEYS)?;
     match serde_json::from_slice(value) {
@@ -41,27 +44,27 @@
     }
 }
 
-/// The records among these items.
+/// Returns the records among these items.
 pub(crate) fn records(own: &[OwnItem]) -> Vec<(ServiceName, RolloutRecord)> {
     own.iter().filter_map(|it| record(&it.key, &it.value)).collect()
 }
 
-/// Takes an order, or its removal.
+/// Applies an order from the store, or its removal.
 pub(crate) fn take_order(node: &Node, service: &ServiceName, order: Option<RolloutOrder>) {
-    let mut book = node.rollouts.borrow_mut();
+    let mut rollouts = node.rollouts.borrow_mut();
     let Some(order) = order else {
         log::info!(service = service.as_str(); "rollout-order-removed");
-        return book.remove_order(service);
+        return rollouts.remove_order(service);
     };
     let (id, to, seconds) = (order.id.0, order.to.clone(), order.duration.as_secs_f64());
-    if book.apply_order(service, order, true, clock::now()) {
+    if rollouts.apply_order(service, order, true, clock::now()) {
         log::info!(service = service.as_str(), order = id, to:% = to, seconds; "rollout-ordered");
     }
-    drop(book);
+    drop(rollouts);
     refresh_service(node, service);
 }
 
-/// Takes how far a roll-out has come.
+/// Applies a roll-out's record from the store.
 pub(crate) fn take_record(node: &Node, service: &ServiceName, record: RolloutRecord) {
     let (id, to, phase) = (record.order.0, record.to.clone(), record.phase);
     if node.rollouts.borrow_mut().apply_record(service, record, clock::now()) {
@@ -70,7 +73,7 @@
     refresh_service(node, service);
 }
 
-/// Takes all orders and records.
+/// Replaces all orders and records.
 pub(crate) fn replace_all(
     node: &Node,
     orders: Vec<(ServiceName, RolloutOrder)>,
@@ -81,7 +84,7 @@
     refresh(node);
 }
 
-/// Goes on with all roll-outs.
+/// Updates all roll-outs from the current state of the process.
 pub(crate) fn refresh(node: &Node) {
     let services: Vec<_> = node.rollouts.borrow().services().cloned().collect();
     for service in &services {
@@ -94,31 +97,32 @@
     let now = clock::now();
     let config = node.config();
     let engine = config.as_ref().and_then(|it| it.services.get(service)?.engine);
-    let around = RefreshContext {
+    let context = RefreshContext {
         wall_clock_ms: node.wall.borrow().estimate_ms(now),
         has_engines: engine.is_some(),
         vm_rank: node.peers.borrow().book.rank(order.0),
-        is_connected: is_in_touch(node),
+        is_connected: is_connected(node),
     };
-    let mut book = node.rollouts.borrow_mut();
-    let halt = book.refresh(service, &node.servers.borrow(), &around, now);
+    let mut rollouts = node.rollouts.borrow_mut();
+    let halt = rollouts.refresh(service, &node.servers.borrow(), &context, now);
     if let Some(Halt { service, version, detected_by }) = halt {
         log::warn!(
             service = service.as_str(), version:% = version, order = order.0, found:? = detected_by;
             "rollout-halted"
         );
-        drop(book);
+        drop(rollouts);
         node.changed.notify_waiters();
     }
 }
 
-fn is_in_touch(node: &Node) -> bool {
-    let limit = node.settings.bounds.change_in_force.mul_f64(NEW_PART);
-    let is_new = node.freshness.get().is_within(limit, clock::now());
-    is_new && node.peers.borrow().reachable_part() >= HEARD_PART
+/// Returns whether this VM is fresh enough and reaches enough VMs to judge a new version.
+fn is_connected(node: &Node) -> bool {
+    let limit = node.settings.bounds.change_in_force.mul_f64(FRESH_FRACTION);
+    let is_fresh = node.freshness.get().is_within(limit, clock::now());
+    is_fresh && node.peers.borrow().reachable_part() >= MIN_REACHABLE_FRACTION
 }
 
-/// Where a new request may go.
+/// Returns which versions' servers a new request may be sent to.
 pub(crate) fn choose(node: &Node, req: &Identified) -> VersionChoice {
     if node.rollouts.borrow().is_idle() {
         return VersionChoice::Any;
@@ -128,58 +132,59 @@
     node.rollouts.borrow_mut().choose(&req.service, route, draw, clock::now())
 }
 
-/// Where a request may go that was sent before.
+/// Returns which versions' servers a request may be sent to that was sent before.
 pub(crate) fn regular(node: &Node, service: &ServiceName) -> VersionChoice {
     node.rollouts.borrow().choice_for_retry(service)
 }
 
-/// Watches how a request is answered, where versions are compared; ends with it.
+/// Tracks how one attempt is answered while versions are compared. Tracking ends when the value is dropped.
 pub(crate) struct WatchedRun {
     node: Rc<Node>,
-    ticket: TrackingId,
-    /// The load of the server that it was sent to.
-    running: u32,
+    tracking_id: TrackingId,
+    /// Number of requests at the server when the attempt was placed.
+    known_requests: u32,
 }
 
 impl WatchedRun {
+    /// Starts tracking an attempt; returns `None` if no versions are compared.
     pub(crate) fn begin(node: &Rc<Node>, req: &Identified, place: &Placement) -> Option<Self> {
-        let mut book = node.rollouts.borrow_mut();
-        if book.is_idle() {
+        let mut rollouts = node.rollouts.borrow_mut();
+        if rollouts.is_idle() {
             return None;
         }
-        let run = TrackedAttempt {
+        let attempt = TrackedAttempt {
             service: &req.service,
             route: RouteKey::of(&req.route.name),
             version: &place.version,
             server: start_hash(&place.server, place.start),
             expected: place.baseline,
         };
-        let ticket = book.start_tracking(run, clock::now())?;
-        Some(Self { node: node.clone(), ticket, running: place.known_load.requests })
+        let tracking_id = rollouts.start_tracking(attempt, clock::now())?;
+        Some(Self { node: node.clone(), tracking_id, known_requests: place.known_load.requests })
     }
 
-    /// Notes the first part of its answer.
+    /// Records that the first part of the answer arrived.
     pub(crate) fn first_part(&self) {
-        self.node.rollouts.borrow_mut().add_first_part(self.ticket, clock::now());
+        self.node.rollouts.borrow_mut().add_first_part(self.tracking_id, clock::now());
     }
 
-    /// Notes whether the server succeeded.
+    /// Records whether the server succeeded.
     pub(crate) fn judged(&self, succeeded: bool) {
-        self.note(if succeeded { Sample::Succeeded } else { Sample::Failed });
+        self.add_sample(if succeeded { Sample::Succeeded } else { Sample::Failed });
     }
 
-    /// Notes the mean time between two events of its stream.
+    /// Records the mean time in milliseconds between two events of the stream.
     pub(crate) fn pace(&self, between_ms: f64) {
-        self.note(Sample::Pace(between_ms / step_ms(self.running + 1)));
+        self.add_sample(Sample::Pace(between_ms / step_ms(self.known_requests + 1)));
     }
 
-    fn note(&self, sample: Sample) {
-        self.node.rollouts.borrow_mut().add_sample(self.ticket, sample, clock::now());
+    fn add_sample(&self, sample: Sample) {
+        self.node.rollouts.borrow_mut().add_sample(self.tracking_id, sample, clock::now());
     }
 }
 
 impl Drop for WatchedRun {
     fn drop(&mut self) {
-        self.node.rollouts.borrow_mut().stop_tracking(self.ticket);
+        self.node.rollouts.borrow_mut().stop_tracking(self.tracking_id);
     }
 }
--- a/crates/quincevalve_node/src/settings.rs
+++ b/crates/quincevalve_node/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a process has to know before it can ask anyone.
+//! Settings that a process needs before it can contact other VMs or the store.
 
 use std::{
     net::{IpAddr, SocketAddr},
@@ -13,60 +13,60 @@
 /// The settings of one entry VM's process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeSettings {
-    /// Its name, unique over the system.
+    /// Name of the VM, unique in the system.
     pub name: EntryVmName,
-    /// Where it stands.
+    /// Data centre of the VM.
     pub data_centre: DataCentreName,
-    /// Its address.
+    /// IP address of the VM.
     pub ip: IpAddr,
-    /// Thousandths of a processor core that it may use.
+    /// CPU quota in thousandths of a core.
     pub cpu: u32,
-    /// Bytes a second that its link carries.
+    /// Capacity of the VM's network link in bytes per second.
     pub link: u64,
-    /// Where callers connect.
+    /// Address to which callers connect.
     pub front: SocketAddr,
-    /// Where the platform asks whether it takes callers.
+    /// Address of the readiness check.
     pub ready: SocketAddr,
-    /// The port for datagrams between entry VMs, the same on all.
+    /// Port for datagrams between entry VMs, the same on all of them.
     pub peer_port: u16,
-    /// Where metrics are served.
+    /// Address at which metrics are served.
     pub metrics: SocketAddr,
-    /// Whether the whole system starts for the first time: no VM knows anything that this one could ask for.
+    /// Whether the whole system starts for the first time, so that no other VM has state that this one could request.
     pub is_first_start: bool,
-    /// Promised times.
+    /// Guaranteed time bounds.
     pub bounds: Bounds,
-    /// The retry budget of all entry VMs.
+    /// Retry limits for all entry VMs together.
     pub retries: RetryLimits,
-    /// How many requests of all entry VMs a version may get that isn't known to be good.
+    /// Exposure limit: how many requests of all entry VMs together may be sent to an unproven version.
     pub exposure: SharedLimit,
-    /// How quotas are counted over all entry VMs.
+    /// Limits by which quotas are counted over all entry VMs.
     pub quotas: QuotaLimits,
-    /// What one holder does for all.
+    /// Settings of the duties that one VM performs for all.
     pub duties: Duties,
 }
 
-/// Promised times that decide something here.
+/// Guaranteed time bounds that the process enforces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// From the acceptance of a change to its being in force.
+    /// Maximum time from the acceptance of a change until it is in force.
     pub change_in_force: Duration,
-    /// From the removal of a key to its last use.
+    /// Maximum time from the removal of a key to its last accepted use.
     pub key_removed: Duration,
-    /// Whether a key is refused where its removal might be unknown.
+    /// Whether keys are rejected when their removal might be unknown.
     pub keys_fail_closed: bool,
-    /// From SIGTERM to SIGKILL.
+    /// Time from SIGTERM to SIGKILL.
     pub grace: Duration,
 }
 
-/// What one holder does for all entry VMs.
+/// Settings of the duties that one VM, the holder, performs for all entry VMs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Duties {
-    /// Reports the use of accounts.
+    /// Whether the usage of accounts is reported.
     pub usage: bool,
-    /// Orders servers.
+    /// Whether servers are ordered.
     pub scaling: bool,
-    /// The length of a usage window.
+    /// Length of a usage window.
     pub usage_window: Duration,
-    /// The length of the holder's lease.
+    /// Time to live of the holder's lease.
     pub lease: Duration,
 }
--- a/crates/quincevalve_node/src/start.rs
+++ b/crates/quincevalve_node/src/start.rs
@@ -1,4 +1,4 @@
-//! The start and the end of the process.
+//! Start and shutdown of the process.
 
 use std::{io, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -16,29 +16,30 @@
     node::{Node, Phase},
     peers,
     ports::{CloudApi, EngineApi, HeaderNames, PlatformStore},
-    quarantine::{QuarantineStore, keep_quarantine},
+    quarantine::{QuarantineStore, run_quarantine_task},
     request::{front, mover::Mover},
     settings::NodeSettings,
     store::sync::{follow_store, keep_entry},
 };
 
-/// After SIGTERM the platform needs two questions, a second apart, to stop sending callers here; idle
-/// connections are closed after that.
+/// Time from SIGTERM until idle connections are closed. The platform stops sending callers here after two readiness
+/// checks, one second apart.
 const CLOSE_IDLE_AFTER: Duration = Duration::from_millis(2_500);
-/// Callers whose connections were just closed may still be on their way; the process ends after that.
-const LEAST_STAY: Duration = Duration::from_millis(3_200);
-/// Time before SIGKILL at which the process ends by itself.
-const END_MARGIN: Duration = Duration::from_millis(250);
-/// Pause between two looks whether all requests have ended.
-const LOOK: Duration = Duration::from_millis(50);
+/// Minimum time from SIGTERM to the exit of the process: callers whose connections were just closed may still send
+/// requests.
+const MIN_DRAIN_TIME: Duration = Duration::from_millis(3_200);
+/// Time between the exit of the process and the SIGKILL that would follow.
+const EXIT_MARGIN: Duration = Duration::from_millis(250);
+/// Interval at which a draining process checks whether all requests have finished.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A process that can't start.
+/// Error that prevents the process from starting.
 #[derive(Debug, Snafu)]
 pub enum StartError {
-    /// An address of the settings can't be listened on.
+    /// An address of the settings can't be bound.
     #[snafu(display("{what} {address}: {source}"))]
     Listen {
-        /// Which of them.
+        /// Which of the addresses.
         what: &'static str,
         /// The address.
         address: SocketAddr,
@@ -53,7 +54,7 @@
     },
 }
 
-/// The sockets of a process.
+/// The listening sockets of a process.
 #[derive(Debug)]
 pub struct Listeners {
     front: TcpListener,
@@ -63,7 +64,7 @@
 }
 
 impl Listeners {
-    /// Binds the addresses of the settings; port 0 stands for any free one.
+    /// Binds the addresses of the settings; port 0 stands for any free port.
     pub async fn bind(settings: &NodeSettings) -> Result<Self, StartError> {
         let address = SocketAddr::new(settings.ip, settings.peer_port);
         let peers = UdpSocket::bind(address).await;
@@ -75,28 +76,28 @@
         })
     }
 
-    /// Where callers connect.
+    /// Returns the address to which callers connect.
     pub fn front_address(&self) -> io::Result<SocketAddr> {
         self.front.local_addr()
     }
 
-    /// Where the platform asks whether callers are taken.
+    /// Returns the address of the readiness check.
     pub fn ready_address(&self) -> io::Result<SocketAddr> {
         self.ready.local_addr()
     }
 
-    /// Where other entry VMs tell what they know.
+    /// Returns the address that receives datagrams from other entry VMs.
     pub fn peer_address(&self) -> io::Result<SocketAddr> {
         self.peers.local_addr()
     }
 
-    /// Where metrics are served.
+    /// Returns the address at which metrics are served.
     pub fn metrics_address(&self) -> io::Result<SocketAddr> {
         self.metrics.local_addr()
     }
 }
 
-/// Runs the process until it is told to stop and its requests have ended.
+/// Runs the process until SIGTERM is received and its requests have finished or the grace period is over.
 pub async fn run<S, C, E>(
     settings: NodeSettings,
     listeners: Listeners,
@@ -129,7 +130,7 @@
 {
     let mut terminate = signal(SignalKind::terminate()).context(SignalsSnafu)?;
     let mut hangup = signal(SignalKind::hangup()).context(SignalsSnafu)?;
-    let (quarantine, quarantine_orders) = QuarantineStore::new();
+    let (quarantine, quarantine_commands) = QuarantineStore::new();
     let node = Rc::new(Node::new(settings, headers, Mover::start(engines), quarantine));
     let (closing_tx, closing) = watch::channel(false);
     let Listeners { front, ready, metrics, peers: socket } = listeners;
@@ -143,11 +144,11 @@
     spawn_local(front::serve_callers(node.clone(), front, closing));
     spawn_local(follow_store(node.clone(), store.clone(), socket.clone()));
     spawn_local(keep_entry(node.clone(), store.clone()));
-    spawn_local(keep_quarantine(node.clone(), store.clone(), quarantine_orders));
+    spawn_local(run_quarantine_task(node.clone(), store.clone(), quarantine_commands));
     spawn_local(peers::send_digests(node.clone(), socket.clone()));
     spawn_local(peers::receive_datagrams(node.clone(), socket));
     let (stop_duties, duties_stopped) = watch::channel(false);
-    spawn_local(duties::hold_duties(node.clone(), store, cloud, duties_stopped));
+    spawn_local(duties::run_duties(node.clone(), store, cloud, duties_stopped));
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
@@ -161,19 +162,19 @@
     Ok(())
 }
 
-/// Stops taking callers, then finishes what there is.
+/// Stops accepting callers, then waits for the requests in flight.
 async fn drain(node: &Node, closing: &watch::Sender<bool>) {
     let since = Instant::now();
     log::info!(requests = node.in_flight.get(), age_us = clock::now().as_micros(); "draining");
-    let until = since + node.settings.bounds.grace.saturating_sub(END_MARGIN);
+    let until = since + node.settings.bounds.grace.saturating_sub(EXIT_MARGIN);
     node.phase.set(Phase::Draining { until });
     sleep(CLOSE_IDLE_AFTER).await;
     closing.send_replace(true);
     while Instant::now() < until {
-        if since.elapsed() >= LEAST_STAY && node.in_flight.get() == 0 {
+        if since.elapsed() >= MIN_DRAIN_TIME && node.in_flight.get() == 0 {
             return;
         }
-        sleep(LOOK).await;
+        sleep(DRAIN_POLL_INTERVAL).await;
     }
 }
 
--- a/crates/quincevalve_node/src/test_node.rs
+++ b/crates/quincevalve_node/src/test_node.rs
@@ -1,4 +1,4 @@
-//! A VM's state for the tests of its parts.
+//! A VM's state for unit tests.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -20,6 +20,7 @@
     settings::{Bounds, Duties, NodeSettings},
 };
 
+/// Engine API whose calls never return.
 #[derive(Clone)]
 struct NoEngines;
 
@@ -29,6 +30,7 @@
     }
 }
 
+/// Returns a loopback address with port 0.
 pub(crate) fn any() -> SocketAddr {
     ([127, 0, 0, 1], 0).into()
 }
@@ -55,7 +57,7 @@
     }
 }
 
-/// A VM of that name that knows nothing yet.
+/// Creates the state of a VM without configuration, servers or peers.
 pub(crate) fn node(name: &str) -> Node {
     let settings = NodeSettings {
         name: name.into(),
@@ -87,13 +89,13 @@
     Node::new(settings, headers(), Mover::start(NoEngines), QuarantineStore::new().0)
 }
 
-/// Runs a test where the node's tasks can run.
+/// Runs a test in a runtime that can spawn the node's local tasks.
 pub(crate) fn run(test: impl FnOnce()) {
     let rt = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
     LocalSet::new().block_on(&rt, async { test() });
 }
 
-/// A configuration of that version with one account and no route.
+/// Creates a configuration of version `version` with one account and no routes.
 pub(crate) fn config(version: u64) -> ForwardingConfig {
     let limits = CallerLimits {
         head_bytes: 16 << 10,
