--- a/crates/quincevalve_node/src/ports.rs
+++ b/crates/quincevalve_node/src/ports.rs
@@ -142,15 +142,15 @@
 #[snafu(module)]
 pub enum StoreError {
     /// Keys have other revisions than expected; nothing was written.
-    #[snafu(display("store: another writer was first"))]
+    #[snafu(display("store: revision conflict, another writer was first"))]
     Conflict,
-    /// The lease has expired; nothing was written.
+    /// The lease has expired or was revoked; nothing was written.
     #[snafu(display("store: the lease has ended"))]
     LeaseEnded,
     /// The requested changes are no longer kept.
-    #[snafu(display("store: its history no longer goes back that far"))]
+    #[snafu(display("store: the requested changes are no longer kept"))]
     HistoryGone,
-    /// The call failed. A write may have taken effect.
+    /// The call got no answer, or an answer saying that nothing was done. A write may have taken effect.
     #[snafu(display("store: {source}"))]
     Call {
         /// Why.
@@ -235,9 +235,9 @@
 #[snafu(module)]
 pub enum CloudError {
     /// No servers are available at present.
-    #[snafu(display("cloud: none available"))]
+    #[snafu(display("cloud: no servers available"))]
     NoneAvailable,
-    /// The call failed. It may have taken effect.
+    /// Any other failure. The call may have taken effect.
     #[snafu(display("cloud: {source}"))]
     Call {
         /// Why.
