--- a/crates/quincevalve_node/src/duties.rs
+++ b/crates/quincevalve_node/src/duties.rs
@@ -16,7 +16,7 @@
 use crate::{
     clock,
     node::Node,
-    ports::{ActingHolder, CloudApi, Commit, LeaseId, PlatformStore, StoreError, StoreRevision},
+    ports::{CloudApi, Commit, DutyHolder, LeaseId, PlatformStore, StoreError, StoreRevision},
     store::view::HOLDER_KEY,
 };
 
@@ -87,7 +87,8 @@
     let draw = node.rng.borrow_mut().random();
     let Vacancy { since, draw } = *vacancy.get_or_insert(Vacancy { since: now, draw });
     let is_small = node.peers.borrow().book.is_small();
-    is_small || now.since(since) >= node.reading_part().duty_takeover_delay(node.vms(), draw)
+    is_small
+        || now.since(since) >= node.store_read_role().duty_takeover_delay(node.vm_count(), draw)
 }
 
 async fn take_over<S>(node: &Node, store: &S) -> Result<LeaseId, StoreError>
@@ -162,7 +163,7 @@
 }
 
 /// Returns the identity for calls that only the holder may make; `None` if this VM doesn't hold the duties.
-fn current_holder(node: &Node) -> Option<ActingHolder> {
-    let number = node.duty.borrow().fencing_number(clock::now())?;
-    Some(ActingHolder { name: node.settings.name.as_str().to_owned(), number })
+fn current_holder(node: &Node) -> Option<DutyHolder> {
+    let fencing_number = node.duty.borrow().fencing_number(clock::now())?;
+    Some(DutyHolder { name: node.settings.name.as_str().to_owned(), fencing_number })
 }
--- a/crates/quincevalve_node/src/duties/orders.rs
+++ b/crates/quincevalve_node/src/duties/orders.rs
@@ -62,14 +62,19 @@
                 continue;
             }
             let planner =
-                planners.entry(name.clone()).or_insert_with(|| FleetPlanner::new(node.began));
-            if let Some(measured) = node.measured.borrow().get(name) {
+                planners.entry(name.clone()).or_insert_with(|| FleetPlanner::new(node.started_at));
+            if let Some(measured) = node.measured_demand.borrow().get(name) {
                 planner.set_demand(measured.clone());
             }
             let present = count_present(node, name, scaling.prices.keys());
             let reachable_fraction = node.peers.borrow().reachable_part();
-            let busy =
-                planner.observe(node.demand_of(name), reachable_fraction, promised, &present, now);
+            let busy = planner.observe(
+                node.total_demand(name),
+                reachable_fraction,
+                promised,
+                &present,
+                now,
+            );
             for _ in 0..SERVER_KINDS {
                 for order in planner.due_orders(scaling, busy, &present, clock::now()) {
                     let sent = send_order(node, cloud, name, &order, busy, scaling.max).await;
@@ -135,7 +140,7 @@
     if !node.rollouts.borrow().carries_load(service, &server.entry.version) {
         return PlanRole::OtherVersion;
     }
-    if counts_toward_fleet(server.limit(), node.busy_each(service)) {
+    if counts_toward_fleet(server.limit(), node.busy_seconds_per_request(service)) {
         PlanRole::Counted
     } else {
         PlanRole::Limited
@@ -193,7 +198,7 @@
     };
     log::info!(
         service = service.as_str(), centre = order.data_centre.as_str(), kind:? = order.kind,
-        count = wanted.count, busy, number = holder.number.0, outcome:? = outcome;
+        count = wanted.count, busy, number = holder.fencing_number.0, outcome:? = outcome;
         "servers-ordered"
     );
     if let Err(error @ CloudError::Call { .. }) = result {
--- a/crates/quincevalve_node/src/duties/orders/tests.rs
+++ b/crates/quincevalve_node/src/duties/orders/tests.rs
@@ -10,7 +10,7 @@
 use crate::{
     clock,
     node::Node,
-    test_node::{any, node, run},
+    test_node::{any_address, node, run},
 };
 
 const START: ServerStart = ServerStart(1);
@@ -22,7 +22,7 @@
         let entry = ServerEntry {
             start: START,
             service: "engines".into(),
-            address: any(),
+            address: any_address(),
             data_centre: "a".into(),
             version: "v1".into(),
             slots: 8,
@@ -37,7 +37,7 @@
     if let Some(server) = node.servers.borrow_mut().get_mut(&"s-1".into(), START) {
         server.apply_signals(&signals, clock::now());
     }
-    node.note_demand(&"engines".into(), Work { prefill: 10_000, ..Work::default() }, true);
+    node.record_demand(&"engines".into(), Work { prefill: 10_000, ..Work::default() }, true);
     node
 }
 
--- a/crates/quincevalve_node/src/duties/reports.rs
+++ b/crates/quincevalve_node/src/duties/reports.rs
@@ -12,7 +12,7 @@
 use crate::{
     clock,
     node::Node,
-    ports::{ActingHolder, CloudApi, Commit, PlatformStore, StoreError, StoreRevision},
+    ports::{CloudApi, Commit, DutyHolder, PlatformStore, StoreError, StoreRevision},
 };
 
 /// Store key of the newest usage report, which is written before the report is sent.
@@ -182,13 +182,13 @@
 
 /// Returns the demand by service that this VM measured, in busy servers.
 fn measured_demand(node: &Node) -> IndexMap<ServiceName, f64> {
-    let demands = node.measured.borrow();
+    let demands = node.measured_demand.borrow();
     demands.iter().filter_map(|(name, it)| Some((name.clone(), it.measured()?))).collect()
 }
 
 /// Takes the previous holder's measured demand for services without a measurement of this VM.
 fn inherit_demand(node: &Node, report: &Report) {
-    let mut measured = node.measured.borrow_mut();
+    let mut measured = node.measured_demand.borrow_mut();
     for (service, busy) in &report.busy {
         let known = measured.entry(service.clone()).or_default();
         if known.measured().is_none() {
@@ -229,7 +229,7 @@
 /// is cut off from the holder for some seconds at a window's end, the report would lack all requests that began there.
 fn due_window(node: &Node, last: Option<&Report>) -> Option<u64> {
     let now = clock::now();
-    let now_ms = node.wall.borrow().estimate_ms(now)?;
+    let now_ms = node.wall_clock.borrow().estimate_ms(now)?;
     let length = node.settings.duties.usage_window.as_millis().max(1) as i64;
     let newest = ((now_ms - REPORT_DELAY_MS) / length - 1) as u64;
     // If nothing was reported yet, the first window is the newest one that has ended.
@@ -250,14 +250,14 @@
     (complete || since_end_ms >= MAX_REPORT_DELAY_MS).then_some(next)
 }
 
-async fn send_report<C>(cloud: &C, holder: &ActingHolder, report: &Report)
+async fn send_report<C>(cloud: &C, holder: &DutyHolder, report: &Report)
 where
     C: CloudApi,
 {
     match cloud.report_usage(holder, report.window, &report.counts).await {
         Ok(()) => {
             let requests: u64 = report.counts.values().sum();
-            log::info!(window = report.window, requests, number = holder.number.0; "usage-reported");
+            log::info!(window = report.window, requests, number = holder.fencing_number.0; "usage-reported");
         }
         Err(error) => log::warn!(window = report.window, error:% = error; "usage-not-reported"),
     }
--- a/crates/quincevalve_node/src/duties/rollouts.rs
+++ b/crates/quincevalve_node/src/duties/rollouts.rs
@@ -20,7 +20,7 @@
     clock,
     node::Node,
     ports::{Commit, PlatformStore, RolloutState, RolloutStatus, StoreError, StoreRevision},
-    rollouts::{record, rollout_key, take_record},
+    rollouts::{apply_record, parse_record, rollout_key},
     store::view::HOLDER_KEY,
 };
 
@@ -96,7 +96,7 @@
         let revision = self.write(service, holder_revision, revision, &next).await?;
         self.log_step(service, &next);
         self.stored.insert(service.clone(), (revision, Some(next.clone())));
-        take_record(self.node, service, next);
+        apply_record(self.node, service, next);
         self.node.changed.notify_waiters();
         Ok(())
     }
@@ -125,9 +125,9 @@
         let Some(item) = self.store.get(&key).await? else {
             return Ok((StoreRevision::ABSENT, None));
         };
-        let known = record(&key, &item.value).map(|(_, it)| it);
+        let known = parse_record(&key, &item.value).map(|(_, it)| it);
         if let Some(known) = &known {
-            take_record(self.node, service, known.clone());
+            apply_record(self.node, service, known.clone());
         }
         Ok((item.revision, known))
     }
@@ -139,7 +139,7 @@
     ) -> Option<RolloutRecord> {
         let node = self.node;
         let now = clock::now();
-        let now_ms = node.wall.borrow().estimate_ms(now)?;
+        let now_ms = node.wall_clock.borrow().estimate_ms(now)?;
         let config = node.config()?;
         let rollouts = node.rollouts.borrow();
         let order = rollouts.orders().find(|(it, _)| *it == service).map(|(_, it)| it);
@@ -148,10 +148,10 @@
         let (new, old): (Vec<_>, Vec<_>) =
             servers.usable(service, now).partition(|(_, it)| it.entry.version == *to);
         let old = old.iter().filter(|(_, it)| rollouts.admits(service, &it.entry.version)).count();
-        let measured = node.measured.borrow();
+        let measured = node.measured_demand.borrow();
         let busy = measured.get(service).and_then(MeasuredDemand::measured);
         let peers = node.peers.borrow();
-        let vms = node.vms();
+        let vms = node.vm_count();
         let progress = rollouts.progress(service).unwrap_or_default();
         let own_switched = u32::from(rollouts.has_switched(service, now));
         let input = StepInput {
@@ -201,7 +201,7 @@
     }
 
     fn remaining_ms(&self, record: &RolloutRecord) -> i64 {
-        let now_ms = self.node.wall.borrow().estimate_ms(clock::now());
+        let now_ms = self.node.wall_clock.borrow().estimate_ms(clock::now());
         record.deadline_ms() - now_ms.unwrap_or(record.ordered_ms)
     }
 
--- a/crates/quincevalve_node/src/lib.rs
+++ b/crates/quincevalve_node/src/lib.rs
@@ -20,6 +20,6 @@
 mod test_node;
 
 pub use crate::{
-    quarantine::{lift_quarantine, quarantined},
+    quarantine::{lift_quarantine, list_quarantined},
     start::{Listeners, StartError, run},
 };
--- a/crates/quincevalve_node/src/metrics.rs
+++ b/crates/quincevalve_node/src/metrics.rs
@@ -139,37 +139,37 @@
 
 impl Metrics {
     /// Counts a finished request.
-    pub(crate) fn request(&self, route: &str, outcome: &str) {
+    pub(crate) fn count_request(&self, route: &str, outcome: &str) {
         let labels = RequestLabels { route: route.to_owned(), outcome: outcome.to_owned() };
         self.requests.get_or_create(&labels).inc();
     }
 
     /// Counts an attempt by the server's version.
-    pub(crate) fn sent_to(&self, service: &str, version: &str) {
+    pub(crate) fn count_attempt_by_version(&self, service: &str, version: &str) {
         let labels = VersionLabels { service: service.to_owned(), version: version.to_owned() };
         self.attempts_by_version.get_or_create(&labels).inc();
     }
 
     /// Records the time to the first byte of an answer.
-    pub(crate) fn first_answer(&self, route: &str, took: Duration) {
+    pub(crate) fn observe_first_answer(&self, route: &str, took: Duration) {
         let labels = RouteLabels { route: route.to_owned() };
         self.first_answer.get_or_create(&labels).observe(took.as_secs_f64());
     }
 
     /// Records the time between two events of a stream.
-    pub(crate) fn between_events(&self, route: &str, took: Duration) {
+    pub(crate) fn observe_event_interval(&self, route: &str, took: Duration) {
         let labels = RouteLabels { route: route.to_owned() };
         self.between_events.get_or_create(&labels).observe(took.as_secs_f64());
     }
 
     /// Counts an attempt by its result.
-    pub(crate) fn sending(&self, service: &str, result: &str) {
+    pub(crate) fn count_attempt(&self, service: &str, result: &str) {
         let labels = AttemptLabels { service: service.to_owned(), result: result.to_owned() };
         self.attempts.get_or_create(&labels).inc();
     }
 
     /// Counts suppressed log lines.
-    pub(crate) fn left_out(&self, lines: u64) {
+    pub(crate) fn count_suppressed_lines(&self, lines: u64) {
         self.suppressed_lines.inc_by(lines);
     }
 
@@ -183,7 +183,7 @@
         self.servers.set(gauge(usable));
         self.limited_servers
             .set(gauge(servers.all().filter(|(_, it)| it.limit().is_some()).count()));
-        self.vms.set(gauge(node.vms()));
+        self.vms.set(gauge(node.vm_count()));
         self.config_version.set(node.config().map_or(0, |it| it.version.cast_signed()));
         self.proof_age_ms.set(i64::try_from(age.as_millis()).unwrap_or(i64::MAX));
         self.quarantined.set(gauge(node.poison.borrow().stored_entries().count()));
--- a/crates/quincevalve_node/src/node.rs
+++ b/crates/quincevalve_node/src/node.rs
@@ -71,7 +71,7 @@
     pub(crate) headers: HeaderNames,
     pub(crate) incarnation: u64,
     /// Monotonic time at which this process started.
-    pub(crate) began: TimePoint,
+    pub(crate) started_at: TimePoint,
     pub(crate) phase: Cell<Phase>,
     pub(crate) config: RefCell<Option<Rc<ForwardingConfig>>>,
     pub(crate) freshness: Cell<Freshness>,
@@ -79,13 +79,13 @@
     pub(crate) quota: RefCell<QuotaTable>,
     pub(crate) retries: RefCell<HashMap<ServiceName, RetryBudget>>,
     pub(crate) usage: RefCell<Usage>,
-    pub(crate) wall: RefCell<WallClock<String>>,
+    pub(crate) wall_clock: RefCell<WallClock<String>>,
     pub(crate) duty: RefCell<DutyLease>,
     pub(crate) peers: RefCell<Peers>,
     /// Work that this VM accepted, by service.
     pub(crate) demand: RefCell<IndexMap<ServiceName, WorkRate>>,
     /// Demand for services that are scaled by orders, as measured by this VM.
-    pub(crate) measured: RefCell<IndexMap<ServiceName, MeasuredDemand>>,
+    pub(crate) measured_demand: RefCell<IndexMap<ServiceName, MeasuredDemand>>,
     pub(crate) backends: Backends,
     pub(crate) rng: RefCell<Pcg64Mcg>,
     pub(crate) in_flight: Cell<usize>,
@@ -96,15 +96,15 @@
     /// Roll-outs of new versions, by service.
     pub(crate) rollouts: RefCell<RolloutTable>,
     /// Budget of log lines.
-    pub(crate) lines: RefCell<LineBudget>,
+    pub(crate) log_budget: RefCell<LineBudget>,
     /// Separate budget of log lines about rejected requests.
-    pub(crate) refusal_lines: RefCell<LineBudget>,
+    pub(crate) refusal_log_budget: RefCell<LineBudget>,
     pub(crate) metrics: Metrics,
     pub(crate) store_view: RefCell<StoreView>,
     /// When the store last answered this VM or a VM from which it receives.
     pub(crate) store_contact: Cell<StoreContact>,
     /// Newest version of the configuration that other VMs reported.
-    pub(crate) told_version: Cell<u64>,
+    pub(crate) reported_config_version: Cell<u64>,
     /// Transfers of a newer configuration from other VMs.
     pub(crate) config_copy: RefCell<ConfigCopy>,
     /// Transfers of the store's state: from other VMs while this one starts, and to VMs that requested it.
@@ -125,7 +125,7 @@
         let seed = clock::now().as_micros() ^ quincevalve_names::hash_text(settings.name.as_str());
         Self {
             incarnation: clock::wall_ms() as u64,
-            began: clock::now(),
+            started_at: clock::now(),
             phase: Cell::new(Phase::Serving),
             config: RefCell::default(),
             freshness: Cell::default(),
@@ -133,11 +133,11 @@
             quota: RefCell::new(QuotaTable::new(settings.quotas, clock::now())),
             retries: RefCell::default(),
             usage: RefCell::default(),
-            wall: RefCell::default(),
+            wall_clock: RefCell::default(),
             duty: RefCell::default(),
-            peers: RefCell::new(Peers::new(descriptor(&settings), settings.link)),
+            peers: RefCell::new(Peers::new(descriptor(&settings), settings.link_bytes_per_second)),
             demand: RefCell::default(),
-            measured: RefCell::default(),
+            measured_demand: RefCell::default(),
             backends: Backends::new(settings.ip),
             rng: RefCell::new(Pcg64Mcg::seed_from_u64(seed)),
             in_flight: Cell::new(0),
@@ -145,12 +145,12 @@
             poison: RefCell::new(PoisonGuard::new(settings.name.as_str())),
             quarantine,
             rollouts: RefCell::new(RolloutTable::new(settings.exposure)),
-            lines: RefCell::default(),
-            refusal_lines: RefCell::new(LineBudget::for_refusals()),
+            log_budget: RefCell::default(),
+            refusal_log_budget: RefCell::new(LineBudget::for_refusals()),
             metrics: Metrics::default(),
             store_view: RefCell::default(),
             store_contact: Cell::default(),
-            told_version: Cell::new(0),
+            reported_config_version: Cell::new(0),
             config_copy: RefCell::default(),
             state_copy: RefCell::default(),
             signal_outbox: RefCell::default(),
@@ -180,14 +180,14 @@
     ///
     /// Until then it serves nothing. A starting VM may have read a copy of the store that is seconds old; it would serve
     /// by an outdated configuration and use servers that have left.
-    pub(crate) fn was_proved(&self) -> bool {
+    pub(crate) fn was_confirmed_fresh(&self) -> bool {
         self.freshness.get().age(clock::now()).is_some()
     }
 
     /// Returns how current this VM's knowledge of removed keys is.
     fn key_freshness(&self) -> FreshnessState {
         let bounds = self.settings.bounds;
-        if !self.was_proved() {
+        if !self.was_confirmed_fresh() {
             return FreshnessState::Expired;
         }
         if !bounds.keys_fail_closed {
@@ -197,18 +197,18 @@
     }
 
     /// Returns whether callers' keys may be accepted: a removal of a key can't have gone unnoticed for too long.
-    pub(crate) fn keys_are_proved(&self) -> bool {
+    pub(crate) fn may_accept_keys(&self) -> bool {
         self.key_freshness() != FreshnessState::Expired
     }
 
     /// Returns whether an unknown name may be rejected: an addition can't have gone unnoticed for too long.
-    pub(crate) fn absence_is_proved(&self) -> bool {
+    pub(crate) fn absence_is_confirmed(&self) -> bool {
         let limit = self.settings.bounds.change_in_force.mul_f64(FRESH_FRACTION);
         self.freshness.get().is_within(limit, clock::now())
     }
 
     /// Returns whether callers should use other VMs, because keys are rejected here or will be soon.
-    pub(crate) fn is_losing_touch(&self) -> bool {
+    pub(crate) fn is_losing_freshness(&self) -> bool {
         self.key_freshness() != FreshnessState::Fresh
     }
 
@@ -216,7 +216,7 @@
     pub(crate) fn is_ready(&self) -> bool {
         self.phase.get() == Phase::Serving
             && self.config.borrow().is_some()
-            && !self.is_losing_touch()
+            && !self.is_losing_freshness()
     }
 
     /// Returns whether a request that arrives now can finish before the process exits.
@@ -226,11 +226,11 @@
     pub(crate) fn can_finish(&self, route: &Route) -> bool {
         let Phase::Draining { until } = self.phase.get() else { return true };
         let required = if route.retry_safety.is_stream() { MIN_STREAM_TIME } else { route.timeout };
-        left(until) >= required.min(route.timeout)
+        remaining(until) >= required.min(route.timeout)
     }
 
     /// Returns this VM's role in reading the store.
-    pub(crate) fn reading_part(&self) -> StoreReadRole {
+    pub(crate) fn store_read_role(&self) -> StoreReadRole {
         let now = clock::now();
         let peers = self.peers.borrow();
         peers.book.store_read_role(peers.has_members(now), now)
@@ -244,17 +244,17 @@
     }
 
     /// Takes one log line about a rejected request from its budget; a line that doesn't fit is counted as suppressed.
-    pub(crate) fn may_tell_refusal(&self) -> bool {
-        let may = self.refusal_lines.borrow_mut().take(clock::now());
+    pub(crate) fn may_log_refusal(&self) -> bool {
+        let may = self.refusal_log_budget.borrow_mut().take(clock::now());
         if !may {
-            self.lines.borrow_mut().record_suppressed(1);
+            self.log_budget.borrow_mut().record_suppressed(1);
         }
         may
     }
 
     /// Takes one log line from the budget; a line that doesn't fit is counted as suppressed.
-    pub(crate) fn may_write_line(&self) -> bool {
-        let mut lines = self.lines.borrow_mut();
+    pub(crate) fn may_log(&self) -> bool {
+        let mut lines = self.log_budget.borrow_mut();
         let may = lines.take(clock::now());
         if !may {
             lines.record_suppressed(1);
@@ -263,37 +263,37 @@
     }
 
     /// Returns the number of known entry VMs, including this one.
-    pub(crate) fn vms(&self) -> usize {
+    pub(crate) fn vm_count(&self) -> usize {
         self.peers.borrow().book.vm_count()
     }
 
     /// Counts a request that is sent to a server, by the server's version.
-    pub(crate) fn note_sent(&self, place: &Placement) {
+    pub(crate) fn record_sent(&self, place: &Placement) {
         let servers = self.servers.borrow();
         let Some(server) = servers.get(&place.server) else { return };
         let service = &server.entry.service;
         self.rollouts.borrow_mut().record_sent(service, &place.version);
-        self.metrics.sent_to(service.as_str(), place.version.as_str());
+        self.metrics.count_attempt_by_version(service.as_str(), place.version.as_str());
     }
 
     /// Spends one retry of a service's retry budget; returns `false` if none is available.
-    pub(crate) fn spend_retry(&self, service: &ServiceName) -> bool {
-        let vms = self.vms();
+    pub(crate) fn try_spend_retry(&self, service: &ServiceName) -> bool {
+        let vms = self.vm_count();
         let mut budgets = self.retries.borrow_mut();
         let budget = budgets.entry(service.clone()).or_default();
         budget.try_spend(&self.settings.retries, vms, clock::now())
     }
 
     /// Counts a started request of an account in the current usage window of wall-clock time.
-    pub(crate) fn note_began(&self, account: Option<&ClientAccountName>) {
+    pub(crate) fn record_usage_start(&self, account: Option<&ClientAccountName>) {
         let Some(account) = account else { return };
-        let Some(now_ms) = self.wall.borrow().estimate_ms(clock::now()) else { return };
+        let Some(now_ms) = self.wall_clock.borrow().estimate_ms(clock::now()) else { return };
         let window_ms = self.settings.duties.usage_window.as_millis().max(1) as i64;
         self.usage.borrow_mut().record_start((now_ms / window_ms) as u64, account);
     }
 
     /// Records work requested of `service`, and whether a server had capacity for it.
-    pub(crate) fn note_demand(&self, service: &ServiceName, work: Work, was_placed: bool) {
+    pub(crate) fn record_demand(&self, service: &ServiceName, work: Work, was_placed: bool) {
         let config = self.config.borrow();
         let engine = config.as_ref().and_then(|it| it.services.get(service)?.engine);
         let slots = engine.map_or(1, |it| it.slots);
@@ -304,13 +304,13 @@
     }
 
     /// Returns the work that all entry VMs accept for a service at present, in busy servers.
-    pub(crate) fn demand_of(&self, service: &ServiceName) -> f64 {
+    pub(crate) fn total_demand(&self, service: &ServiceName) -> f64 {
         let own = self.demand.borrow().get(service).map_or(0.0, |it| it.busy(clock::now()));
         own + self.peers.borrow().others_demand(service)
     }
 
     /// Returns the mean seconds for which a request of a service occupies a server, as recently observed by this VM.
-    pub(crate) fn busy_each(&self, service: &ServiceName) -> Option<f64> {
+    pub(crate) fn busy_seconds_per_request(&self, service: &ServiceName) -> Option<f64> {
         self.demand.borrow().get(service)?.busy_seconds_per_request(clock::now())
     }
 }
@@ -342,6 +342,6 @@
 }
 
 /// Returns the time remaining until `deadline`, zero once it has passed.
-pub(crate) fn left(deadline: tokio::time::Instant) -> Duration {
+pub(crate) fn remaining(deadline: tokio::time::Instant) -> Duration {
     deadline.saturating_duration_since(tokio::time::Instant::now())
 }
--- a/crates/quincevalve_node/src/peers/receive.rs
+++ b/crates/quincevalve_node/src/peers/receive.rs
@@ -60,7 +60,7 @@
         };
         peers.newest.insert(name.clone(), newest);
     }
-    node.wall.borrow_mut().record(name.clone(), datagram.wall_ms, now);
+    node.wall_clock.borrow_mut().record(name.clone(), datagram.wall_ms, now);
     match datagram.content {
         Content::Share { scope, share, relayed, store } => {
             // What is relayed may say that servers are gone, and the contact whether that may be a lapse.
@@ -94,7 +94,7 @@
             if scope == Scope::Rest
                 && let Some(true_ms) = datagram.true_ms
             {
-                node.wall.borrow_mut().record_estimate(true_ms, now);
+                node.wall_clock.borrow_mut().record_estimate(true_ms, now);
             }
         }
         Content::ConfigWanted { above } => {
@@ -152,7 +152,7 @@
 fn take_relayed(node: &Node, relayed: Relayed, echo: Option<Echo>) {
     let Relayed { age, version, after, upto, changes } = relayed;
     let is_contiguous = take_excerpt(node, ChangeBatch { after, upto, changes });
-    node.told_version.set(node.told_version.get().max(version));
+    node.reported_config_version.set(node.reported_config_version.get().max(version));
     let reached = node.store_view.borrow().reached();
     let knows = node.config().is_some_and(|it| it.version >= version)
         && reached.is_some_and(|it| it.0 >= upto);
--- a/crates/quincevalve_node/src/peers/receive/tests.rs
+++ b/crates/quincevalve_node/src/peers/receive/tests.rs
@@ -15,7 +15,7 @@
         sync::note_away,
         view::{Passed, Whole, take_whole},
     },
-    test_node::{any, config, node as bare_node},
+    test_node::{any_address, config, node as bare_node},
 };
 
 const AT: u64 = 50;
@@ -36,7 +36,7 @@
     ServerEntry {
         start: ServerStart(1),
         service: "model".into(),
-        address: any(),
+        address: any_address(),
         data_centre: "a".into(),
         version: "v1".into(),
         slots: 16,
@@ -72,7 +72,7 @@
     Datagram {
         from: VmDescriptor {
             name: "vm-2".into(),
-            address: any(),
+            address: any_address(),
             data_centre: "a".into(),
             cpu: 250,
         },
@@ -194,7 +194,7 @@
         hear(&node, &socket, relays(&node, "vm-3", AT + 3, later));
         assert_eq!(usable(&node), ["i-1", "i-2"], "a part without what came before isn't taken");
         assert_eq!(node.store_view.borrow().reached().map(|it| it.0), Some(AT));
-        assert!(!node.was_proved());
+        assert!(!node.was_confirmed_fresh());
     });
 }
 
@@ -206,6 +206,6 @@
         node.apply_config(config(1));
         let leaves = vec![(AT + 1, Passed::ServerRemoved("i-2".into()))];
         hear(&node, &socket, relays(&node, "vm-3", AT, leaves));
-        assert!(node.was_proved());
+        assert!(node.was_confirmed_fresh());
     });
 }
--- a/crates/quincevalve_node/src/peers/send.rs
+++ b/crates/quincevalve_node/src/peers/send.rs
@@ -55,10 +55,10 @@
 pub(crate) async fn send_digests(node: Rc<Node>, socket: Rc<UdpSocket>) {
     for turn in 0_u32.. {
         let now = clock::now();
-        node.wall.borrow_mut().record(String::new(), clock::wall_ms(), now);
+        node.wall_clock.borrow_mut().record(String::new(), clock::wall_ms(), now);
         for gone in node.peers.borrow_mut().book.remove_expired(now) {
             log::info!(peer = gone; "peer-forgotten");
-            node.wall.borrow_mut().forget(&gone);
+            node.wall_clock.borrow_mut().forget(&gone);
         }
         node.backends.sweep();
         if node.peers.borrow_mut().take_news() || turn.is_multiple_of(STALE_PERIODS) {
@@ -80,17 +80,17 @@
 
 /// Says how many lines of requests were not written since the last time.
 fn log_left_out(node: &Node) {
-    let lines = node.lines.borrow_mut().take_suppressed();
+    let lines = node.log_budget.borrow_mut().take_suppressed();
     if lines > 0 {
         log::info!(lines; "lines-left-out");
-        node.metrics.left_out(lines);
+        node.metrics.count_suppressed_lines(lines);
     }
 }
 
 /// Makes what others told the load that placements see.
 fn take_over_sums(node: &Node, now: TimePoint) {
     let others = node.peers.borrow().others(now);
-    let reachable_part = (f64::from(others.vms + 1) / node.vms() as f64).min(1.0);
+    let reachable_part = (f64::from(others.vms + 1) / node.vm_count() as f64).min(1.0);
     {
         let mut peers = node.peers.borrow_mut();
         peers.others_demand.clone_from(&others.demand);
@@ -101,7 +101,7 @@
         quota.set_peer_spending(&others.spending, reachable_part, &config, now);
     }
     let seat = node.peers.borrow().book.rank(LIMITS_KEY);
-    let true_ms = node.wall.borrow().estimate_ms(now).unwrap_or_else(clock::wall_ms);
+    let true_ms = node.wall_clock.borrow().estimate_ms(now).unwrap_or_else(clock::wall_ms);
     node.servers.borrow_mut().set_rank(seat, true_ms, now);
     measure_demand(node, now);
     if !node.rollouts.borrow().is_idle() {
@@ -115,9 +115,9 @@
 fn measure_demand(node: &Node, now: TimePoint) {
     let Some(config) = node.config() else { return };
     let part = node.peers.borrow().reachable_part();
-    let mut measured = node.measured.borrow_mut();
+    let mut measured = node.measured_demand.borrow_mut();
     for (name, _) in config.services.iter().filter(|(_, it)| it.scaling.is_some()) {
-        measured.entry(name.clone()).or_default().observe(node.demand_of(name), part, now);
+        measured.entry(name.clone()).or_default().observe(node.total_demand(name), part, now);
     }
 }
 
@@ -243,7 +243,7 @@
 /// What a VM that knows the store passes on to another.
 fn relayed(node: &Node, to: SocketAddr, now: TimePoint) -> Option<Relayed> {
     let age = node.freshness.get().age(now)?;
-    let version = node.config()?.version.max(node.told_version.get());
+    let version = node.config()?.version.max(node.reported_config_version.get());
     let seen = {
         let peers = node.peers.borrow();
         let name = peers.book.name_of(to)?;
@@ -367,7 +367,7 @@
         from: node.peers.borrow().book.me().clone(),
         incarnation: node.incarnation,
         wall_ms: clock::wall_ms(),
-        true_ms: node.wall.borrow().estimate_ms(now),
+        true_ms: node.wall_clock.borrow().estimate_ms(now),
         content,
     };
     match encoding().serialize(&datagram) {
--- a/crates/quincevalve_node/src/peers/send/tests.rs
+++ b/crates/quincevalve_node/src/peers/send/tests.rs
@@ -3,7 +3,7 @@
 use quincevalve_names::hash_text;
 
 use super::*;
-use crate::{peers::datagram::MAX_DATAGRAM, test_node::any};
+use crate::{peers::datagram::MAX_DATAGRAM, test_node::any_address};
 
 const SERVERS: u64 = 3_000;
 const MEMBERS: u16 = 160;
@@ -33,7 +33,8 @@
 /// The periods of twenty in which a member tells what it does.
 fn told(mut share_at: impl FnMut(u32) -> PartialSum) -> Vec<u32> {
     let mut peers = peers();
-    let mut is_told = |turn: &u32| own_digest(&mut peers, share_at(*turn), any(), *turn).is_some();
+    let mut is_told =
+        |turn: &u32| own_digest(&mut peers, share_at(*turn), any_address(), *turn).is_some();
     (0..20).filter(|turn| is_told(turn)).collect()
 }
 
@@ -71,7 +72,7 @@
         peers.members.insert(&member.name, own, TimePoint::ZERO);
         peers.member_addresses.insert(member.name.clone(), member.address);
     }
-    let others = [any()];
+    let others = [any_address()];
     let digests =
         collector_digests(&peers, PartialSum::default(), &others, None, 0, TimePoint::ZERO);
     assert_eq!(digests.len(), usize::from(MEMBERS) + others.len());
--- a/crates/quincevalve_node/src/ports.rs
+++ b/crates/quincevalve_node/src/ports.rs
@@ -39,7 +39,7 @@
     /// The operators' orders for roll-outs.
     pub rollouts: Vec<(ServiceName, RolloutOrder)>,
     /// The system's own keys.
-    pub own: Vec<OwnItem>,
+    pub system_items: Vec<SystemItem>,
     /// Revision up to which all changes are included.
     pub at: StoreRevision,
     /// Newest change that is included. It may exceed `at`, because the store may be read in several requests.
@@ -48,7 +48,7 @@
 
 /// An item of the store that the system itself wrote.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct OwnItem {
+pub struct SystemItem {
     /// Key of the item.
     pub key: String,
     /// Value of the item.
@@ -75,9 +75,9 @@
     /// An order to move a service to another version was removed.
     RolloutOrderRemoved(ServiceName),
     /// An item of the system itself was written.
-    Own(OwnItem),
+    SystemItem(SystemItem),
     /// An item of the system itself was removed; its key.
-    OwnRemoved(String),
+    SystemItemRemoved(String),
     /// Another item can't be read; the reason is logged.
     Unreadable(String),
 }
@@ -90,7 +90,7 @@
     /// Revision from which the next read continues.
     pub at: StoreRevision,
     /// Whether the store may have truncated the answer, so that later changes may exist already.
-    pub may_be_cut: bool,
+    pub may_be_truncated: bool,
 }
 
 /// An atomic write of the system's own keys.
@@ -130,11 +130,11 @@
 
 /// How current the result of a read must be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReadAge {
+pub enum ReadConsistency {
     /// The newest data.
-    Newest,
+    Latest,
     /// Data that may be some seconds old; such a read costs a fraction.
-    MayBeOld,
+    MayBeStale,
 }
 
 /// A call to the store that failed.
@@ -167,10 +167,16 @@
 /// The platform's key-value store.
 pub trait PlatformStore: Clone + 'static {
     /// Reads everything that the process uses. A result that may be old is the state at the revision that it names.
-    fn snapshot(&self, age: ReadAge) -> impl Future<Output = Result<Snapshot, StoreError>>;
+    fn snapshot(
+        &self,
+        consistency: ReadConsistency,
+    ) -> impl Future<Output = Result<Snapshot, StoreError>>;
 
     /// Reads the system's own items whose keys begin with `prefix`, at most 500; the result may be seconds old.
-    fn own_items(&self, prefix: &str) -> impl Future<Output = Result<Vec<OwnItem>, StoreError>>;
+    fn system_items(
+        &self,
+        prefix: &str,
+    ) -> impl Future<Output = Result<Vec<SystemItem>, StoreError>>;
 
     /// Waits for at most `wait` for changes after `after`.
     fn changes(
@@ -182,11 +188,11 @@
     /// Reads the configuration.
     fn config(
         &self,
-        age: ReadAge,
+        consistency: ReadConsistency,
     ) -> impl Future<Output = Result<Option<ForwardingConfig>, StoreError>>;
 
     /// Reads the newest value of one of the system's own keys.
-    fn get(&self, key: &str) -> impl Future<Output = Result<Option<OwnItem>, StoreError>>;
+    fn get(&self, key: &str) -> impl Future<Output = Result<Option<SystemItem>, StoreError>>;
 
     /// Writes the system's own keys.
     fn commit(&self, commit: &Commit) -> impl Future<Output = Result<StoreRevision, StoreError>>;
@@ -210,11 +216,11 @@
 
 /// The holder of the duties, which identifies itself in calls that only the holder may make.
 #[derive(Clone, Debug)]
-pub struct ActingHolder {
+pub struct DutyHolder {
     /// Name of the entry VM.
     pub name: String,
     /// Fencing number, which grows with each change of holder.
-    pub number: FencingNumber,
+    pub fencing_number: FencingNumber,
 }
 
 /// An order for a number of servers.
@@ -250,7 +256,7 @@
     /// Reports how many requests of each account started in a window.
     fn report_usage(
         &self,
-        holder: &ActingHolder,
+        holder: &DutyHolder,
         window: u64,
         counts: &IndexMap<ClientAccountName, u64>,
     ) -> impl Future<Output = Result<(), CloudError>>;
@@ -258,14 +264,14 @@
     /// Orders servers.
     fn order(
         &self,
-        holder: &ActingHolder,
+        holder: &DutyHolder,
         order: &ServerOrder,
     ) -> impl Future<Output = Result<(), CloudError>>;
 }
 
 /// A running request that was stopped at its server and whose memory was copied to another server.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct MovedRun {
+pub struct MigratedRequest {
     /// Header value with which the request resumes from the copy.
     pub ticket: HeaderValue,
 }
@@ -273,7 +279,7 @@
 /// A migration failed. The request continues at its server, unless the server has stopped it.
 #[derive(Debug, Snafu)]
 #[snafu(display("engine: {source}"))]
-pub struct MoveError {
+pub struct MigrationError {
     /// Why.
     pub source: CallError,
 }
@@ -281,12 +287,12 @@
 /// Control calls to model engines.
 pub trait EngineApi: Clone + 'static {
     /// Stops a running request and copies its memory to another engine.
-    fn move_run(
+    fn migrate_request(
         &self,
         from: SocketAddr,
         to: SocketAddr,
         attempt_id: &str,
-    ) -> impl Future<Output = Result<MovedRun, MoveError>>;
+    ) -> impl Future<Output = Result<MigratedRequest, MigrationError>>;
 }
 
 /// A server's signal in an answer header that can't be parsed.
@@ -335,9 +341,9 @@
     /// Urgency at a model engine; 0 is the most urgent.
     pub urgency: HeaderName,
     /// Identifier of the last event that was received of a stream.
-    pub last_event: HeaderName,
+    pub last_event_id: HeaderName,
     /// Location of the copied memory from which a migrated request resumes.
-    pub moved_from: HeaderName,
+    pub migrated_from: HeaderName,
     /// Decodes a server's signals from the headers of its answer.
     pub signals: fn(&HeaderMap) -> DecodedSignals,
     /// Headers that only the system may set; they are removed from callers' requests.
--- a/crates/quincevalve_node/src/quarantine.rs
+++ b/crates/quincevalve_node/src/quarantine.rs
@@ -10,10 +10,10 @@
 
 use quincevalve_forwarding::poison::SendDecision;
 
-pub use self::entries::{lift_quarantine, quarantined};
+pub use self::entries::{lift_quarantine, list_quarantined};
 pub(crate) use self::{
     commands::{QuarantineStore, run_quarantine_task},
-    entries::{QUARANTINE_KEYS, digest_of, listed},
+    entries::{QUARANTINE_KEY_PREFIX, digest_of, parse_entry},
 };
 use crate::{
     clock,
@@ -54,11 +54,11 @@
         return SendDecision::Allowed;
     }
     let now = clock::now();
-    poison.send_decision(req.digest(), now, node.wall.borrow().estimate_ms(now))
+    poison.send_decision(req.digest(), now, node.wall_clock.borrow().estimate_ms(now))
 }
 
 /// Records that a request completed, which shows that it doesn't make servers exit, and lifts its quarantine.
-pub(crate) fn note_completed(node: &Node, req: &Identified) {
+pub(crate) fn record_completion(node: &Node, req: &Identified) {
     let Some(digest) = req.cheap_digest() else { return };
     if node.poison.borrow_mut().record_completion(digest, clock::now()) {
         node.quarantine.lift(digest);
--- a/crates/quincevalve_node/src/quarantine/commands.rs
+++ b/crates/quincevalve_node/src/quarantine/commands.rs
@@ -12,7 +12,7 @@
     time::{Instant, sleep, timeout},
 };
 
-use super::entries::{lift_quarantine, listed, put, read};
+use super::entries::{lift_quarantine, parse_entry, put, read};
 use crate::{
     clock,
     node::Node,
@@ -123,7 +123,7 @@
 {
     let claim = async {
         let Some(item) = read(store, digest).await? else { return Ok(false) };
-        let next = listed(&item.key, &item.value).zip(wall_clock_ms(node));
+        let next = parse_entry(&item.key, &item.value).zip(wall_clock_ms(node));
         let Some(next) = next.and_then(|((_, entry), now)| entry.next_trial(now)) else {
             return Ok(false);
         };
@@ -159,5 +159,5 @@
 
 /// Returns the estimated wall-clock time in Unix milliseconds.
 fn wall_clock_ms(node: &Node) -> Option<i64> {
-    node.wall.borrow().estimate_ms(clock::now())
+    node.wall_clock.borrow().estimate_ms(clock::now())
 }
--- a/crates/quincevalve_node/src/quarantine/entries.rs
+++ b/crates/quincevalve_node/src/quarantine/entries.rs
@@ -2,18 +2,20 @@
 
 use quincevalve_forwarding::{poison::QuarantineEntry, request_digest::RequestDigest};
 
-use crate::ports::{Commit, OwnItem, PlatformStore, StoreError, StoreRevision};
+use crate::ports::{Commit, PlatformStore, StoreError, StoreRevision, SystemItem};
 
 /// Prefix of the store keys of quarantined requests; the digest follows, and the value is a [`QuarantineEntry`].
-pub(crate) const QUARANTINE_KEYS: &str = "quarantine/";
+pub(crate) const QUARANTINE_KEY_PREFIX: &str = "quarantine/";
 
 /// Reads the quarantined requests from the store. Changes of the last seconds may be missing.
-pub async fn quarantined<S>(store: &S) -> Result<Vec<(RequestDigest, QuarantineEntry)>, StoreError>
+pub async fn list_quarantined<S>(
+    store: &S,
+) -> Result<Vec<(RequestDigest, QuarantineEntry)>, StoreError>
 where
     S: PlatformStore,
 {
-    let items = store.own_items(QUARANTINE_KEYS).await?;
-    Ok(items.iter().filter_map(|it| listed(&it.key, &it.value)).collect())
+    let items = store.system_items(QUARANTINE_KEY_PREFIX).await?;
+    Ok(items.iter().filter_map(|it| parse_entry(&it.key, &it.value)).collect())
 }
 
 /// Removes a request's quarantine entry together with its trial count; returns `false` if it wasn't quarantined.
@@ -21,14 +23,19 @@
 where
     S: PlatformStore,
 {
-    let Some(OwnItem { key, revision, .. }) = read(store, digest).await? else { return Ok(false) };
+    let Some(SystemItem { key, revision, .. }) = read(store, digest).await? else {
+        return Ok(false);
+    };
     let expected = vec![(key.clone(), revision)];
     store.commit(&Commit { expected, removes: vec![key], ..Commit::default() }).await?;
     Ok(true)
 }
 
 /// Reads the newest entry of a request.
-pub(super) async fn read<S>(store: &S, digest: RequestDigest) -> Result<Option<OwnItem>, StoreError>
+pub(super) async fn read<S>(
+    store: &S,
+    digest: RequestDigest,
+) -> Result<Option<SystemItem>, StoreError>
 where
     S: PlatformStore,
 {
@@ -55,16 +62,16 @@
 }
 
 fn key_of(digest: RequestDigest) -> String {
-    format!("{QUARANTINE_KEYS}{digest}")
+    format!("{QUARANTINE_KEY_PREFIX}{digest}")
 }
 
 /// Parses the digest in a key; returns `None` for other keys.
 pub(crate) fn digest_of(key: &str) -> Option<RequestDigest> {
-    key.strip_prefix(QUARANTINE_KEYS).and_then(RequestDigest::parse)
+    key.strip_prefix(QUARANTINE_KEY_PREFIX).and_then(RequestDigest::parse)
 }
 
 /// Parses the quarantine entry of a store item; returns `None` for other items and unreadable entries.
-pub(crate) fn listed(key: &str, value: &[u8]) -> Option<(RequestDigest, QuarantineEntry)> {
+pub(crate) fn parse_entry(key: &str, value: &[u8]) -> Option<(RequestDigest, QuarantineEntry)> {
     let digest = digest_of(key)?;
     match serde_json::from_slice(value) {
         Ok(entry) => Some((digest, entry)),
--- a/crates/quincevalve_node/src/request/dispatch.rs
+++ b/crates/quincevalve_node/src/request/dispatch.rs
@@ -41,7 +41,7 @@
     loop {
         let found = find_place(node, &req, &had).await;
         if let Some(prompt) = req.prompt.filter(|_| had.is_empty()) {
-            node.note_demand(&req.service, prompt.expected_work(), found.is_ok());
+            node.record_demand(&req.service, prompt.expected_work(), found.is_ok());
         }
         let place = match found {
             Ok(place) => place,
@@ -88,7 +88,7 @@
             Failed::MayHaveRun => {
                 // It is reported as used unless the server said that it did not run it.
                 if runs == 0 {
-                    node.note_began(req.account.as_ref());
+                    node.record_usage_start(req.account.as_ref());
                 }
                 runs += 1;
             }
@@ -124,7 +124,7 @@
         && runs < req.route.max_servers
         && refusals < MAX_REFUSALS
         && Instant::now() < req.deadline
-        && node.spend_retry(&req.service)
+        && node.try_spend_retry(&req.service)
 }
 
 /// Passes a server's answer on, or says why another server should be asked.
@@ -188,10 +188,10 @@
     }
     if status.is_success() {
         note_answered(node, place, sent);
-        quarantine::note_completed(node, req);
+        quarantine::record_completion(node, req);
     }
     if runs == 0 {
-        node.note_began(req.account.as_ref());
+        node.record_usage_start(req.account.as_ref());
     }
     node.backends.keep(place, answer.connection, &answer.keep_alive);
     Ok(passed_on(status, &head.headers, AnswerBody::whole(whole)))
--- a/crates/quincevalve_node/src/request/exchange.rs
+++ b/crates/quincevalve_node/src/request/exchange.rs
@@ -15,7 +15,7 @@
 
 use crate::{
     clock,
-    node::{Node, left},
+    node::{Node, remaining},
     quarantine,
     request::{
         backends::{Connection, KeepAlive},
@@ -87,7 +87,7 @@
     let response = match timeout_at(req.deadline, sent).await {
         Err(_) => {
             about(node, place, |it, _| it.load.record_failure());
-            node.metrics.sending(service, "timed-out");
+            node.metrics.count_attempt(service, "timed-out");
             return Err(Failed::TimedOut);
         }
         Ok(Ok(response)) => response,
@@ -102,7 +102,7 @@
             if unsent {
                 return Err(Failed::NotRun);
             }
-            node.metrics.sending(service, "lost");
+            node.metrics.count_attempt(service, "lost");
             // Other connections of the same age are likely to be gone too.
             node.backends.forget(place);
             about(node, place, |it, now| it.load.record_unreachable(now));
@@ -153,10 +153,10 @@
         } else {
             about(node, place, |it, now| it.load.pause(FULL_PAUSE, now));
         }
-        node.metrics.sending(req.service.as_str(), "refused");
+        node.metrics.count_attempt(req.service.as_str(), "refused");
         return Err(Failed::NotRun);
     }
-    node.metrics.sending(req.service.as_str(), "answered");
+    node.metrics.count_attempt(req.service.as_str(), "answered");
     let keep_alive = KeepAlive::of(response.headers());
     Ok(ServerAnswer { response, connection, keep_alive, sealed })
 }
@@ -173,7 +173,7 @@
     *outgoing.method_mut() = req.method.clone();
     *outgoing.uri_mut() = req.uri.clone();
     let mut headers: HeaderMap = req.headers.clone();
-    let left_ms = left(req.deadline).as_millis().max(1) as u64;
+    let left_ms = remaining(req.deadline).as_millis().max(1) as u64;
     headers.insert(&names.deadline_ms, HeaderValue::from(left_ms));
     headers.insert(&names.expected_server, HeaderValue::from_str(place.server.as_str()).ok()?);
     if let Some(account) = &req.account {
--- a/crates/quincevalve_node/src/request/front.rs
+++ b/crates/quincevalve_node/src/request/front.rs
@@ -113,7 +113,7 @@
         }
     };
     // Its caller's next request goes to another VM; the platform sends no new ones here.
-    if node.phase.get() != Phase::Serving || node.is_losing_touch() {
+    if node.phase.get() != Phase::Serving || node.is_losing_freshness() {
         answer.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
     Ok(answer)
@@ -131,14 +131,14 @@
     if req.repeat().is_stream() && status.is_success() {
         return;
     }
-    node.metrics.first_answer(&req.route.name, took);
-    node.metrics.request(&req.route.name, status.as_str());
+    node.metrics.observe_first_answer(&req.route.name, took);
+    node.metrics.count_request(&req.route.name, status.as_str());
     let was_bad = took > req.route.objective || !status.is_success();
     req.trace.end(node, &req.id, was_bad);
 }
 
 fn log_refusal(node: &Node, id: &str, arrived: Instant, refused: Refused) {
-    if !node.may_tell_refusal() {
+    if !node.may_log_refusal() {
         return;
     }
     let took_ms = arrived.elapsed().as_millis() as u64;
@@ -170,7 +170,7 @@
         return Err(Refused { refusal: Refusal::Stopping, retry_after: Some(STOPPING_RETRY) });
     }
     let cost = take_quota(node, &identified).inspect_err(|refused| {
-        node.metrics.request(&identified.route.name, refused.refusal.name());
+        node.metrics.count_request(&identified.route.name, refused.refusal.name());
     })?;
     let identified = Rc::new(identified);
     let answer = dispatch(node, identified.clone()).await;
@@ -178,7 +178,7 @@
         Ok(answer) => note_answer(node, &identified, answer.status()),
         Err(refused) => {
             identified.trace.end(node, &identified.id, true);
-            node.metrics.request(&identified.route.name, refused.refusal.name());
+            node.metrics.count_request(&identified.route.name, refused.refusal.name());
         }
     }
     if let Err(refused) = &answer
@@ -193,7 +193,7 @@
 /// When a caller that is refused for want of a proof should come back. A VM that hears few others is cut off by
 /// itself, and others serve; else the store is away from all.
 fn stale_retry(node: &Node) -> Duration {
-    if !node.was_proved() && clock::now().since(node.began) < STARTING_TIME {
+    if !node.was_confirmed_fresh() && clock::now().since(node.started_at) < STARTING_TIME {
         return STARTING_RETRY;
     }
     let is_alone = node.peers.borrow().reachable_part() < ALONE_PART;
@@ -228,7 +228,7 @@
     let ask = QuotaRequest { cost, urgency: req.urgency };
     let taken = node.quota.borrow_mut().try_spend(account, &quota, ask, draw, clock::now());
     taken.map(|()| cost).map_err(|over| {
-        if node.may_tell_refusal() {
+        if node.may_log_refusal() {
             let part = node.peers.borrow().reachable_part();
             log::info!(
                 id = req.id, account = account.as_str(), cost, level = over.level,
--- a/crates/quincevalve_node/src/request/identify.rs
+++ b/crates/quincevalve_node/src/request/identify.rs
@@ -73,7 +73,8 @@
     arrived: Instant,
 ) -> Result<Identified, Refusal> {
     let names = &node.headers;
-    let config = node.config().filter(|_| node.was_proved()).ok_or(Refusal::StaleConfig)?;
+    let config =
+        node.config().filter(|_| node.was_confirmed_fresh()).ok_or(Refusal::StaleConfig)?;
     let host = text(req.headers(), &header::HOST).ok_or(Refusal::Malformed)?;
     let route = config.route(without_port(host), req.uri().path());
     let route = route.ok_or_else(|| unknown(node, Refusal::NoRoute))?.clone();
@@ -108,7 +109,7 @@
 /// Failure: a VM is cut off from the store while a route or a key is added. Symptom: a caller is told for
 /// good that it doesn't exist. Without a new enough proof the caller is told to come back instead.
 fn unknown(node: &Node, refusal: Refusal) -> Refusal {
-    if node.absence_is_proved() { refusal } else { Refusal::StaleConfig }
+    if node.absence_is_confirmed() { refusal } else { Refusal::StaleConfig }
 }
 
 fn account_of(
@@ -123,7 +124,7 @@
     let key = text(headers, &node.headers.key);
     let account = key.and_then(|it| config.account_of_key(it));
     let account = account.ok_or_else(|| unknown(node, Refusal::UnknownKey))?;
-    if !node.keys_are_proved() {
+    if !node.may_accept_keys() {
         return Err(Refusal::StaleConfig);
     }
     Ok(Some(account.clone()))
@@ -183,7 +184,7 @@
         [&names.attempt_id, &names.token_counts, &names.prompt_parts].contains(&name)
             || name.as_str().starts_with("x-")
             || *name == header::HOST
-            || *name == names.last_event
+            || *name == names.last_event_id
     };
     let mut kept = HeaderMap::with_capacity(headers.len());
     for (name, value) in headers {
--- a/crates/quincevalve_node/src/request/mover.rs
+++ b/crates/quincevalve_node/src/request/mover.rs
@@ -7,7 +7,7 @@
     task::spawn_local,
 };
 
-use crate::ports::{EngineApi, MoveError, MovedRun};
+use crate::ports::{EngineApi, MigratedRequest, MigrationError};
 
 /// Moves that may wait to be begun; a data centre's engines run about as many requests of one VM.
 const WAITING_MOVES: usize = 256;
@@ -16,7 +16,7 @@
     from: SocketAddr,
     to: SocketAddr,
     attempt_id: Rc<str>,
-    reply: oneshot::Sender<Result<MovedRun, MoveError>>,
+    reply: oneshot::Sender<Result<MigratedRequest, MigrationError>>,
 }
 
 /// The handle to the task that tells engines; it keeps the rest of the process free of the engine's type.
@@ -36,7 +36,8 @@
             while let Some(order) = rx.recv().await {
                 let engines = engines.clone();
                 spawn_local(async move {
-                    let moved = engines.move_run(order.from, order.to, &order.attempt_id).await;
+                    let moved =
+                        engines.migrate_request(order.from, order.to, &order.attempt_id).await;
                     // Who asked may have left meanwhile; the copy is freed by its own timeout.
                     let _ = order.reply.send(moved);
                 });
@@ -51,7 +52,7 @@
         from: SocketAddr,
         to: SocketAddr,
         attempt_id: &str,
-    ) -> Option<oneshot::Receiver<Result<MovedRun, MoveError>>> {
+    ) -> Option<oneshot::Receiver<Result<MigratedRequest, MigrationError>>> {
         let (reply, rx) = oneshot::channel();
         let order = Order { from, to, attempt_id: attempt_id.into(), reply };
         self.orders.try_send(order).is_ok().then_some(rx)
--- a/crates/quincevalve_node/src/request/placing.rs
+++ b/crates/quincevalve_node/src/request/placing.rs
@@ -19,7 +19,7 @@
         identify::Identified,
         refusal::{Refusal, Refused},
     },
-    rollouts::{self, WatchedRun},
+    rollouts::{self, AttemptTracker},
 };
 
 /// A request that finds all servers too busy waits at most this part of its objective for room: a wait
@@ -41,35 +41,35 @@
     work: Work,
     reading: bool,
     /// Set where the answer is compared with those of another version.
-    watched: Option<WatchedRun>,
+    watched: Option<AttemptTracker>,
 }
 
 impl WorkGuard {
     pub(crate) fn new(node: &Rc<Node>, place: &Placement) -> Self {
         about(node, place, |it, now| it.load.add_request(place.work, now));
-        node.note_sent(place);
+        node.record_sent(place);
         let (server, start, work) = (place.server.clone(), place.start, place.work);
         Self { node: node.clone(), server, start, work, reading: true, watched: None }
     }
 
     /// Compares how the request is answered with answers of another version, if there is one.
     pub(crate) fn watch(&mut self, req: &Identified, place: &Placement) {
-        self.watched = WatchedRun::begin(&self.node, req, place);
+        self.watched = AttemptTracker::start(&self.node, req, place);
     }
 
     /// Notes the first part of the server's answer.
     pub(crate) fn first_part(&self) {
-        self.watched.iter().for_each(WatchedRun::first_part);
+        self.watched.iter().for_each(AttemptTracker::record_first_part);
     }
 
     /// Notes whether the server succeeded.
     pub(crate) fn judged(&self, succeeded: bool) {
-        self.watched.iter().for_each(|it| it.judged(succeeded));
+        self.watched.iter().for_each(|it| it.record_outcome(succeeded));
     }
 
     /// Notes the mean time between two events of the server's stream.
     pub(crate) fn pace(&self, between_ms: f64) {
-        self.watched.iter().for_each(|it| it.pace(between_ms));
+        self.watched.iter().for_each(|it| it.record_pace(between_ms));
     }
 
     /// Notes that the prompt has been read.
@@ -104,9 +104,9 @@
 ) -> Result<Placement, Refused> {
     let waits_until = req.arrived + req.route.objective.mul_f64(WAIT_PART);
     let choice = if had.is_empty() {
-        rollouts::choose(node, req)
+        rollouts::choose_versions(node, req)
     } else {
-        rollouts::regular(node, &req.service)
+        rollouts::choice_for_retry(node, &req.service)
     };
     loop {
         let since = req.arrived.elapsed();
@@ -134,7 +134,7 @@
     req: &Identified,
     had: &[BackendServerName],
 ) -> Option<Placement> {
-    let choice = rollouts::regular(node, &req.service);
+    let choice = rollouts::choice_for_retry(node, &req.service);
     place(node, &ask(node, req, had, req.route.objective), &choice).ok()
 }
 
--- a/crates/quincevalve_node/src/request/relay.rs
+++ b/crates/quincevalve_node/src/request/relay.rs
@@ -126,7 +126,7 @@
             let end = self.pump(&mut source, self.can_move()).await;
             match end {
                 End::Whole => {
-                    quarantine::note_completed(&self.node, &self.req);
+                    quarantine::record_completion(&self.node, &self.req);
                     self.ended("whole", &servers);
                     if servers.len() == 1 && self.pauses > 0 {
                         let between = self.between_events / self.pauses;
@@ -167,7 +167,7 @@
             took_ms = self.req.arrived.elapsed().as_millis() as u64;
             "stream-ended"
         );
-        self.node.metrics.request(&self.req.route.name, how);
+        self.node.metrics.count_request(&self.req.route.name, how);
         let was_late = self.first_after.is_none_or(|it| it > self.req.route.objective);
         let was_bad = was_late || !matches!(how, "whole" | "caller-left");
         self.req.trace.end(&self.node, &self.req.id, was_bad);
@@ -219,13 +219,15 @@
                     "stream-began"
                 );
                 self.first_after = Some(self.req.arrived.elapsed());
-                self.node.metrics.first_answer(&self.req.route.name, self.req.arrived.elapsed());
+                self.node
+                    .metrics
+                    .observe_first_answer(&self.req.route.name, self.req.arrived.elapsed());
                 note_answered(&self.node, &source.place, source.sent);
-                self.node.note_began(self.req.account.as_ref());
+                self.node.record_usage_start(self.req.account.as_ref());
             }
             let now = Instant::now();
             if let Some(before) = self.newest_event.replace(now) {
-                self.node.metrics.between_events(&self.req.route.name, now - before);
+                self.node.metrics.observe_event_interval(&self.req.route.name, now - before);
                 self.between_events += now - before;
                 self.longest_pause = self.longest_pause.max(now - before);
                 self.pauses += 1;
@@ -281,7 +283,7 @@
         };
         drop(source);
         if let (Some(Ok(moved)), Some(to)) = (moved, to) {
-            let extra = (self.node.headers.moved_from.clone(), moved.ticket);
+            let extra = (self.node.headers.migrated_from.clone(), moved.ticket);
             servers.push(to.server.clone());
             if let Some(next) = self.go_on(to, Some(extra)).await {
                 return Some(next);
@@ -303,7 +305,7 @@
     ) -> Option<Source> {
         match end {
             End::Whole => {
-                quarantine::note_completed(&self.node, &self.req);
+                quarantine::record_completion(&self.node, &self.req);
                 self.ended("whole", servers);
                 self.node.backends.keep(&source.place, source.connection, &source.keep_alive);
             }
@@ -355,14 +357,14 @@
         place: Placement,
         extra: Option<(HeaderName, HeaderValue)>,
     ) -> Option<Source> {
-        if !self.node.spend_retry(&self.req.service) {
+        if !self.node.try_spend_retry(&self.req.service) {
             return None;
         }
         self.partial.clear();
         let mut guard = WorkGuard::new(&self.node, &place);
         let sent = Instant::now();
         let last = self.last_event.iter();
-        let last = last.map(|it| (self.node.headers.last_event.clone(), it.clone()));
+        let last = last.map(|it| (self.node.headers.last_event_id.clone(), it.clone()));
         let moved = extra.is_some();
         let extra: Vec<(HeaderName, HeaderValue)> = last.chain(extra).collect();
         note!(
--- a/crates/quincevalve_node/src/request/signals.rs
+++ b/crates/quincevalve_node/src/request/signals.rs
@@ -18,7 +18,7 @@
     }
     let decoded = (node.headers.signals)(headers);
     for signal in decoded.unreadable {
-        if node.may_write_line() {
+        if node.may_log() {
             log::warn!(
                 server = place.server.as_str(), name:% = signal.name, value = signal.value;
                 "signal-unreadable"
@@ -31,7 +31,7 @@
     let Some(server) = servers.get_mut(&place.server, place.start) else { return };
     if let Some(rest) = signals.rest.filter(|_| status == StatusCode::SERVICE_UNAVAILABLE) {
         server.extend_rest(rest, now);
-        if node.may_write_line() {
+        if node.may_log() {
             let rest_ms = rest.as_millis() as u64;
             log::info!(server = place.server.as_str(), start = place.start.0, rest_ms; "server-rests");
         }
--- a/crates/quincevalve_node/src/request/trace.rs
+++ b/crates/quincevalve_node/src/request/trace.rs
@@ -27,7 +27,7 @@
         if held.len() < HELD_LINES {
             held.push(Held { name, fields, at_ms: clock::now().as_micros() / 1_000 });
         } else {
-            node.lines.borrow_mut().record_suppressed(1);
+            node.log_budget.borrow_mut().record_suppressed(1);
         }
     }
 
@@ -35,7 +35,7 @@
     pub(crate) fn end(&self, node: &Node, id: &str, was_bad: bool) {
         let held = self.held.take();
         if !was_bad {
-            node.lines.borrow_mut().record_suppressed(held.len() as u64);
+            node.log_budget.borrow_mut().record_suppressed(held.len() as u64);
             return;
         }
         for line in held {
@@ -47,7 +47,7 @@
 /// Writes a line of a request, or holds it where the budget for lines is used up.
 macro_rules! note {
     ($node:expr, $req:expr, $($key:ident = $value:expr),* ; $name:literal) => {
-        if $node.lines.borrow_mut().take($crate::clock::now()) {
+        if $node.log_budget.borrow_mut().take($crate::clock::now()) {
             log::info!(id = $req.id, $($key:% = $value),*; $name);
         } else {
             let fields = [$(format!("{}={}", stringify!($key), $value)),*].join(" ");
--- a/crates/quincevalve_node/src/rollouts.rs
+++ b/crates/quincevalve_node/src/rollouts.rs
@@ -18,10 +18,10 @@
 use quincevalve_names::ServiceName;
 use rand::RngExt;
 
-use crate::{clock, node::Node, ports::OwnItem, request::identify::Identified};
+use crate::{clock, node::Node, ports::SystemItem, request::identify::Identified};
 
 /// Prefix of the store keys of roll-outs; the service's name follows, and the value is a [`RolloutRecord`].
-pub(crate) const ROLLOUT_KEYS: &str = "rollout/";
+pub(crate) const ROLLOUT_KEY_PREFIX: &str = "rollout/";
 /// Minimum fraction of VMs that must be reachable for this VM to judge the new version's answers.
 const MIN_REACHABLE_FRACTION: f64 = 0.5;
 /// Maximum age of the freshness confirmation for the same purpose, as a fraction of `Bounds::change_in_force`.
@@ -29,12 +29,12 @@
 
 /// Returns the store key of a service's record.
 pub(crate) fn rollout_key(service: &ServiceName) -> String {
-    format!("{ROLLOUT_KEYS}{}", service.as_str())
+    format!("{ROLLOUT_KEY_PREFIX}{}", service.as_str())
 }
 
 /// Parses the record of a store item; returns `None` for other items and unreadable records.
-pub(crate) fn record(key: &str, value: &[u8]) -> Option<(ServiceName, RolloutRecord)> {
-    let service = key.strip_prefix(ROLLOUT_KEYS)?;
+pub(crate) fn parse_record(key: &str, value: &[u8]) -> Option<(ServiceName, RolloutRecord)> {
+    let service = key.strip_prefix(ROLLOUT_KEY_PREFIX)?;
     match serde_json::from_slice(value) {
         Ok(record) => Some((service.into(), record)),
         Err(error) => {
@@ -45,12 +45,12 @@
 }
 
 /// Returns the records among these items.
-pub(crate) fn records(own: &[OwnItem]) -> Vec<(ServiceName, RolloutRecord)> {
-    own.iter().filter_map(|it| record(&it.key, &it.value)).collect()
+pub(crate) fn parse_records(items: &[SystemItem]) -> Vec<(ServiceName, RolloutRecord)> {
+    items.iter().filter_map(|it| parse_record(&it.key, &it.value)).collect()
 }
 
 /// Applies an order from the store, or its removal.
-pub(crate) fn take_order(node: &Node, service: &ServiceName, order: Option<RolloutOrder>) {
+pub(crate) fn apply_order(node: &Node, service: &ServiceName, order: Option<RolloutOrder>) {
     let mut rollouts = node.rollouts.borrow_mut();
     let Some(order) = order else {
         log::info!(service = service.as_str(); "rollout-order-removed");
@@ -65,7 +65,7 @@
 }
 
 /// Applies a roll-out's record from the store.
-pub(crate) fn take_record(node: &Node, service: &ServiceName, record: RolloutRecord) {
+pub(crate) fn apply_record(node: &Node, service: &ServiceName, record: RolloutRecord) {
     let (id, to, phase) = (record.order.0, record.to.clone(), record.phase);
     if node.rollouts.borrow_mut().apply_record(service, record, clock::now()) {
         log::info!(service = service.as_str(), order = id, to:% = to, phase:? = phase; "rollout-phase");
@@ -98,7 +98,7 @@
     let config = node.config();
     let engine = config.as_ref().and_then(|it| it.services.get(service)?.engine);
     let context = RefreshContext {
-        wall_clock_ms: node.wall.borrow().estimate_ms(now),
+        wall_clock_ms: node.wall_clock.borrow().estimate_ms(now),
         has_engines: engine.is_some(),
         vm_rank: node.peers.borrow().book.rank(order.0),
         is_connected: is_connected(node),
@@ -123,7 +123,7 @@
 }
 
 /// Returns which versions' servers a new request may be sent to.
-pub(crate) fn choose(node: &Node, req: &Identified) -> VersionChoice {
+pub(crate) fn choose_versions(node: &Node, req: &Identified) -> VersionChoice {
     if node.rollouts.borrow().is_idle() {
         return VersionChoice::Any;
     }
@@ -133,21 +133,21 @@
 }
 
 /// Returns which versions' servers a request may be sent to that was sent before.
-pub(crate) fn regular(node: &Node, service: &ServiceName) -> VersionChoice {
+pub(crate) fn choice_for_retry(node: &Node, service: &ServiceName) -> VersionChoice {
     node.rollouts.borrow().choice_for_retry(service)
 }
 
 /// Tracks how one attempt is answered while versions are compared. Tracking ends when the value is dropped.
-pub(crate) struct WatchedRun {
+pub(crate) struct AttemptTracker {
     node: Rc<Node>,
     tracking_id: TrackingId,
     /// Number of requests at the server when the attempt was placed.
     known_requests: u32,
 }
 
-impl WatchedRun {
+impl AttemptTracker {
     /// Starts tracking an attempt; returns `None` if no versions are compared.
-    pub(crate) fn begin(node: &Rc<Node>, req: &Identified, place: &Placement) -> Option<Self> {
+    pub(crate) fn start(node: &Rc<Node>, req: &Identified, place: &Placement) -> Option<Self> {
         let mut rollouts = node.rollouts.borrow_mut();
         if rollouts.is_idle() {
             return None;
@@ -164,17 +164,17 @@
     }
 
     /// Records that the first part of the answer arrived.
-    pub(crate) fn first_part(&self) {
+    pub(crate) fn record_first_part(&self) {
         self.node.rollouts.borrow_mut().add_first_part(self.tracking_id, clock::now());
     }
 
     /// Records whether the server succeeded.
-    pub(crate) fn judged(&self, succeeded: bool) {
+    pub(crate) fn record_outcome(&self, succeeded: bool) {
         self.add_sample(if succeeded { Sample::Succeeded } else { Sample::Failed });
     }
 
     /// Records the mean time in milliseconds between two events of the stream.
-    pub(crate) fn pace(&self, between_ms: f64) {
+    pub(crate) fn record_pace(&self, between_ms: f64) {
         self.add_sample(Sample::Pace(between_ms / step_ms(self.known_requests + 1)));
     }
 
@@ -183,7 +183,7 @@
     }
 }
 
-impl Drop for WatchedRun {
+impl Drop for AttemptTracker {
     fn drop(&mut self) {
         self.node.rollouts.borrow_mut().stop_tracking(self.tracking_id);
     }
--- a/crates/quincevalve_node/src/server_news.rs
+++ b/crates/quincevalve_node/src/server_news.rs
@@ -24,7 +24,7 @@
         return;
     }
     let (name, start) = (key.0.as_str(), key.1.0);
-    if news.limit && node.may_write_line() {
+    if news.limit && node.may_log() {
         let per_second = server.limit().map_or(-1.0, RequestRate::per_second);
         log::info!(server = name, start, per_second, from:? = from; "server-limit");
     }
--- a/crates/quincevalve_node/src/store/config_copy.rs
+++ b/crates/quincevalve_node/src/store/config_copy.rs
@@ -31,7 +31,7 @@
 pub(crate) fn is_wanted(node: &Node, now: TimePoint) -> bool {
     let known = node.config().map_or(0, |it| it.version);
     let mut copy = node.config_copy.borrow_mut();
-    if node.told_version.get() <= known {
+    if node.reported_config_version.get() <= known {
         copy.lacking_since = None;
         return false;
     }
--- a/crates/quincevalve_node/src/store/config_copy/tests.rs
+++ b/crates/quincevalve_node/src/store/config_copy/tests.rs
@@ -6,7 +6,7 @@
 use super::*;
 use crate::{
     clock,
-    test_node::{any, node as bare_node, run},
+    test_node::{any_address, node as bare_node, run},
 };
 
 /// A VM that has the configuration of that version.
@@ -41,7 +41,7 @@
         let (lacking, having) = (node(1), node(2));
         let now = clock::now();
         assert!(!is_wanted(&lacking, now), "nobody has a newer one");
-        lacking.told_version.set(2);
+        lacking.reported_config_version.set(2);
         assert!(!is_wanted(&lacking, now), "the store is asked first");
         let later = now + STORE_TIME;
         assert!(is_wanted(&lacking, later));
@@ -49,12 +49,12 @@
         let parts = parts_above(&having, 1);
         assert!(parts.len() > 1, "one datagram holds it");
         for part in parts.iter().skip(1) {
-            take_part(&lacking, part.clone(), any());
+            take_part(&lacking, part.clone(), any_address());
         }
         assert_eq!(lacking.config().map(|it| it.version), Some(1));
         assert!(is_wanted(&lacking, later + ASK_AGAIN));
         for part in parts {
-            take_part(&lacking, part, any());
+            take_part(&lacking, part, any_address());
         }
         assert_eq!(lacking.config().as_deref(), Some(&config(2)));
         assert!(!is_wanted(&lacking, later + ASK_AGAIN * 2));
@@ -68,7 +68,7 @@
         let (newer, older) = (node(3), node(2));
         assert!(parts_above(&older, 3).is_empty(), "it has nothing newer to give");
         for part in parts_above(&older, 1) {
-            take_part(&newer, part, any());
+            take_part(&newer, part, any_address());
         }
         assert_eq!(newer.config().map(|it| it.version), Some(3));
     });
--- a/crates/quincevalve_node/src/store/state_copy.rs
+++ b/crates/quincevalve_node/src/store/state_copy.rs
@@ -85,7 +85,7 @@
 where
     S: PlatformStore,
 {
-    let own = match store.own_items(&peer_keys(&node.settings.data_centre)).await {
+    let own = match store.system_items(&peer_keys(&node.settings.data_centre)).await {
         Ok(own) => own,
         Err(error) => {
             log::debug!(error:% = error; "centre-not-read");
@@ -141,7 +141,7 @@
     if wanted.version.is_none() && !is_newest(node, now) {
         return StateAnswer::SendOn { serves_others: false };
     }
-    if !copy.served.admit(sender, node.settings.link, now) {
+    if !copy.served.admit(sender, node.settings.link_bytes_per_second, now) {
         return StateAnswer::SendOn { serves_others: true };
     }
     let Some(version) = wanted.version else {
@@ -162,7 +162,7 @@
     let longest = StoreReadRole::Standby.max_confirmation_age(node.settings.bounds.change_in_force);
     let is_proved = node.freshness.get().age(now).is_some_and(|it| it <= longest);
     // What is known here must be all that the proof is for.
-    is_proved && node.config().is_some_and(|it| it.version >= node.told_version.get())
+    is_proved && node.config().is_some_and(|it| it.version >= node.reported_config_version.get())
 }
 
 fn encode(node: &Node, now: TimePoint) -> Option<Given> {
--- a/crates/quincevalve_node/src/store/state_copy/tests.rs
+++ b/crates/quincevalve_node/src/store/state_copy/tests.rs
@@ -11,7 +11,7 @@
 use super::*;
 use crate::{
     clock,
-    test_node::{any, config, node as bare_node, run},
+    test_node::{any_address, config, node as bare_node, run},
 };
 
 const SERVERS: u16 = 900;
@@ -61,7 +61,7 @@
 
 fn starting() -> Node {
     let node = bare_node("vm-new");
-    let sources = vec![any(), elsewhere()];
+    let sources = vec![any_address(), elsewhere()];
     let fetch = ChunkFetch::new(sources, Duration::from_secs(1), clock::now());
     node.state_copy.borrow_mut().fetch = Some(fetch);
     node
@@ -93,7 +93,7 @@
         assert!(parts.len() > 1, "one datagram holds it");
         for part in parts {
             assert!(lacking.config().is_none());
-            take_part(&lacking, part, Some(now), any());
+            take_part(&lacking, part, Some(now), any_address());
         }
         assert_eq!(lacking.config().map(|it| it.version), Some(3));
         let quarantined: Vec<_> =
@@ -104,9 +104,13 @@
         assert_eq!(servers.all().count(), usize::from(SERVERS));
         let usable = servers.usable(&"model".into(), now).count();
         assert_eq!(usable, usize::from(SERVERS) - 1, "one leaves");
-        assert_eq!(lacking.vms(), 301, "three hundred, the one that told among them, and itself");
+        assert_eq!(
+            lacking.vm_count(),
+            301,
+            "three hundred, the one that told among them, and itself"
+        );
         assert_eq!(lacking.peers.borrow().holder(), Some("vm-9"));
-        assert!(lacking.was_proved());
+        assert!(lacking.was_confirmed_fresh());
     });
 }
 
@@ -120,7 +124,7 @@
         let node = informed("vm-1");
         let later = clock::now() + Duration::from_secs(3);
         assert!(parts_for(&node, "vm-new#1", later).is_empty(), "its proof is old");
-        node.told_version.set(4);
+        node.reported_config_version.set(4);
         assert!(parts(&node).is_empty(), "others have a newer configuration");
     });
 }
@@ -133,19 +137,19 @@
         let (having, other, lacking) = (informed("vm-1"), informed("vm-2"), starting());
         let first = parts(&having);
         for part in first.iter().skip(1) {
-            take_part(&lacking, part.clone(), None, any());
+            take_part(&lacking, part.clone(), None, any_address());
         }
         let second = parts(&other);
         take_part(&lacking, second[0].clone(), None, elsewhere());
         assert!(lacking.config().is_none());
-        sent_on(&lacking, any(), true);
+        sent_on(&lacking, any_address(), true);
         take_part(&lacking, second[0].clone(), None, elsewhere());
         assert!(lacking.config().is_none());
         for part in second.iter().skip(1) {
             take_part(&lacking, part.clone(), None, elsewhere());
         }
         assert_eq!(lacking.config().map(|it| it.version), Some(3));
-        assert!(!lacking.was_proved(), "no proof came with it");
+        assert!(!lacking.was_confirmed_fresh(), "no proof came with it");
     });
 }
 
@@ -170,10 +174,10 @@
     run(|| {
         let (having, other) = (informed("vm-1"), bare_node("vm-2"));
         for part in parts(&having) {
-            take_part(&other, part, Some(clock::now()), any());
+            take_part(&other, part, Some(clock::now()), any_address());
         }
         assert!(other.config().is_none());
-        assert!(!other.was_proved());
+        assert!(!other.was_confirmed_fresh());
     });
 }
 
--- a/crates/quincevalve_node/src/store/sync.rs
+++ b/crates/quincevalve_node/src/store/sync.rs
@@ -15,7 +15,7 @@
 use crate::{
     clock,
     node::Node,
-    ports::{Commit, LeaseId, PlatformStore, ReadAge, StoreError},
+    ports::{Commit, LeaseId, PlatformStore, ReadConsistency, StoreError},
     store::{
         state_copy::fetch_state,
         view::{peer_key, take_changes, take_snapshot},
@@ -74,11 +74,11 @@
         }
         let asked = clock::now();
         let pause = match read(&node, &store, asked).await {
-            Ok(ReadAge::MayBeOld) => Duration::ZERO,
-            Ok(ReadAge::Newest) => {
+            Ok(ReadConsistency::MayBeStale) => Duration::ZERO,
+            Ok(ReadConsistency::Latest) => {
                 prove(&node, asked);
                 note_regained(&mut failures);
-                node.reading_part().pause_after_answer()
+                node.store_read_role().pause_after_answer()
             }
             Err(StoreError::HistoryGone) => {
                 log::info!("store-history-gone");
@@ -92,7 +92,7 @@
                 }
                 failures += 1;
                 let is_small = node.peers.borrow().book.is_small();
-                node.reading_part().pause_after_failures(failures, is_small)
+                node.store_read_role().pause_after_failures(failures, is_small)
             }
         };
         sleep(pause).await;
@@ -144,7 +144,7 @@
 /// Whether this VM has to ask the store itself.
 fn must_read(node: &Node) -> bool {
     let knows_all = node.store_view.borrow().reached().is_some() && node.config().is_some();
-    let part = node.reading_part();
+    let part = node.store_read_role();
     let told_age = part.max_confirmation_age(node.settings.bounds.change_in_force);
     let is_told = node.freshness.get().is_within(told_age, clock::now());
     !knows_all || part == StoreReadRole::Reader || !is_told
@@ -154,30 +154,34 @@
 ///
 /// Load: all VMs start together, and each reads everything, page by page. A copy of the store that may be seconds old
 /// costs a tenth; the changes since are asked for at once, and only their answer proves anything.
-async fn read<S>(node: &Node, store: &S, asked: TimePoint) -> Result<ReadAge, StoreError>
+async fn read<S>(node: &Node, store: &S, asked: TimePoint) -> Result<ReadConsistency, StoreError>
 where
     S: PlatformStore,
 {
     let reached = node.store_view.borrow().reached();
     if let Some(after) = reached {
         // A VM that has proved nothing yet serves nobody: it doesn't wait for a change.
-        let wait = if node.was_proved() { WAIT } else { Duration::ZERO };
+        let wait = if node.was_confirmed_fresh() { WAIT } else { Duration::ZERO };
         let changes = store.changes(after, wait).await?;
         heard_of_store(node, ContactSpan::at(asked));
         // Failure: thousands of servers change at once, and the answer holds the first of the changes only. Symptom: a
         // configuration behind them counts as not there, and its routes are answered 404.
-        let age = if changes.may_be_cut { ReadAge::MayBeOld } else { ReadAge::Newest };
+        let age = if changes.may_be_truncated {
+            ReadConsistency::MayBeStale
+        } else {
+            ReadConsistency::Latest
+        };
         take_changes(node, changes);
         return Ok(age);
     }
     if !node.store_view.borrow().was_read() {
-        take_snapshot(node, store.snapshot(ReadAge::MayBeOld).await?);
-        return Ok(ReadAge::MayBeOld);
+        take_snapshot(node, store.snapshot(ReadConsistency::MayBeStale).await?);
+        return Ok(ReadConsistency::MayBeStale);
     }
-    let snapshot = store.snapshot(ReadAge::Newest).await?;
+    let snapshot = store.snapshot(ReadConsistency::Latest).await?;
     heard_of_store(node, ContactSpan::at(asked));
     take_snapshot(node, snapshot);
-    Ok(ReadAge::Newest)
+    Ok(ReadConsistency::Latest)
 }
 
 /// Reads a configuration that others have and this VM lacks, unless they pass it on.
@@ -186,7 +190,7 @@
     S: PlatformStore,
 {
     let known = node.config().map_or(0, |it| it.version);
-    let newest = node.told_version.get();
+    let newest = node.reported_config_version.get();
     if newest <= known {
         *lacked = None;
         return;
@@ -195,8 +199,8 @@
     let lacked = lacked.get_or_insert_with(|| MissingConfig::new(newest, now));
     let age = match lacked.next_source(newest, node.settings.bounds.change_in_force, now) {
         ConfigSource::Peers => return,
-        ConfigSource::StaleRead => ReadAge::MayBeOld,
-        ConfigSource::ConsistentRead => ReadAge::Newest,
+        ConfigSource::StaleRead => ReadConsistency::MayBeStale,
+        ConfigSource::ConsistentRead => ReadConsistency::Latest,
     };
     match store.config(age).await {
         Ok(Some(config)) => node.apply_config(config),
@@ -209,7 +213,7 @@
 ///
 /// Not where others have a newer configuration: what was passed on may have led past it.
 pub(crate) fn prove(node: &Node, asked: TimePoint) {
-    if node.config().is_none_or(|it| it.version < node.told_version.get()) {
+    if node.config().is_none_or(|it| it.version < node.reported_config_version.get()) {
         return;
     }
     let mut freshness = node.freshness.get();
--- a/crates/quincevalve_node/src/store/sync/tests.rs
+++ b/crates/quincevalve_node/src/store/sync/tests.rs
@@ -56,7 +56,7 @@
         take_whole(&node, whole);
         let told_age =
             StoreReadRole::Follower.max_confirmation_age(node.settings.bounds.change_in_force);
-        assert_eq!(node.reading_part(), StoreReadRole::Follower);
+        assert_eq!(node.store_read_role(), StoreReadRole::Follower);
         prove(&node, ago(told_age.as_millis() as u64 + 50));
         assert!(must_read(&node));
         prove(&node, ago(told_age.as_millis() as u64 - 300));
--- a/crates/quincevalve_node/src/store/view.rs
+++ b/crates/quincevalve_node/src/store/view.rs
@@ -18,9 +18,9 @@
     clock,
     node::Node,
     peers::encoding,
-    ports::{Change, Changes, LeaseId, OwnItem, Snapshot, StoreRevision},
-    quarantine::{QUARANTINE_KEYS, digest_of, listed},
-    rollouts::{self, ROLLOUT_KEYS},
+    ports::{Change, Changes, LeaseId, Snapshot, StoreRevision, SystemItem},
+    quarantine::{QUARANTINE_KEY_PREFIX, digest_of, parse_entry},
+    rollouts::{self, ROLLOUT_KEY_PREFIX},
 };
 
 /// Keys of entry VMs, each with its card: the data centre, and the name in it.
@@ -84,7 +84,7 @@
         match self {
             Self::Own { key, .. } | Self::OwnRemoved(key) => {
                 key == HOLDER_KEY
-                    || [PEER_KEYS, QUARANTINE_KEYS, ROLLOUT_KEYS]
+                    || [PEER_KEYS, QUARANTINE_KEY_PREFIX, ROLLOUT_KEY_PREFIX]
                         .iter()
                         .any(|it| key.starts_with(it))
             }
@@ -162,8 +162,8 @@
     for (name, what) in &snapshot.unreadable {
         log::error!(name = name.as_str(), what; "store-item-unreadable");
     }
-    note_left_lease(node, &snapshot.own);
-    let holder = snapshot.own.iter().find(|it| it.key == HOLDER_KEY);
+    note_left_lease(node, &snapshot.system_items);
+    let holder = snapshot.system_items.iter().find(|it| it.key == HOLDER_KEY);
     let holder = holder.map(|it| holder_name(&it.value));
     let (at, newest, servers) = (snapshot.at.0, snapshot.newest.0, snapshot.servers.len());
     let differences = differences(node, &snapshot);
@@ -173,10 +173,14 @@
         config: snapshot.config,
         servers: snapshot.servers,
         unreadable: snapshot.unreadable.into_iter().map(|(name, _)| name).collect(),
-        vms: cards(&snapshot.own),
+        vms: cards(&snapshot.system_items),
         holder,
-        quarantine: snapshot.own.iter().filter_map(|it| listed(&it.key, &it.value)).collect(),
-        rollouts: rollouts::records(&snapshot.own),
+        quarantine: snapshot
+            .system_items
+            .iter()
+            .filter_map(|it| parse_entry(&it.key, &it.value))
+            .collect(),
+        rollouts: rollouts::parse_records(&snapshot.system_items),
         rollout_orders: snapshot.rollouts,
     };
     let logged = node.store_view.borrow().log.clone();
@@ -233,17 +237,17 @@
     let peers = node.peers.borrow();
     let listed: IndexMap<String, &VmDescriptor> =
         peers.book.listed_descriptors().map(|it| (peer_key(it), it)).collect();
-    let is_known = |it: &&OwnItem| {
+    let is_known = |it: &&SystemItem| {
         it.key.starts_with(PEER_KEYS)
             && card(&it.key, &it.value).is_some_and(|read| listed.get(&it.key) == Some(&&read))
     };
-    let changed = snapshot.own.iter().filter(|it| !is_known(it));
+    let changed = snapshot.system_items.iter().filter(|it| !is_known(it));
     let changed = changed.map(|it| Passed::Own { key: it.key.clone(), value: it.value.clone() });
-    let read: IndexSet<&str> = snapshot.own.iter().map(|it| it.key.as_str()).collect();
+    let read: IndexSet<&str> = snapshot.system_items.iter().map(|it| it.key.as_str()).collect();
     let holder = peers.holder().map(|_| HOLDER_KEY.to_owned());
     let poison = node.poison.borrow();
     let quarantined =
-        poison.stored_entries().map(|(digest, _)| format!("{QUARANTINE_KEYS}{digest}"));
+        poison.stored_entries().map(|(digest, _)| format!("{QUARANTINE_KEY_PREFIX}{digest}"));
     let me = peer_key(peers.book.me());
     let known = listed.keys().filter(|it| **it != me).cloned().chain(holder).chain(quarantined);
     let removed = known.filter(|it| !read.contains(it.as_str())).map(Passed::OwnRemoved);
@@ -304,10 +308,10 @@
 }
 
 /// Notes the lease of the entry that the last start of this VM left, if it is among these items.
-pub(crate) fn note_left_lease(node: &Node, own: &[OwnItem]) {
+pub(crate) fn note_left_lease(node: &Node, own: &[SystemItem]) {
     let peers = node.peers.borrow();
     let me = peers.book.me();
-    let is_mine = |it: &&OwnItem| card(&it.key, &it.value).as_ref() == Some(me);
+    let is_mine = |it: &&SystemItem| card(&it.key, &it.value).as_ref() == Some(me);
     let lease = own.iter().find(is_mine).and_then(|it| it.lease);
     node.store_view.borrow_mut().left_lease = lease;
 }
@@ -334,10 +338,10 @@
             Change::RolloutOrderRemoved(service) => {
                 passed.push((at.0, Passed::RolloutOrder(service, None)));
             }
-            Change::Own(OwnItem { key, value, .. }) => {
+            Change::SystemItem(SystemItem { key, value, .. }) => {
                 passed.push((at.0, Passed::Own { key, value }));
             }
-            Change::OwnRemoved(key) => passed.push((at.0, Passed::OwnRemoved(key))),
+            Change::SystemItemRemoved(key) => passed.push((at.0, Passed::OwnRemoved(key))),
         }
     }
     take_passed(node, passed, changes.at);
@@ -406,15 +410,15 @@
             node.peers.borrow_mut().holder_seen(Some(holder_name(value)));
         }
         Passed::RolloutOrder(service, order) => {
-            rollouts::take_order(node, service, order.clone());
+            rollouts::apply_order(node, service, order.clone());
         }
-        Passed::Own { key, value } if key.starts_with(ROLLOUT_KEYS) => {
-            if let Some((service, record)) = rollouts::record(key, value) {
-                rollouts::take_record(node, &service, record);
+        Passed::Own { key, value } if key.starts_with(ROLLOUT_KEY_PREFIX) => {
+            if let Some((service, record)) = rollouts::parse_record(key, value) {
+                rollouts::apply_record(node, &service, record);
             }
         }
-        Passed::Own { key, value } if key.starts_with(QUARANTINE_KEYS) => {
-            if let Some((digest, entry)) = listed(key, value) {
+        Passed::Own { key, value } if key.starts_with(QUARANTINE_KEY_PREFIX) => {
+            if let Some((digest, entry)) = parse_entry(key, value) {
                 node.poison.borrow_mut().apply_entry(digest, entry);
             }
         }
@@ -426,10 +430,10 @@
             }
         }
         Passed::Config(version) => {
-            node.told_version.set(node.told_version.get().max(*version));
+            node.reported_config_version.set(node.reported_config_version.get().max(*version));
         }
         Passed::OwnRemoved(key) if key == HOLDER_KEY => node.peers.borrow_mut().holder_seen(None),
-        Passed::OwnRemoved(key) if key.starts_with(QUARANTINE_KEYS) => {
+        Passed::OwnRemoved(key) if key.starts_with(QUARANTINE_KEY_PREFIX) => {
             if let Some(digest) = digest_of(key) {
                 node.poison.borrow_mut().remove_entry(digest, now);
             }
@@ -455,7 +459,7 @@
 }
 
 /// The cards of the VMs among these items.
-pub(crate) fn cards(own: &[OwnItem]) -> Vec<VmDescriptor> {
+pub(crate) fn cards(own: &[SystemItem]) -> Vec<VmDescriptor> {
     own.iter().filter_map(|it| card(&it.key, &it.value)).collect()
 }
 
--- a/crates/quincevalve_node/src/store/view/tests.rs
+++ b/crates/quincevalve_node/src/store/view/tests.rs
@@ -68,12 +68,12 @@
         let change = (StoreRevision(103), Change::Server(name.clone(), draining()));
         take_changes(
             &reader,
-            Changes { changes: vec![change], at: StoreRevision(104), may_be_cut: false },
+            Changes { changes: vec![change], at: StoreRevision(104), may_be_truncated: false },
         );
         let renewal = (StoreRevision(105), Change::Server(name.clone(), draining()));
         take_changes(
             &reader,
-            Changes { changes: vec![renewal], at: StoreRevision(105), may_be_cut: false },
+            Changes { changes: vec![renewal], at: StoreRevision(105), may_be_truncated: false },
         );
         let excerpt = reader.store_view.borrow().since(StoreRevision(100), usize::MAX);
         let excerpt = excerpt.expect("changes since the whole reading");
@@ -83,13 +83,13 @@
 }
 
 fn snapshot_with(card: &VmDescriptor, lease: u64) -> Snapshot {
-    let item = OwnItem {
+    let item = SystemItem {
         key: peer_key(card),
         value: serde_json::to_vec(card).expect("a card"),
         revision: StoreRevision(5),
         lease: Some(LeaseId(lease)),
     };
-    Snapshot { own: vec![item], at: StoreRevision(7), ..Snapshot::default() }
+    Snapshot { system_items: vec![item], at: StoreRevision(7), ..Snapshot::default() }
 }
 
 // All VMs are back at once after a loss of power, and each would write the entry that is still there. It renews that
@@ -161,7 +161,7 @@
         let says = (StoreRevision(101), Change::Server("i-1".into(), draining()));
         take_changes(
             &node,
-            Changes { changes: vec![says], at: StoreRevision(101), may_be_cut: false },
+            Changes { changes: vec![says], at: StoreRevision(101), may_be_truncated: false },
         );
         assert_eq!(usable(&node), 0);
     });
@@ -170,7 +170,7 @@
         let gone = (StoreRevision(101), Change::ServerRemoved("i-1".into()));
         take_changes(
             &node,
-            Changes { changes: vec![gone], at: StoreRevision(101), may_be_cut: false },
+            Changes { changes: vec![gone], at: StoreRevision(101), may_be_truncated: false },
         );
         assert_eq!(usable(&node), 0);
     });
@@ -178,7 +178,7 @@
         let node = informed();
         let spoiled = Change::ServerUnreadable("i-1".into(), "spoiled".to_owned());
         let changes = vec![(StoreRevision(101), spoiled)];
-        take_changes(&node, Changes { changes, at: StoreRevision(101), may_be_cut: false });
+        take_changes(&node, Changes { changes, at: StoreRevision(101), may_be_truncated: false });
         assert_eq!(usable(&node), 0);
     });
 }
@@ -210,7 +210,7 @@
         let gone = (StoreRevision(101), Change::ServerRemoved("i-1".into()));
         take_changes(
             &node,
-            Changes { changes: vec![gone], at: StoreRevision(101), may_be_cut: false },
+            Changes { changes: vec![gone], at: StoreRevision(101), may_be_truncated: false },
         );
         let at = StoreRevision(100);
         let servers = vec![("i-1".into(), ready())];
@@ -225,7 +225,7 @@
 fn a_quarantine_is_known_from_a_whole_reading() {
     run(|| {
         let node = node("vm-1");
-        let item = OwnItem {
+        let item = SystemItem {
             key: "quarantine/00000000000000ab".to_owned(),
             value: br#"{"trials":0,"until_ms":1}"#.to_vec(),
             revision: StoreRevision(5),
@@ -233,23 +233,26 @@
         };
         take_snapshot(
             &node,
-            Snapshot { own: vec![item], at: StoreRevision(7), ..Snapshot::default() },
+            Snapshot { system_items: vec![item], at: StoreRevision(7), ..Snapshot::default() },
         );
         assert_eq!(node.poison.borrow().stored_entries().count(), 1);
     });
 }
 
-fn read_anew(node: &Node, servers: Vec<(BackendServerName, ServerEntry)>, own: Vec<OwnItem>) {
+fn read_anew(node: &Node, servers: Vec<(BackendServerName, ServerEntry)>, own: Vec<SystemItem>) {
     node.store_view.borrow_mut().forget();
     let at = StoreRevision(120);
-    take_snapshot(node, Snapshot { servers, own, at, newest: at, ..Snapshot::default() });
+    take_snapshot(
+        node,
+        Snapshot { servers, system_items: own, at, newest: at, ..Snapshot::default() },
+    );
 }
 
-fn vm(name: &str) -> OwnItem {
+fn vm(name: &str) -> SystemItem {
     let card =
         VmDescriptor { name: name.to_owned(), ..node("vm-0").peers.borrow().book.me().clone() };
     let value = serde_json::to_vec(&card).expect("a card");
-    OwnItem { key: peer_key(&card), value, revision: StoreRevision(110), lease: None }
+    SystemItem { key: peer_key(&card), value, revision: StoreRevision(110), lease: None }
 }
 
 // The store drops its history: the VMs that read it for all read the whole, and nobody else knows what came before. Each of
@@ -269,7 +272,7 @@
         let usable = servers.usable(&service, clock::now());
         let usable: Vec<_> = usable.map(|(name, _)| name.as_str().to_owned()).collect();
         assert_eq!(usable, ["i-2", "i-3"]);
-        assert_eq!(member.vms(), 2);
+        assert_eq!(member.vm_count(), 2);
     });
 }
 
@@ -296,7 +299,10 @@
         reader.store_view.borrow_mut().forget();
         let at = StoreRevision(130);
         let own = names.iter().map(|it| vm(it)).collect();
-        take_snapshot(&reader, Snapshot { servers, own, at, newest: at, ..Snapshot::default() });
+        take_snapshot(
+            &reader,
+            Snapshot { servers, system_items: own, at, newest: at, ..Snapshot::default() },
+        );
         let excerpt = reader.store_view.borrow().since(StoreRevision(120), PASSED_BYTES);
         let excerpt = excerpt.expect("nothing is lacking");
         assert_eq!((excerpt.upto, excerpt.changes.len()), (130, 0), "{:?}", excerpt.changes);
--- a/crates/quincevalve_node/src/test_node.rs
+++ b/crates/quincevalve_node/src/test_node.rs
@@ -14,7 +14,7 @@
 
 use crate::{
     node::Node,
-    ports::{DecodedSignals, EngineApi, HeaderNames, MoveError, MovedRun},
+    ports::{DecodedSignals, EngineApi, HeaderNames, MigratedRequest, MigrationError},
     quarantine::QuarantineStore,
     request::mover::Mover,
     settings::{Bounds, Duties, NodeSettings},
@@ -25,13 +25,18 @@
 struct NoEngines;
 
 impl EngineApi for NoEngines {
-    async fn move_run(&self, _: SocketAddr, _: SocketAddr, _: &str) -> Result<MovedRun, MoveError> {
+    async fn migrate_request(
+        &self,
+        _: SocketAddr,
+        _: SocketAddr,
+        _: &str,
+    ) -> Result<MigratedRequest, MigrationError> {
         std::future::pending().await
     }
 }
 
 /// Returns a loopback address with port 0.
-pub(crate) fn any() -> SocketAddr {
+pub(crate) fn any_address() -> SocketAddr {
     ([127, 0, 0, 1], 0).into()
 }
 
@@ -50,8 +55,8 @@
         seal: name("x-seal"),
         not_run: name("x-not-run"),
         urgency: name("x-urgency"),
-        last_event: name("last-event-id"),
-        moved_from: name("x-moved-from"),
+        last_event_id: name("last-event-id"),
+        migrated_from: name("x-moved-from"),
         signals: |_| DecodedSignals::default(),
         internal: Vec::new(),
     }
@@ -62,13 +67,13 @@
     let settings = NodeSettings {
         name: name.into(),
         data_centre: "a".into(),
-        ip: any().ip(),
+        ip: any_address().ip(),
         cpu: 250,
-        link: 125_000_000,
-        front: any(),
-        ready: any(),
+        link_bytes_per_second: 125_000_000,
+        front: any_address(),
+        ready: any_address(),
         peer_port: 0,
-        metrics: any(),
+        metrics: any_address(),
         is_first_start: false,
         bounds: Bounds {
             change_in_force: Duration::from_secs(2),
--- a/crates/quincevalve_node/tests/support/mod.rs
+++ b/crates/quincevalve_node/tests/support/mod.rs
@@ -27,9 +27,9 @@
 use quincevalve_node::{
     Listeners,
     ports::{
-        ActingHolder, Change, Changes, CloudApi, CloudError, Commit, DecodedSignals, EngineApi,
-        HeaderNames, LeaseId, MoveError, MovedRun, OwnItem, PlatformStore, ReadAge, RolloutStatus,
-        ServerOrder, Snapshot, StoreError, StoreRevision,
+        Change, Changes, CloudApi, CloudError, Commit, DecodedSignals, DutyHolder, EngineApi,
+        HeaderNames, LeaseId, MigratedRequest, MigrationError, PlatformStore, ReadConsistency,
+        RolloutStatus, ServerOrder, Snapshot, StoreError, StoreRevision, SystemItem,
     },
     settings::{Bounds, Duties, NodeSettings},
 };
@@ -63,7 +63,7 @@
 struct StoreState {
     config: RefCell<Option<ForwardingConfig>>,
     servers: RefCell<Vec<(BackendServerName, ServerEntry)>>,
-    own: RefCell<Vec<OwnItem>>,
+    own: RefCell<Vec<SystemItem>>,
     rollouts: RefCell<IndexMap<ServiceName, RolloutOrder>>,
     /// The words about roll-outs, oldest first.
     statuses: RefCell<Vec<RolloutStatus>>,
@@ -93,9 +93,9 @@
             Self::Server(name, Some(entry)) => Change::Server(name, entry),
             Self::Server(name, None) => Change::ServerRemoved(name),
             Self::Own(key, Some(value)) => {
-                Change::Own(OwnItem { key, value, revision, lease: None })
+                Change::SystemItem(SystemItem { key, value, revision, lease: None })
             }
-            Self::Own(key, None) => Change::OwnRemoved(key),
+            Self::Own(key, None) => Change::SystemItemRemoved(key),
             Self::Rollout(service, Some(order)) => {
                 let id = OrderId(revision.0);
                 Change::RolloutOrder(service, RolloutOrder { id, ..order })
@@ -168,7 +168,7 @@
                 data_centre: "a".into(),
                 cpu: 4_000,
             };
-            OwnItem {
+            SystemItem {
                 key: format!("peers/a/{}", card.name),
                 value: serde_json::to_vec(&card).expect("a card"),
                 revision: StoreRevision(100),
@@ -247,11 +247,11 @@
         let revision = self.add(FakeChange::Own(key.to_owned(), Some(value.clone())));
         let mut own = self.shared.own.borrow_mut();
         own.retain(|it| it.key != key);
-        own.push(OwnItem { key: key.to_owned(), value, revision, lease: None });
+        own.push(SystemItem { key: key.to_owned(), value, revision, lease: None });
     }
 
     /// The system's own items whose keys begin with `prefix`.
-    pub fn own(&self, prefix: &str) -> Vec<OwnItem> {
+    pub fn own(&self, prefix: &str) -> Vec<SystemItem> {
         let own = self.shared.own.borrow();
         own.iter().filter(|it| it.key.starts_with(prefix)).cloned().collect()
     }
@@ -269,7 +269,7 @@
 }
 
 impl PlatformStore for FakeStore {
-    async fn snapshot(&self, _: ReadAge) -> Result<Snapshot, StoreError> {
+    async fn snapshot(&self, _: ReadConsistency) -> Result<Snapshot, StoreError> {
         self.answer().await?;
         self.vm.whole_readings.set(self.vm.whole_readings.get() + 1);
         Ok(Snapshot {
@@ -283,13 +283,13 @@
                 .collect(),
             config: self.shared.config.borrow().clone(),
             servers: self.shared.servers.borrow().clone(),
-            own: self.shared.own.borrow().clone(),
+            system_items: self.shared.own.borrow().clone(),
             at: StoreRevision(100),
             newest: StoreRevision(100),
         })
     }
 
-    async fn own_items(&self, prefix: &str) -> Result<Vec<OwnItem>, StoreError> {
+    async fn system_items(&self, prefix: &str) -> Result<Vec<SystemItem>, StoreError> {
         self.answer().await?;
         Ok(self.own(prefix))
     }
@@ -314,21 +314,21 @@
         self.vm.answered.set(self.vm.answered.get() + 1);
         let mut changes = news();
         let whole = self.shared.cuts_at.get().unwrap_or(changes.len());
-        let may_be_cut = changes.len() > whole;
+        let may_be_truncated = changes.len() > whole;
         changes.truncate(whole);
-        if may_be_cut {
+        if may_be_truncated {
             self.vm.cut.set(self.vm.cut.get() + 1);
         }
         let at = changes.last().map_or(after, |(at, _)| *at);
-        Ok(Changes { changes, at, may_be_cut })
+        Ok(Changes { changes, at, may_be_truncated })
     }
 
-    async fn config(&self, _: ReadAge) -> Result<Option<ForwardingConfig>, StoreError> {
+    async fn config(&self, _: ReadConsistency) -> Result<Option<ForwardingConfig>, StoreError> {
         self.answer().await?;
         Ok(self.shared.config.borrow().clone())
     }
 
-    async fn get(&self, key: &str) -> Result<Option<OwnItem>, StoreError> {
+    async fn get(&self, key: &str) -> Result<Option<SystemItem>, StoreError> {
         self.answer().await?;
         let found = self.own(key).into_iter().find(|it| it.key == key);
         // Other VMs may read and write before this one has the answer.
@@ -351,7 +351,7 @@
             newest = self.add(FakeChange::Own(key.clone(), Some(value.clone())));
             let mut own = self.shared.own.borrow_mut();
             own.retain(|it| it.key != *key);
-            own.push(OwnItem {
+            own.push(SystemItem {
                 key: key.clone(),
                 value: value.clone(),
                 revision: newest,
@@ -406,14 +406,14 @@
 impl CloudApi for FakeCloud {
     async fn report_usage(
         &self,
-        _: &ActingHolder,
+        _: &DutyHolder,
         _: u64,
         _: &IndexMap<ClientAccountName, u64>,
     ) -> Result<(), CloudError> {
         Ok(())
     }
 
-    async fn order(&self, _: &ActingHolder, _: &ServerOrder) -> Result<(), CloudError> {
+    async fn order(&self, _: &DutyHolder, _: &ServerOrder) -> Result<(), CloudError> {
         Ok(())
     }
 }
@@ -423,15 +423,15 @@
 pub struct FakeEngines(mpsc::UnboundedSender<String>);
 
 impl EngineApi for FakeEngines {
-    async fn move_run(
+    async fn migrate_request(
         &self,
         from: SocketAddr,
         _: SocketAddr,
         attempt_id: &str,
-    ) -> Result<MovedRun, MoveError> {
+    ) -> Result<MigratedRequest, MigrationError> {
         self.0.send(attempt_id.to_owned()).expect("the test waits for moves");
         let ticket = format!("{from}/copy-1").parse().expect("a header value");
-        Ok(MovedRun { ticket })
+        Ok(MigratedRequest { ticket })
     }
 }
 
@@ -461,8 +461,8 @@
         seal: name("x-seal"),
         not_run: name("x-not-run"),
         urgency: name("x-urgency"),
-        last_event: name("last-event-id"),
-        moved_from: name("x-moved-from"),
+        last_event_id: name("last-event-id"),
+        migrated_from: name("x-moved-from"),
         signals,
         internal: vec![name("x-moved-from"), name("x-urgency"), name("x-internal")],
     }
@@ -475,7 +475,7 @@
         data_centre: "a".into(),
         ip: any.ip(),
         cpu: 250,
-        link: 125_000_000,
+        link_bytes_per_second: 125_000_000,
         front: any,
         ready: any,
         peer_port: 0,
