--- a/crates/quincevalve_node/tests/logs_listed.rs
+++ b/crates/quincevalve_node/tests/logs_listed.rs
@@ -1,20 +1,20 @@
-//! Each log line of the process is listed in docs/LOGS.md.
+//! Checks that docs/LOGS.md lists each log event of the process.
 
 use std::{
     fs,
     path::{Path, PathBuf},
 };
 
-/// The event names in a source text: the literal after the `;` of each logging macro.
-fn events(source: &str) -> Vec<String> {
+/// Returns the event names in a source text: the literal after the `;` of each logging macro.
+fn event_names(source: &str) -> Vec<String> {
     let macros = ["log::debug!(", "log::info!(", "log::warn!(", "log::error!(", "note!("];
     let starts = macros.iter().flat_map(|it| source.match_indices(it));
     let mut events = Vec::new();
     for (at, name) in starts {
         let call = &source[at + name.len()..];
-        // The message is the literal before the macro's end.
-        let ends = call.match_indices('"').map(|(at, _)| at);
-        let end = ends.clone().find(|at| call[at + 1..].trim_start().starts_with(')'));
+        // The message is the last literal before the macro's closing parenthesis.
+        let quotes = call.match_indices('"').map(|(at, _)| at);
+        let end = quotes.clone().find(|at| call[at + 1..].trim_start().starts_with(')'));
         let Some(end) = end else { continue };
         let Some(start) = call[..end].rfind('"') else { continue };
         let name = &call[start + 1..end];
@@ -25,21 +25,21 @@
     events
 }
 
-/// All source files below a folder.
-fn sources(folder: &Path) -> Vec<PathBuf> {
-    let entries = fs::read_dir(folder).expect("the sources");
+/// Returns all files below a directory.
+fn files_below(directory: &Path) -> Vec<PathBuf> {
+    let entries = fs::read_dir(directory).expect("the sources");
     let paths = entries.map(|it| it.expect("an entry").path());
-    paths.flat_map(|it| if it.is_dir() { sources(&it) } else { vec![it] }).collect()
+    paths.flat_map(|it| if it.is_dir() { files_below(&it) } else { vec![it] }).collect()
 }
 
 #[test]
-fn every_event_is_listed() {
+fn every_log_event_is_listed() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let page = fs::read_to_string(root.join("../../docs/LOGS.md")).expect("the page");
     let mut found = 0;
-    for file in sources(&root.join("src")) {
+    for file in files_below(&root.join("src")) {
         let source = fs::read_to_string(file).expect("a source");
-        for event in events(&source) {
+        for event in event_names(&source) {
             found += 1;
             assert!(page.contains(&format!("`{event}`")), "docs/LOGS.md lacks `{event}`");
         }
--- a/crates/quincevalve_node/tests/poison_request.rs
+++ b/crates/quincevalve_node/tests/poison_request.rs
@@ -6,8 +6,8 @@
 
 use quincevalve_forwarding::servers::ServerEntry;
 use support::{
-    Arrival, END, FakeStore, Reply, Vm, World, entry, events, exchange, metric, request, run,
-    sealed, stream_head,
+    Arrival, FakeStore, LAST_CHUNK, Reply, Vm, World, entry, events, exchange, metric, request,
+    run, sealed, stream_head,
 };
 use tokio::{sync::Notify, task::spawn_local, time::sleep};
 
@@ -167,7 +167,7 @@
         world.arrived();
         word.notify_waiters();
         let answer = held.await.expect("an answer");
-        assert!(!answer.ends_with(END), "{answer}");
+        assert!(!answer.ends_with(LAST_CHUNK), "{answer}");
         assert!(world.arrived().is_empty());
     });
 }
--- a/crates/quincevalve_node/tests/rollout.rs
+++ b/crates/quincevalve_node/tests/rollout.rs
@@ -1,4 +1,4 @@
-//! A service that is moved to another version: whole processes, scripted servers of two versions, and operators.
+//! Rolls a service out to another version: whole processes, scripted servers of two versions, and operators' orders.
 
 mod support;
 
@@ -18,43 +18,43 @@
 };
 use tokio::time::{Instant, sleep};
 
-/// Servers of the version that serves before; as many are of the other.
-const OLD: usize = 4;
-/// Pause between two looks at a condition.
-const LOOK: Duration = Duration::from_millis(5);
-/// What a test waits for happens long before.
-const LONG: Duration = Duration::from_secs(30);
-/// Turns of sixty requests without one for the new version after which it gets none any more: it gets a tenth of them
-/// otherwise.
-const QUIET_TURNS: usize = 20;
-/// What is told reaches other VMs within this time.
-const TOLD: Duration = Duration::from_millis(500);
+/// Number of servers of each of the two versions.
+const SERVERS_PER_VERSION: usize = 4;
+/// Time between two checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Maximum time for which a test waits for a condition.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
+/// Number of consecutive batches of sixty requests without one for the new version, after which the test assumes
+/// that it gets none any more. A version that is not withheld gets a tenth of the requests.
+const QUIET_BATCHES: usize = 20;
+/// Maximum time until other VMs have received a report.
+const REPORT_DELAY: Duration = Duration::from_millis(500);
 
 fn order(seconds: u64) -> RolloutOrder {
     RolloutOrder { id: OrderId::default(), to: "v2".into(), duration: Duration::from_secs(seconds) }
 }
 
-/// Orders the other version, whose servers are there at once.
-fn begin(world: &World, seconds: u64) {
+/// Orders the new version and adds its servers at once.
+fn start_rollout(world: &World, seconds: u64) {
     world.store.order_rollout("engines", Some(order(seconds)));
-    for at in OLD..2 * OLD {
+    for at in SERVERS_PER_VERSION..2 * SERVERS_PER_VERSION {
         let entry = ServerEntry { version: "v2".into(), ..entry(world.servers[at]) };
         world.store.change(&format!("server-{at}"), entry);
     }
 }
 
-fn is_new(arrival: &Arrival) -> bool {
-    arrival.server >= OLD
+fn is_new_version(arrival: &Arrival) -> bool {
+    arrival.server >= SERVERS_PER_VERSION
 }
 
-/// Answers well whatever the version.
-fn good(_: usize, arrival: &Arrival) -> Reply {
+/// Servers of both versions answer with success.
+fn reply_with_success(_: usize, arrival: &Arrival) -> Reply {
     Reply::Send(sealed(arrival, "200 OK", "done"))
 }
 
-/// The new version fails each request.
-fn bad(_: usize, arrival: &Arrival) -> Reply {
-    let status = if is_new(arrival) { "500 Internal Server Error" } else { "200 OK" };
+/// Servers of the new version fail each request.
+fn fail_on_new_version(_: usize, arrival: &Arrival) -> Reply {
+    let status = if is_new_version(arrival) { "500 Internal Server Error" } else { "200 OK" };
     Reply::Send(sealed(arrival, status, "done"))
 }
 
@@ -62,19 +62,19 @@
     store.statuses().last().map(|it| it.state)
 }
 
-/// Asks until the roll-out has come to a state, and returns what arrived until then.
-async fn ask_until(
+/// Sends requests until the roll-out has reached a state, and returns the requests that arrived until then.
+async fn send_until(
     world: &mut World,
     fronts: &[std::net::SocketAddr],
     state: RolloutState,
 ) -> Vec<Arrival> {
-    let until = Instant::now() + LONG;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     let mut arrived = Vec::new();
     for number in 0.. {
         if last_state(&world.store) == Some(state) {
             break;
         }
-        assert!(Instant::now() < until, "{:?}", world.store.statuses());
+        assert!(Instant::now() < deadline, "{:?}", world.store.statuses());
         let text = request("/once/a", &format!("id-{number}"), "");
         exchange(fronts[number % fronts.len()], &text).await;
         arrived.extend(world.arrived());
@@ -82,219 +82,234 @@
     arrived
 }
 
-async fn servers_asked(
-    world: &mut World,
-    front: std::net::SocketAddr,
-    prefix: &str,
-) -> Vec<Arrival> {
+/// Sends a batch of sixty requests and returns the requests that arrived.
+async fn send_batch(world: &mut World, front: std::net::SocketAddr, prefix: &str) -> Vec<Arrival> {
     for number in 0..60 {
         exchange(front, &request("/once/a", &format!("{prefix}-{number}"), "")).await;
     }
     world.arrived()
 }
 
-async fn until(condition: impl Fn() -> bool) {
-    let end = Instant::now() + LONG;
+async fn wait_until(condition: impl Fn() -> bool) {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while !condition() {
-        assert!(Instant::now() < end, "it never came");
-        sleep(LOOK).await;
+        assert!(Instant::now() < deadline, "the condition was not met in time");
+        sleep(POLL_INTERVAL).await;
     }
 }
 
 #[test]
-fn a_good_version_takes_all_requests_over_and_is_completed() {
+fn a_good_version_gets_all_requests_once_it_is_completed() {
     run(async {
-        let mut world = World::start(2 * OLD, good).await;
-        begin(&world, 6);
+        let mut world = World::start(2 * SERVERS_PER_VERSION, reply_with_success).await;
+        start_rollout(&world, 6);
         let fronts = [world.front];
-        ask_until(&mut world, &fronts, RolloutState::Completed).await;
+        send_until(&mut world, &fronts, RolloutState::Completed).await;
         let states: Vec<_> = world.store.statuses().iter().map(|it| it.state).collect();
         assert_eq!(states.first(), Some(&RolloutState::Active), "{states:?}");
         let front = world.front;
-        let after = servers_asked(&mut world, front, "after").await;
-        assert!(after.iter().all(is_new), "the old version was asked after it may have stopped");
+        let after = send_batch(&mut world, front, "after").await;
+        assert!(
+            after.iter().all(is_new_version),
+            "the old version got requests after the roll-out was completed"
+        );
     });
 }
 
-// A bad version's servers are still there when it is rolled back: they leave some seconds later.
+// The servers of a bad version are still listed when it is rolled back; they leave some seconds later.
 #[test]
-fn a_bad_version_gets_nothing_more_once_it_is_rolled_back() {
+fn a_bad_version_gets_no_requests_once_it_is_rolled_back() {
     run(async {
-        let mut world = World::start(2 * OLD, bad).await;
-        begin(&world, 20);
+        let mut world = World::start(2 * SERVERS_PER_VERSION, fail_on_new_version).await;
+        start_rollout(&world, 20);
         let fronts = [world.front];
-        let arrived = ask_until(&mut world, &fronts, RolloutState::RolledBack).await;
-        let exposed = arrived.iter().filter(|it| is_new(it)).count();
+        let arrived = send_until(&mut world, &fronts, RolloutState::RolledBack).await;
+        let exposed = arrived.iter().filter(|it| is_new_version(it)).count();
         let allowed = 0.1 * arrived.len() as f64 + EXPOSURE_SLACK;
-        assert!(exposed as f64 <= allowed, "{exposed} of {} went there", arrived.len());
+        assert!(
+            exposed as f64 <= allowed,
+            "the bad version got {exposed} of {} requests",
+            arrived.len()
+        );
         let front = world.front;
-        let after = servers_asked(&mut world, front, "after").await;
-        assert!(!after.iter().any(is_new), "a request went to the bad version");
+        let after = send_batch(&mut world, front, "after").await;
+        assert!(!after.iter().any(is_new_version), "a request went to the bad version");
     });
 }
 
-/// Requests that a version may get beyond its share, over all VMs, in the tests' settings.
+/// Number of requests that an unproven version may get beyond its share, over all VMs, in the tests' settings.
 const EXPOSURE_SLACK: f64 = 50.0;
 
-// A VM that starts while the bad version's servers still stand in the list uses them.
+// Guards against a VM that starts after the rollback and uses the bad version's servers, which are still listed.
 #[test]
-fn a_vm_that_starts_later_sends_nothing_to_a_bad_version() {
+fn a_vm_that_starts_after_the_rollback_sends_nothing_to_a_bad_version() {
     run(async {
-        let mut world = World::start(2 * OLD, bad).await;
-        begin(&world, 20);
+        let mut world = World::start(2 * SERVERS_PER_VERSION, fail_on_new_version).await;
+        start_rollout(&world, 20);
         let fronts = [world.front];
-        ask_until(&mut world, &fronts, RolloutState::RolledBack).await;
+        send_until(&mut world, &fronts, RolloutState::RolledBack).await;
         let other = Vm::start("vm-2", world.store.for_another_vm()).await;
         world.arrived();
-        let after = servers_asked(&mut world, other.front, "late").await;
-        assert!(!after.iter().any(is_new), "a request went to the bad version");
+        let after = send_batch(&mut world, other.front, "late").await;
+        assert!(!after.iter().any(is_new_version), "a request went to the bad version");
     });
 }
 
-// The store is silent, so no record says that the version is bad: each VM sends it its share until the end.
+// Without the store no record can say that the version is bad. Guards against VMs that each go on sending it its share
+// until the end of the roll-out.
 #[test]
-fn a_bad_version_is_kept_from_requests_while_the_store_is_silent() {
+fn a_bad_version_gets_no_more_requests_while_the_store_does_not_respond() {
     run(async {
         let failing = Rc::new(Cell::new(false));
         let fails = failing.clone();
         let script = move |_: usize, arrival: &Arrival| {
-            let is_bad = fails.get() && is_new(arrival);
+            let is_bad = fails.get() && is_new_version(arrival);
             let status = if is_bad { "500 Internal Server Error" } else { "200 OK" };
             Reply::Send(sealed(arrival, status, "done"))
         };
-        let mut world = World::start(2 * OLD, script).await;
+        let mut world = World::start(2 * SERVERS_PER_VERSION, script).await;
         let other = Vm::start("vm-2", world.store.for_another_vm()).await;
         for metrics in [world.metrics, other.metrics] {
             while metric(metrics, "quincevalve_vms").await != Some(2) {
-                sleep(LOOK).await;
+                sleep(POLL_INTERVAL).await;
             }
         }
-        begin(&world, 60);
+        start_rollout(&world, 60);
         let store = world.store.clone();
-        until(|| last_state(&store) == Some(RolloutState::Active)).await;
-        sleep(TOLD).await;
-        world.store.fall_silent();
+        wait_until(|| last_state(&store) == Some(RolloutState::Active)).await;
+        sleep(REPORT_DELAY).await;
+        world.store.stop_answering();
         failing.set(true);
         let front = world.front;
-        let end = Instant::now() + LONG;
-        let mut quiet_turns = 0;
-        for turn in 0.. {
-            let newest = servers_asked(&mut world, front, &format!("turn-{turn}")).await;
-            quiet_turns = if newest.iter().any(is_new) { 0 } else { quiet_turns + 1 };
-            if quiet_turns == QUIET_TURNS {
+        let deadline = Instant::now() + WAIT_TIMEOUT;
+        let mut quiet_batches = 0;
+        for batch in 0.. {
+            let newest = send_batch(&mut world, front, &format!("batch-{batch}")).await;
+            quiet_batches = if newest.iter().any(is_new_version) { 0 } else { quiet_batches + 1 };
+            if quiet_batches == QUIET_BATCHES {
                 break;
             }
-            assert!(Instant::now() < end, "the bad version still gets requests");
-            sleep(LOOK).await;
+            assert!(Instant::now() < deadline, "the bad version still gets requests");
+            sleep(POLL_INTERVAL).await;
         }
-        sleep(TOLD).await;
-        let elsewhere = servers_asked(&mut world, other.front, "other").await;
-        assert!(!elsewhere.iter().any(is_new), "the other VM was not told");
+        sleep(REPORT_DELAY).await;
+        let at_other_vm = send_batch(&mut world, other.front, "other").await;
+        assert!(
+            !at_other_vm.iter().any(is_new_version),
+            "the other VM still sends requests to the bad version"
+        );
     });
 }
 
-// The order is removed while both versions serve: operators mean that it is not to go on.
+// Operators remove the order while both versions serve, to stop the roll-out.
 #[test]
-fn a_removed_order_is_taken_back() {
+fn a_removed_order_is_rolled_back() {
     run(async {
-        let world = World::start(2 * OLD, good).await;
-        begin(&world, 60);
+        let world = World::start(2 * SERVERS_PER_VERSION, reply_with_success).await;
+        start_rollout(&world, 60);
         let store = world.store.clone();
-        until(|| last_state(&store) == Some(RolloutState::Active)).await;
+        wait_until(|| last_state(&store) == Some(RolloutState::Active)).await;
         world.store.order_rollout("engines", None);
-        until(|| last_state(&store) == Some(RolloutState::RolledBack)).await;
+        wait_until(|| last_state(&store) == Some(RolloutState::RolledBack)).await;
     });
 }
 
-// Operators write an order for the version that serves already.
+// Operators order the version that already serves.
 #[test]
-fn an_order_for_the_version_that_serves_is_completed_at_once() {
+fn an_order_for_the_current_version_is_completed_at_once() {
     run(async {
-        let world = World::start(OLD, good).await;
+        let world = World::start(SERVERS_PER_VERSION, reply_with_success).await;
         let order = RolloutOrder { to: "v1".into(), ..order(60) };
         world.store.order_rollout("engines", Some(order));
         let store = world.store.clone();
-        until(|| last_state(&store) == Some(RolloutState::Completed)).await;
+        wait_until(|| last_state(&store) == Some(RolloutState::Completed)).await;
     });
 }
 
 #[test]
-fn an_order_without_time_is_rolled_back_at_once() {
+fn an_order_of_zero_duration_is_rolled_back_at_once() {
     run(async {
-        let world = World::start(2 * OLD, good).await;
-        begin(&world, 0);
+        let world = World::start(2 * SERVERS_PER_VERSION, reply_with_success).await;
+        start_rollout(&world, 0);
         let store = world.store.clone();
-        until(|| last_state(&store) == Some(RolloutState::RolledBack)).await;
+        wait_until(|| last_state(&store) == Some(RolloutState::RolledBack)).await;
     });
 }
 
-// No server of the version comes: the order must end all the same, and the old version serves on.
+// No server of the new version ever starts. The order must end nevertheless, and the old version keeps serving.
 #[test]
-fn an_order_whose_servers_never_come_is_rolled_back() {
+fn an_order_whose_servers_never_start_is_rolled_back() {
     run(async {
-        let mut world = World::start(OLD, good).await;
+        let mut world = World::start(SERVERS_PER_VERSION, reply_with_success).await;
         world.store.order_rollout("engines", Some(order(3)));
         let fronts = [world.front];
-        let arrived = ask_until(&mut world, &fronts, RolloutState::RolledBack).await;
+        let arrived = send_until(&mut world, &fronts, RolloutState::RolledBack).await;
         assert!(!arrived.is_empty());
     });
 }
 
-// Answers of writes are lost: whether the word was written is unknown, and must not be guessed.
+// The answer to a write can be lost, and whether the status was written must not be guessed then. Guards against a
+// status that follows the final one.
 #[test]
-fn each_state_is_told_in_order() {
+fn no_status_follows_the_final_one() {
     run(async {
-        let mut world = World::start(2 * OLD, good).await;
-        let seen: Rc<RefCell<Vec<RolloutState>>> = Rc::default();
-        begin(&world, 6);
+        let mut world = World::start(2 * SERVERS_PER_VERSION, reply_with_success).await;
+        let states: Rc<RefCell<Vec<RolloutState>>> = Rc::default();
+        start_rollout(&world, 6);
         let fronts = [world.front];
-        ask_until(&mut world, &fronts, RolloutState::Completed).await;
-        seen.borrow_mut().extend(world.store.statuses().iter().map(|it| it.state));
+        send_until(&mut world, &fronts, RolloutState::Completed).await;
+        states.borrow_mut().extend(world.store.statuses().iter().map(|it| it.state));
         let is_final = |it: &RolloutState| *it != RolloutState::Active;
-        let first_final = seen.borrow().iter().position(is_final);
-        assert_eq!(first_final, Some(seen.borrow().len() - 1), "{:?}", seen.borrow());
+        let first_final = states.borrow().iter().position(is_final);
+        assert_eq!(first_final, Some(states.borrow().len() - 1), "{:?}", states.borrow());
     });
 }
 
-/// Begins a roll-out while others write something just before its first word, and returns the words of some time after.
-async fn words_after(write: impl FnOnce(&FakeStore) + 'static) -> Vec<RolloutState> {
-    let world = World::start(2 * OLD, good).await;
-    world.store.before_next_word(write);
-    begin(&world, 60);
+/// Starts a roll-out, makes a concurrent write just before the first status is committed, and returns the states
+/// committed up to [`REPORT_DELAY`] later.
+async fn states_after_concurrent_write(
+    write: impl FnOnce(&FakeStore) + 'static,
+) -> Vec<RolloutState> {
+    let world = World::start(2 * SERVERS_PER_VERSION, reply_with_success).await;
+    world.store.before_next_status_commit(write);
+    start_rollout(&world, 60);
     let store = world.store.clone();
-    until(|| store.was_written_between()).await;
-    sleep(TOLD).await;
+    wait_until(|| store.is_concurrent_write_done()).await;
+    sleep(REPORT_DELAY).await;
     world.store.statuses().iter().map(|it| it.state).collect()
 }
 
-// A holder of the duties is frozen between its reading and its writing, and another takes them over meanwhile.
+// The duty holder freezes between its read and its write, and another VM takes the duties over meanwhile.
 #[test]
-fn who_holds_the_duties_no_longer_writes_no_word() {
+fn a_former_duty_holder_commits_no_status() {
     run(async {
-        let words = words_after(|store| store.put("duty/holder", b"another".to_vec())).await;
-        assert_eq!(words, []);
+        let states =
+            states_after_concurrent_write(|store| store.put("duty/holder", b"another".to_vec()))
+                .await;
+        assert_eq!(states, []);
     });
 }
 
-// Another holder took the version back between the reading and the writing of this one.
+// Another duty holder rolls the version back between the read and the write of this one.
 #[test]
-fn a_word_is_not_written_over_a_record_that_was_written_in_between() {
+fn no_status_is_committed_over_a_record_that_changed_since_the_read() {
     run(async {
-        let words = words_after(|store| {
-            let order = store.order_of("engines").expect("an order");
+        let states = states_after_concurrent_write(|store| {
+            let order = store.rollout_order("engines").expect("an order");
             let phase = Phase::RolledBack(RollbackCause::Failures);
             let record = RolloutRecord { phase, ..RolloutRecord::first(&order, 0) };
             store.put("rollout/engines", serde_json::to_vec(&record).expect("a record"));
         });
-        assert_eq!(words.await, []);
+        assert_eq!(states.await, []);
     });
 }
 
-// Operators remove the order between the reading and the writing.
+// Operators remove the order between the read and the write.
 #[test]
-fn no_word_is_written_about_an_order_that_was_removed_in_between() {
+fn no_active_status_is_committed_for_an_order_removed_since_the_read() {
     run(async {
-        let words = words_after(|store| store.order_rollout("engines", None)).await;
-        assert!(!words.contains(&RolloutState::Active), "{words:?}");
+        let states =
+            states_after_concurrent_write(|store| store.order_rollout("engines", None)).await;
+        assert!(!states.contains(&RolloutState::Active), "{states:?}");
     });
 }
--- a/crates/quincevalve_node/tests/server_signals.rs
+++ b/crates/quincevalve_node/tests/server_signals.rs
@@ -1,4 +1,4 @@
-//! What a server says of itself in its answers, and what reaches it afterwards.
+//! The signals that a server sets in its answers (limit, leaving, rest) bound the requests that it gets afterwards.
 
 mod support;
 
@@ -15,48 +15,51 @@
 };
 use tokio::{task::spawn_local, time::sleep};
 
-/// The metric that counts servers that name a limit.
-const LIMITED: &str = "quincevalve_limited_servers";
-/// Pause between two looks at a condition.
-const LOOK: Duration = Duration::from_millis(5);
-/// Pause between two requests of a caller.
-const PAUSE: Duration = Duration::from_millis(15);
-/// How long callers ask.
-const ASKING: Duration = Duration::from_secs(6);
-/// From an answer that a VM passes on until what it says binds the VM.
-const HEARD: Duration = Duration::from_millis(500);
-/// The span over which arrivals are counted, and what may come beyond the limit: a factor and a number.
-const LIMIT_SPAN: Duration = Duration::from_secs(4);
+/// Metric: number of servers that signal a limit.
+const LIMITED_SERVERS_METRIC: &str = "quincevalve_limited_servers";
+/// Time between two checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Time between an answer to a caller and the caller's next request.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(15);
+/// Time for which callers send requests.
+const LOAD_DURATION: Duration = Duration::from_secs(6);
+/// Maximum time from an answer that a VM passes on until the VM obeys the signals in it.
+const SIGNAL_DELAY: Duration = Duration::from_millis(500);
+/// Length of the windows in which arrivals are counted.
+const LIMIT_WINDOW: Duration = Duration::from_secs(4);
+/// Tolerated multiple of the limit; [`LIMIT_SLACK`] is added to it.
 const LIMIT_FACTOR: f64 = 1.5;
+/// Tolerated number of requests in a window beyond the multiple of the limit.
 const LIMIT_SLACK: f64 = 5.0;
 
-/// From an answer that a VM passes on until its callers' requests no longer reach a server that leaves by it.
-const LEAVING_TIME: Duration = Duration::from_secs(2);
-/// The rest for which the server of a test asks, and the requests that it may get from one VM in it.
+/// Maximum time from an answer with a leaving signal that a VM passes on until the VM sends the server nothing more.
+const MAX_LEAVING_DELAY: Duration = Duration::from_secs(2);
+/// Rest that the rejecting server signals.
 const REST: Duration = Duration::from_secs(3);
-const IN_REST: usize = 2;
+/// Maximum number of requests that one VM may send to a server during its rest.
+const MAX_REQUESTS_IN_REST: usize = 2;
 
-/// Two more VMs, once all three know each other.
-async fn two_more_vms(world: &World) -> [Vm; 2] {
+/// Starts two more VMs and waits until all three know each other.
+async fn start_two_more_vms(world: &World) -> [Vm; 2] {
     let others = [
         Vm::start("vm-2", world.store.for_another_vm()).await,
         Vm::start("vm-3", world.store.for_another_vm()).await,
     ];
     for metrics in [world.metrics, others[0].metrics, others[1].metrics] {
         while metric(metrics, "quincevalve_vms").await != Some(3) {
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
     others
 }
 
-/// What a caller of one VM was answered, with the time at which it had the answer, by the id of its request.
+/// Answers to the callers by request id, each with the time at which the caller received it.
 type Answers = Rc<RefCell<HashMap<String, (Instant, String)>>>;
 
-/// A caller of each VM asks one thing after the other. The ids begin with the number of the VM.
-async fn ask_all(fronts: &[std::net::SocketAddr], path: &'static str) -> Answers {
+/// Runs one caller per VM that sends one request after the other. Request ids begin with the number of the VM.
+async fn run_callers(fronts: &[std::net::SocketAddr], path: &'static str) -> Answers {
     let answers = Answers::default();
-    let until = Instant::now() + ASKING;
+    let end = Instant::now() + LOAD_DURATION;
     let callers = fronts.iter().enumerate().map(|(vm, front)| {
         let (front, answers) = (*front, answers.clone());
         spawn_local(async move {
@@ -64,8 +67,8 @@
                 let id = format!("{vm}-{at}");
                 let answer = exchange(front, &request(path, &id, "")).await;
                 answers.borrow_mut().insert(id, (Instant::now(), answer));
-                sleep(PAUSE).await;
-                if Instant::now() >= until {
+                sleep(REQUEST_INTERVAL).await;
+                if Instant::now() >= end {
                     return;
                 }
             }
@@ -81,33 +84,41 @@
     id.split('-').next().unwrap_or_default()
 }
 
-/// When each VM passed on the first answer with a header.
-fn first_passed_on(answers: &Answers, header: &str) -> HashMap<String, Instant> {
+/// Returns by VM when it passed on the first answer with a header.
+fn first_answers_with(answers: &Answers, header: &str) -> HashMap<String, Instant> {
     let mut first: HashMap<String, Instant> = HashMap::new();
     for (id, (at, answer)) in answers.borrow().iter() {
         if answer.contains(header) {
-            let known = first.entry(vm_of(id).to_owned()).or_insert(*at);
-            *known = (*known).min(*at);
+            let earliest = first.entry(vm_of(id).to_owned()).or_insert(*at);
+            *earliest = (*earliest).min(*at);
         }
     }
     first
 }
 
-/// The most arrivals at a server within the span of a limit, of VMs that had passed on an answer that names it.
-fn most_in_span(arrivals: &[Arrival], server: usize, told: &HashMap<String, Instant>) -> usize {
+/// Returns the maximum number of requests within [`LIMIT_WINDOW`] that VMs sent to a server after they knew its limit.
+///
+/// `signalled_at` holds by VM when it passed on the first answer with the limit.
+fn max_arrivals_in_window(
+    arrivals: &[Arrival],
+    server: usize,
+    signalled_at: &HashMap<String, Instant>,
+) -> usize {
     let counts = |it: &&Arrival| {
         let vm = it.header("x-attempt").map(vm_of).unwrap_or_default();
-        it.server == server && told.get(vm).is_some_and(|told| it.at >= *told + HEARD)
+        it.server == server && signalled_at.get(vm).is_some_and(|at| it.at >= *at + SIGNAL_DELAY)
     };
     let times: Vec<_> = arrivals.iter().filter(counts).map(|it| it.at).collect();
-    let within =
-        |from: &Instant| times.iter().filter(|it| (*from..*from + LIMIT_SPAN).contains(it)).count();
+    let within = |from: &Instant| {
+        times.iter().filter(|it| (*from..*from + LIMIT_WINDOW).contains(it)).count()
+    };
     times.iter().map(within).max().unwrap_or_default()
 }
 
-// Several VMs each send a server all that they would send it anyway, though it names in its answers how little it takes.
+// Guards against several VMs that each send a server as many requests as without a limit, though its answers signal how
+// few it accepts from all of them together.
 #[test]
-fn a_server_that_names_a_limit_gets_no_more_of_all_vms_together() {
+fn requests_of_all_vms_together_stay_within_a_servers_limit() {
     run(async {
         const LIMIT: f64 = 1.2;
         let script = |_, it: &Arrival| {
@@ -115,76 +126,79 @@
             Reply::Send(sealed_with(it, "200 OK", more, "done"))
         };
         let mut world = World::start(2, script).await;
-        let others = two_more_vms(&world).await;
-        let answers = ask_all(&[world.front, others[0].front, others[1].front], "/once/7").await;
-        let most = most_in_span(&world.arrived(), 0, &first_passed_on(&answers, "x-limit"));
-        let allowed = LIMIT * LIMIT_SPAN.as_secs_f64() * LIMIT_FACTOR + LIMIT_SLACK;
-        assert!(most as f64 <= allowed, "{most} requests, allowed {allowed}");
+        let others = start_two_more_vms(&world).await;
+        let answers =
+            run_callers(&[world.front, others[0].front, others[1].front], "/once/7").await;
+        let max =
+            max_arrivals_in_window(&world.arrived(), 0, &first_answers_with(&answers, "x-limit"));
+        let allowed = LIMIT * LIMIT_WINDOW.as_secs_f64() * LIMIT_FACTOR + LIMIT_SLACK;
+        assert!(max as f64 <= allowed, "{max} requests, allowed {allowed}");
         let served = answers.borrow().values().filter(|(_, it)| it.contains(" 200 OK")).count();
-        assert_eq!(served, answers.borrow().len(), "the other server has room for all");
+        assert_eq!(served, answers.borrow().len(), "the other server has capacity for all");
     });
 }
 
-// A VM that no caller asked goes on as if a server were well, until its own requests have made matters worse there.
+// Guards against a VM that treats a limited server as healthy because it got no answer of it, until its own requests
+// have added to the overload. Only the first VM gets requests here.
 #[test]
-fn a_limit_is_known_to_vms_that_the_server_did_not_answer() {
+fn a_limit_reaches_vms_that_got_no_answer_of_the_server() {
     run(async {
         let limit = Rc::new(Cell::new("x-limit: 1.2\r\n"));
-        let named = limit.clone();
-        let script =
-            move |_, it: &Arrival| Reply::Send(sealed_with(it, "200 OK", named.get(), "done"));
+        let current_limit = limit.clone();
+        let script = move |_, it: &Arrival| {
+            Reply::Send(sealed_with(it, "200 OK", current_limit.get(), "done"))
+        };
         let world = World::start(1, script).await;
-        let others = two_more_vms(&world).await;
+        let others = start_two_more_vms(&world).await;
         let all = [world.metrics, others[0].metrics, others[1].metrics];
         for (header, limited) in [("x-limit: 1.2\r\n", 1), ("", 0)] {
             limit.set(header);
-            while metric(world.metrics, LIMITED).await != Some(limited) {
+            while metric(world.metrics, LIMITED_SERVERS_METRIC).await != Some(limited) {
                 world.ask("/once/7", "id-1", "").await;
-                sleep(LOOK).await;
+                sleep(POLL_INTERVAL).await;
             }
             for metrics in all {
-                while metric(metrics, LIMITED).await != Some(limited) {
-                    sleep(LOOK).await;
+                while metric(metrics, LIMITED_SERVERS_METRIC).await != Some(limited) {
+                    sleep(POLL_INTERVAL).await;
                 }
             }
         }
     });
 }
 
-// Requests go on to a server that has said in its answers that it leaves, for as long as its entry stands in the list.
+// Guards against requests to a server that signalled that it leaves, while its entry is still listed as not
+// draining. The entry is written once more meanwhile, still not draining.
 #[test]
-fn a_server_that_says_that_it_leaves_gets_nothing_more() {
+fn a_server_that_signals_leaving_gets_no_more_requests() {
     run(async {
         let script = |_, it: &Arrival| {
             let more = if it.server == 0 { "x-leaving: 1\r\n" } else { "" };
             Reply::Send(sealed_with(it, "200 OK", more, "done"))
         };
         let mut world = World::start(2, script).await;
-        let others = two_more_vms(&world).await;
+        let others = start_two_more_vms(&world).await;
         let (store, stale) = (world.store.clone(), entry(world.servers[0]));
         spawn_local(async move {
-            sleep(ASKING / 2).await;
+            sleep(LOAD_DURATION / 2).await;
             store.change("server-0", ServerEntry { slots: 32, ..stale });
         });
-        let answers = ask_all(&[world.front, others[0].front, others[1].front], "/once/7").await;
-        let told = first_passed_on(&answers, "x-leaving");
+        let answers =
+            run_callers(&[world.front, others[0].front, others[1].front], "/once/7").await;
+        let signalled_at = first_answers_with(&answers, "x-leaving");
         let late = |it: &&Arrival| {
             let vm = it.header("x-attempt").map(vm_of).unwrap_or_default();
-            it.server == 0 && told.get(vm).is_some_and(|told| it.at > *told + LEAVING_TIME)
+            it.server == 0 && signalled_at.get(vm).is_some_and(|at| it.at > *at + MAX_LEAVING_DELAY)
         };
-        assert_eq!(
-            world.arrived().iter().filter(late).count(),
-            0,
-            "requests to a server that leaves"
-        );
+        assert_eq!(world.arrived().iter().filter(late).count(), 0, "requests to a leaving server");
         let served = answers.borrow().values().filter(|(_, it)| it.contains(" 200 OK")).count();
-        assert_eq!(served, answers.borrow().len(), "the other server has room for all");
+        assert_eq!(served, answers.borrow().len(), "the other server has capacity for all");
     });
 }
 
-// A server that turns a request away and asks for some seconds of rest gets the next one of the same VM at once.
+// Guards against a VM that sends the next request at once to a server that rejected one and asked for some seconds of
+// rest.
 #[test]
-fn a_server_that_wants_rest_gets_it() {
+fn a_server_that_signals_rest_gets_few_requests_during_it() {
     run(async {
         let script = |_, it: &Arrival| {
             if it.server == 0 {
@@ -195,17 +209,18 @@
             Reply::Send(sealed(it, "200 OK", "done"))
         };
         let mut world = World::start(2, script).await;
-        let others = two_more_vms(&world).await;
-        let answers = ask_all(&[world.front, others[0].front, others[1].front], "/once/7").await;
-        let turned_away: Vec<_> = world.arrived().into_iter().filter(|it| it.server == 0).collect();
+        let others = start_two_more_vms(&world).await;
+        let answers =
+            run_callers(&[world.front, others[0].front, others[1].front], "/once/7").await;
+        let rejected: Vec<_> = world.arrived().into_iter().filter(|it| it.server == 0).collect();
         let in_rest = |first: &Arrival| {
             let vm = |it: &Arrival| vm_of(it.header("x-attempt").unwrap_or_default()).to_owned();
-            let rest = first.at + HEARD..first.at + REST;
-            turned_away.iter().filter(|it| vm(it) == vm(first) && rest.contains(&it.at)).count()
+            let rest = first.at + SIGNAL_DELAY..first.at + REST;
+            rejected.iter().filter(|it| vm(it) == vm(first) && rest.contains(&it.at)).count()
         };
-        let most = turned_away.iter().map(in_rest).max().unwrap_or_default();
-        assert!(!turned_away.is_empty() && most <= IN_REST, "{most} requests in a rest");
+        let max = rejected.iter().map(in_rest).max().unwrap_or_default();
+        assert!(!rejected.is_empty() && max <= MAX_REQUESTS_IN_REST, "{max} requests in a rest");
         let served = answers.borrow().values().filter(|(_, it)| it.contains(" 200 OK")).count();
-        assert_eq!(served, answers.borrow().len(), "the other server has room for all");
+        assert_eq!(served, answers.borrow().len(), "the other server has capacity for all");
     });
 }
--- a/crates/quincevalve_node/tests/support/mod.rs
+++ b/crates/quincevalve_node/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! A process of the forwarding path between scripted callers and servers on loopback.
-#![allow(dead_code, unreachable_pub, reason = "each test file uses its own part")]
+//! Runs whole processes of the node on loopback, with scripted callers, scripted servers and a fake store.
+#![allow(dead_code, unreachable_pub, reason = "each test file uses only some of these helpers")]
 
 use std::{
     cell::{Cell, RefCell},
@@ -41,7 +41,7 @@
     time::sleep,
 };
 
-/// Runs a test on one thread, as the process does.
+/// Runs a test on a current-thread runtime, as the process does.
 pub fn run<F>(test: F)
 where
     F: Future<Output = ()>,
@@ -51,8 +51,8 @@
     runtime.expect("a runtime").block_on(local.run_until(test));
 }
 
-/// A store that holds one configuration and some servers, and can fall silent or turn one VM away. Each VM has its
-/// own handle.
+/// An in-memory platform store with one configuration and some servers. It can stop answering all VMs or reject the
+/// calls of a single one. Each VM has its own handle.
 #[derive(Clone, Default)]
 pub struct FakeStore {
     shared: Rc<StoreState>,
@@ -63,39 +63,39 @@
 struct StoreState {
     config: RefCell<Option<ForwardingConfig>>,
     servers: RefCell<Vec<(BackendServerName, ServerEntry)>>,
-    own: RefCell<Vec<OwnItem>>,
+    items: RefCell<Vec<OwnItem>>,
     rollouts: RefCell<IndexMap<ServiceName, RolloutOrder>>,
-    /// The words about roll-outs, oldest first.
+    /// The committed roll-out statuses, oldest first.
     statuses: RefCell<Vec<RolloutStatus>>,
     changes: RefCell<Vec<(StoreRevision, FakeChange)>>,
-    silent: Cell<bool>,
-    /// What others write between the next word about a roll-out and its taking effect.
-    before_word: RefCell<Option<BeforeWord>>,
-    holds_changes: Cell<bool>,
-    /// Changes in one answer at most.
-    cuts_at: Cell<Option<usize>>,
+    is_unresponsive: Cell<bool>,
+    /// A concurrent write that is made just before the next roll-out status is committed.
+    before_status_commit: RefCell<Option<ConcurrentWrite>>,
+    are_changes_paused: Cell<bool>,
+    /// Maximum number of changes in one answer.
+    max_changes: Cell<Option<usize>>,
     changed: Notify,
 }
 
-type BeforeWord = Box<dyn FnOnce(&FakeStore)>;
+type ConcurrentWrite = Box<dyn FnOnce(&FakeStore)>;
 
-/// A change of the store after its first revision.
+/// A change to the store after the initial revision.
 #[derive(Clone)]
 enum FakeChange {
     Server(BackendServerName, Option<ServerEntry>),
-    Own(String, Option<Vec<u8>>),
+    Item(String, Option<Vec<u8>>),
     Rollout(ServiceName, Option<RolloutOrder>),
 }
 
 impl FakeChange {
-    fn at(&self, revision: StoreRevision) -> Change {
+    fn to_change(&self, revision: StoreRevision) -> Change {
         match self.clone() {
             Self::Server(name, Some(entry)) => Change::Server(name, entry),
             Self::Server(name, None) => Change::ServerRemoved(name),
-            Self::Own(key, Some(value)) => {
+            Self::Item(key, Some(value)) => {
                 Change::Own(OwnItem { key, value, revision, lease: None })
             }
-            Self::Own(key, None) => Change::OwnRemoved(key),
+            Self::Item(key, None) => Change::OwnRemoved(key),
             Self::Rollout(service, Some(order)) => {
                 let id = OrderId(revision.0);
                 Change::RolloutOrder(service, RolloutOrder { id, ..order })
@@ -105,90 +105,91 @@
     }
 }
 
-/// The calls of one VM.
+/// Whether the store rejects the calls of one VM, and how many calls of that VM it served.
 #[derive(Default)]
 struct VmCalls {
-    turned_away: Cell<bool>,
-    refused: Cell<usize>,
-    /// Questions for changes that were answered.
-    answered: Cell<usize>,
-    /// Answers that were cut.
-    cut: Cell<usize>,
-    /// Readings of everything.
-    whole_readings: Cell<usize>,
+    is_rejecting: Cell<bool>,
+    rejected: Cell<usize>,
+    /// Requests for changes that were answered.
+    answered_change_requests: Cell<usize>,
+    /// Answers that were truncated.
+    truncated: Cell<usize>,
+    /// Snapshots that were read.
+    snapshot_reads: Cell<usize>,
 }
 
 impl FakeStore {
-    pub fn fall_silent(&self) {
-        self.shared.silent.set(true);
+    /// Leaves all calls of all VMs unanswered from now on.
+    pub fn stop_answering(&self) {
+        self.shared.is_unresponsive.set(true);
     }
 
-    /// Answers no question for changes from now on, or answers again those that wait.
-    pub fn hold_changes(&self, held: bool) {
-        self.shared.holds_changes.set(held);
+    /// Leaves requests for changes unanswered while `paused`, and answers the pending ones afterwards.
+    pub fn hold_changes(&self, paused: bool) {
+        self.shared.are_changes_paused.set(paused);
         self.shared.changed.notify_waiters();
     }
 
-    /// Answers a question with so many changes at most from now on.
+    /// Limits the number of changes in one answer to `changes` from now on.
     pub fn cut_answers(&self, changes: usize) {
-        self.shared.cuts_at.set(Some(changes));
+        self.shared.max_changes.set(Some(changes));
     }
 
-    /// Answers to this handle's VM that were cut.
+    /// Returns the number of truncated answers to this handle's VM.
     pub fn cut(&self) -> usize {
-        self.vm.cut.get()
+        self.vm.truncated.get()
     }
 
-    /// The same store for another VM.
+    /// Returns a handle to the same store for another VM.
     pub fn for_another_vm(&self) -> Self {
         Self { shared: self.shared.clone(), vm: Rc::default() }
     }
 
-    /// Refuses the calls of this handle's VM from now on, or takes them again.
-    pub fn turn_away(&self, turned_away: bool) {
-        self.vm.turned_away.set(turned_away);
+    /// Rejects the calls of this handle's VM while `rejecting`.
+    pub fn turn_away(&self, rejecting: bool) {
+        self.vm.is_rejecting.set(rejecting);
     }
 
-    /// Calls of this handle's VM that were refused.
+    /// Returns the number of rejected calls of this handle's VM.
     pub fn refused(&self) -> usize {
-        self.vm.refused.get()
+        self.vm.rejected.get()
     }
 
-    /// Questions for changes of this handle's VM that were answered.
+    /// Returns the number of answered requests for changes of this handle's VM.
     pub fn answered(&self) -> usize {
-        self.vm.answered.get()
+        self.vm.answered_change_requests.get()
     }
 
-    /// Lists strong VMs of the same data centre that answer nobody.
+    /// Lists `count` VMs of the same data centre that have much CPU and respond to nobody.
     pub fn list_dead_vms(&self, count: u16) {
         let item = |at: u16| {
-            let card = VmDescriptor {
+            let descriptor = VmDescriptor {
                 name: format!("dead-{at}"),
                 address: ([127, 0, 0, 1], 1).into(),
                 data_centre: "a".into(),
                 cpu: 4_000,
             };
             OwnItem {
-                key: format!("peers/a/{}", card.name),
-                value: serde_json::to_vec(&card).expect("a card"),
+                key: format!("peers/a/{}", descriptor.name),
+                value: serde_json::to_vec(&descriptor).expect("a descriptor"),
                 revision: StoreRevision(100),
                 lease: Some(LeaseId(1)),
             }
         };
-        self.shared.own.borrow_mut().extend((0..count).map(item));
+        self.shared.items.borrow_mut().extend((0..count).map(item));
     }
 
-    /// Takes a VM's entry out of the store.
+    /// Removes the descriptor of a VM.
     pub fn remove_vm(&self, name: &str) {
-        self.shared.own.borrow_mut().retain(|it| it.key != format!("peers/a/{name}"));
+        self.shared.items.borrow_mut().retain(|it| it.key != format!("peers/a/{name}"));
     }
 
-    /// Readings of everything by this handle's VM.
+    /// Returns the number of snapshots that this handle's VM read.
     pub fn whole_readings(&self) -> usize {
-        self.vm.whole_readings.get()
+        self.vm.snapshot_reads.get()
     }
 
-    /// Writes a changed entry of a server.
+    /// Adds or changes the entry of a server.
     pub fn change(&self, name: &str, entry: ServerEntry) {
         self.add(FakeChange::Server(name.into(), Some(entry)));
     }
@@ -206,7 +207,7 @@
         at
     }
 
-    /// Orders a roll-out, as operators do, or removes the order.
+    /// Writes or removes the order of a roll-out, as operators do.
     pub fn order_rollout(&self, service: &str, order: Option<RolloutOrder>) {
         let service: ServiceName = service.into();
         let at = self.add(FakeChange::Rollout(service.clone(), order.clone()));
@@ -221,48 +222,49 @@
         }
     }
 
-    /// The order that stands for a service.
-    pub fn order_of(&self, service: &str) -> Option<RolloutOrder> {
+    /// Returns the current roll-out order of a service.
+    pub fn rollout_order(&self, service: &str) -> Option<RolloutOrder> {
         let service: ServiceName = service.into();
         self.shared.rollouts.borrow().get(&service).cloned()
     }
 
-    /// The words about roll-outs so far.
+    /// Returns the roll-out statuses committed so far, oldest first.
     pub fn statuses(&self) -> Vec<RolloutStatus> {
         self.shared.statuses.borrow().clone()
     }
 
-    /// Lets others write just before the next word about a roll-out takes effect.
-    pub fn before_next_word(&self, write: impl FnOnce(&Self) + 'static) {
-        *self.shared.before_word.borrow_mut() = Some(Box::new(write));
+    /// Makes a concurrent write just before the next roll-out status is committed.
+    pub fn before_next_status_commit(&self, write: impl FnOnce(&Self) + 'static) {
+        *self.shared.before_status_commit.borrow_mut() = Some(Box::new(write));
     }
 
-    /// Whether what others were to write is written.
-    pub fn was_written_between(&self) -> bool {
-        self.shared.before_word.borrow().is_none()
+    /// Returns whether the concurrent write has been made.
+    pub fn is_concurrent_write_done(&self) -> bool {
+        self.shared.before_status_commit.borrow().is_none()
     }
 
-    /// Writes an item of the system's own.
+    /// Writes an item of the system.
     pub fn put(&self, key: &str, value: Vec<u8>) {
-        let revision = self.add(FakeChange::Own(key.to_owned(), Some(value.clone())));
-        let mut own = self.shared.own.borrow_mut();
-        own.retain(|it| it.key != key);
-        own.push(OwnItem { key: key.to_owned(), value, revision, lease: None });
+        let revision = self.add(FakeChange::Item(key.to_owned(), Some(value.clone())));
+        let mut items = self.shared.items.borrow_mut();
+        items.retain(|it| it.key != key);
+        items.push(OwnItem { key: key.to_owned(), value, revision, lease: None });
     }
 
-    /// The system's own items whose keys begin with `prefix`.
+    /// Returns the items of the system whose keys have a prefix.
     pub fn own(&self, prefix: &str) -> Vec<OwnItem> {
-        let own = self.shared.own.borrow();
-        own.iter().filter(|it| it.key.starts_with(prefix)).cloned().collect()
+        let items = self.shared.items.borrow();
+        items.iter().filter(|it| it.key.starts_with(prefix)).cloned().collect()
     }
 
-    async fn answer(&self) -> Result<(), StoreError> {
-        if self.shared.silent.get() {
+    /// Never returns while the store is unresponsive; fails while this VM's calls are rejected.
+    async fn admit_call(&self) -> Result<(), StoreError> {
+        if self.shared.is_unresponsive.get() {
             std::future::pending::<()>().await;
         }
-        if self.vm.turned_away.get() {
-            self.vm.refused.set(self.vm.refused.get() + 1);
-            return Err(StoreError::Unreadable { what: "turned away".to_owned() });
+        if self.vm.is_rejecting.get() {
+            self.vm.rejected.set(self.vm.rejected.get() + 1);
+            return Err(StoreError::Unreadable { what: "rejected".to_owned() });
         }
         Ok(())
     }
@@ -270,8 +272,8 @@
 
 impl PlatformStore for FakeStore {
     async fn snapshot(&self, _: ReadAge) -> Result<Snapshot, StoreError> {
-        self.answer().await?;
-        self.vm.whole_readings.set(self.vm.whole_readings.get() + 1);
+        self.admit_call().await?;
+        self.vm.snapshot_reads.set(self.vm.snapshot_reads.get() + 1);
         Ok(Snapshot {
             unreadable: Vec::new(),
             rollouts: self
@@ -283,61 +285,61 @@
                 .collect(),
             config: self.shared.config.borrow().clone(),
             servers: self.shared.servers.borrow().clone(),
-            own: self.shared.own.borrow().clone(),
+            own: self.shared.items.borrow().clone(),
             at: StoreRevision(100),
             newest: StoreRevision(100),
         })
     }
 
     async fn own_items(&self, prefix: &str) -> Result<Vec<OwnItem>, StoreError> {
-        self.answer().await?;
+        self.admit_call().await?;
         Ok(self.own(prefix))
     }
 
     async fn changes(&self, after: StoreRevision, wait: Duration) -> Result<Changes, StoreError> {
-        self.answer().await?;
-        while self.shared.holds_changes.get() {
+        self.admit_call().await?;
+        while self.shared.are_changes_paused.get() {
             self.shared.changed.notified().await;
         }
-        let news = || {
+        let newer_changes = || {
             let changes = self.shared.changes.borrow();
-            let news = changes.iter().filter(|(at, _)| *at > after);
-            news.map(|(at, change)| (*at, change.at(*at))).collect::<Vec<_>>()
+            let newer = changes.iter().filter(|(at, _)| *at > after);
+            newer.map(|(at, change)| (*at, change.to_change(*at))).collect::<Vec<_>>()
         };
-        if news().is_empty() {
+        if newer_changes().is_empty() {
             tokio::select! {
                 () = self.shared.changed.notified() => {}
                 () = sleep(wait) => {}
             }
         }
-        self.answer().await?;
-        self.vm.answered.set(self.vm.answered.get() + 1);
-        let mut changes = news();
-        let whole = self.shared.cuts_at.get().unwrap_or(changes.len());
-        let may_be_cut = changes.len() > whole;
-        changes.truncate(whole);
+        self.admit_call().await?;
+        self.vm.answered_change_requests.set(self.vm.answered_change_requests.get() + 1);
+        let mut changes = newer_changes();
+        let limit = self.shared.max_changes.get().unwrap_or(changes.len());
+        let may_be_cut = changes.len() > limit;
+        changes.truncate(limit);
         if may_be_cut {
-            self.vm.cut.set(self.vm.cut.get() + 1);
+            self.vm.truncated.set(self.vm.truncated.get() + 1);
         }
         let at = changes.last().map_or(after, |(at, _)| *at);
         Ok(Changes { changes, at, may_be_cut })
     }
 
     async fn config(&self, _: ReadAge) -> Result<Option<ForwardingConfig>, StoreError> {
-        self.answer().await?;
+        self.admit_call().await?;
         Ok(self.shared.config.borrow().clone())
     }
 
     async fn get(&self, key: &str) -> Result<Option<OwnItem>, StoreError> {
-        self.answer().await?;
+        self.admit_call().await?;
         let found = self.own(key).into_iter().find(|it| it.key == key);
-        // Other VMs may read and write before this one has the answer.
+        // Lets other VMs read and write before this one receives the answer.
         tokio::task::yield_now().await;
         Ok(found)
     }
 
     async fn commit(&self, commit: &Commit) -> Result<StoreRevision, StoreError> {
-        self.answer().await?;
+        self.admit_call().await?;
         let revision_of =
             |key: &str| self.own(key).iter().find(|it| it.key == key).map(|it| it.revision);
         let is_expected = |(key, at): &(String, StoreRevision)| {
@@ -348,10 +350,10 @@
         }
         let mut newest = StoreRevision(100);
         for (key, value, lease) in &commit.puts {
-            newest = self.add(FakeChange::Own(key.clone(), Some(value.clone())));
-            let mut own = self.shared.own.borrow_mut();
-            own.retain(|it| it.key != *key);
-            own.push(OwnItem {
+            newest = self.add(FakeChange::Item(key.clone(), Some(value.clone())));
+            let mut items = self.shared.items.borrow_mut();
+            items.retain(|it| it.key != *key);
+            items.push(OwnItem {
                 key: key.clone(),
                 value: value.clone(),
                 revision: newest,
@@ -359,8 +361,8 @@
             });
         }
         for key in &commit.removes {
-            newest = self.add(FakeChange::Own(key.clone(), None));
-            self.shared.own.borrow_mut().retain(|it| it.key != *key);
+            newest = self.add(FakeChange::Item(key.clone(), None));
+            self.shared.items.borrow_mut().retain(|it| it.key != *key);
         }
         Ok(newest)
     }
@@ -370,15 +372,15 @@
         commit: &Commit,
         status: &RolloutStatus,
     ) -> Result<StoreRevision, StoreError> {
-        let before = self.shared.before_word.borrow_mut().take();
-        if let Some(write) = before {
+        let concurrent_write = self.shared.before_status_commit.borrow_mut().take();
+        if let Some(write) = concurrent_write {
             write(self);
         }
-        let stands = {
+        let current_order = {
             let rollouts = self.shared.rollouts.borrow();
             rollouts.get(&status.service).map_or(StoreRevision::ABSENT, |it| StoreRevision(it.id.0))
         };
-        if stands != status.order {
+        if current_order != status.order {
             return Err(StoreError::Conflict);
         }
         let revision = self.commit(commit).await?;
@@ -387,12 +389,12 @@
     }
 
     async fn grant(&self, _: Duration) -> Result<LeaseId, StoreError> {
-        self.answer().await?;
+        self.admit_call().await?;
         Ok(LeaseId(1))
     }
 
     async fn renew(&self, _: LeaseId) -> Result<(), StoreError> {
-        self.answer().await
+        self.admit_call().await
     }
 
     async fn revoke(&self, _: LeaseId) -> Result<(), StoreError> {
@@ -418,7 +420,7 @@
     }
 }
 
-/// Engines that take orders to move runs, and tell the test of them.
+/// Engines that accept each migration and report the attempt id to the test.
 #[derive(Clone)]
 pub struct FakeEngines(mpsc::UnboundedSender<String>);
 
@@ -429,13 +431,13 @@
         _: SocketAddr,
         attempt_id: &str,
     ) -> Result<MovedRun, MoveError> {
-        self.0.send(attempt_id.to_owned()).expect("the test waits for moves");
+        self.0.send(attempt_id.to_owned()).expect("the test receives migrations");
         let ticket = format!("{from}/copy-1").parse().expect("a header value");
         Ok(MovedRun { ticket })
     }
 }
 
-/// Decodes the headers in which scripted servers say something of themselves.
+/// Decodes the headers with which scripted servers state their limit, leaving and rest.
 fn signals(headers: &HeaderMap) -> DecodedSignals {
     let number = |name| headers.get(name)?.to_str().ok()?.parse().ok();
     let signals = ServerSignals {
@@ -499,13 +501,13 @@
     }
 }
 
-fn route(prefix: &str, repeat: RetrySafety) -> Route {
+fn route(prefix: &str, retry_safety: RetrySafety) -> Route {
     Route {
         name: prefix.into(),
         host: "a.example".to_owned(),
         prefix: prefix.to_owned(),
         targets: vec![Target { service: "engines".into(), weight: 1 }],
-        retry_safety: repeat,
+        retry_safety,
         timeout: Duration::from_secs(20),
         objective: Duration::from_secs(5),
         max_servers: 2,
@@ -558,22 +560,22 @@
 /// What a scripted server does with a request.
 #[derive(Clone, Debug)]
 pub enum Reply {
-    /// Sends these bytes and keeps the connection.
+    /// Sends these bytes and keeps the connection open.
     Send(String),
     /// Sends these bytes and closes the connection.
     SendAndClose(String),
     /// Sends these bytes and waits until the caller closes the connection.
     SendAndWait(String),
-    /// Sends these bytes, waits for the word, and closes the connection.
+    /// Sends these bytes, waits for the notification, and closes the connection.
     SendAndHold(String, Rc<Notify>),
-    /// Sends these bytes, and the server's process ends with all its connections. Another start of it comes back under
-    /// a name and at a port of its own.
+    /// Sends these bytes, then the server's process exits and all its connections close. The server restarts under
+    /// another name and at another port.
     SendAndExit(String),
-    /// The same once the word came.
+    /// Like [`Reply::SendAndExit`], but waits for the notification before the exit.
     SendAndExitAt(String, Rc<Notify>),
 }
 
-/// A request as a server got it.
+/// A request as a server received it.
 #[derive(Clone, Debug)]
 pub struct Arrival {
     pub server: usize,
@@ -589,7 +591,7 @@
     }
 }
 
-/// A process that runs.
+/// The addresses of a running process, and the migrations that it asks engines for.
 pub struct Vm {
     pub front: SocketAddr,
     pub ready: SocketAddr,
@@ -598,7 +600,7 @@
 }
 
 impl Vm {
-    /// Starts a process of that name and waits until it is ready.
+    /// Starts a VM's process and waits until it is ready.
     pub async fn start(name: &str, store: FakeStore) -> Self {
         let vm = Self::begin(name, store).await;
         while !get(vm.ready, "/readyz").await.starts_with("HTTP/1.1 200") {
@@ -607,12 +609,12 @@
         vm
     }
 
-    /// Starts a process of that name.
+    /// Starts a VM's process without waiting until it is ready.
     pub async fn begin(name: &str, store: FakeStore) -> Self {
         Self::begin_with(settings(name), store).await
     }
 
-    /// Starts a process of that name of a system that starts for the first time.
+    /// Starts a VM's process in a system that starts for the first time, without waiting until it is ready.
     pub async fn begin_first(name: &str, store: FakeStore) -> Self {
         Self::begin_with(NodeSettings { is_first_start: true, ..settings(name) }, store).await
     }
@@ -631,13 +633,13 @@
         Self { front, ready, metrics, moves }
     }
 
-    /// The value of a metric without labels.
+    /// Returns the value of a metric.
     pub async fn metric(&self, name: &str) -> Option<i64> {
         metric(self.metrics, name).await
     }
 }
 
-/// The value of a metric without labels.
+/// Returns the value of the metric whose name, with its labels if it has any, is `name`.
 pub async fn metric(metrics: SocketAddr, name: &str) -> Option<i64> {
     let text = get(metrics, "/metrics").await;
     let value = text.lines().find_map(|it| it.strip_prefix(name)?.strip_prefix(' '));
@@ -649,39 +651,39 @@
     exchange(address, &text).await
 }
 
-/// The process with its scripted servers.
+/// One VM's process with its scripted servers and its store.
 pub struct World {
     pub front: SocketAddr,
     pub ready: SocketAddr,
     pub metrics: SocketAddr,
     pub store: FakeStore,
     pub arrivals: mpsc::UnboundedReceiver<Arrival>,
-    /// Servers whose caller closed the connection.
-    pub left: mpsc::UnboundedReceiver<usize>,
+    /// Servers that waited for the close of their connection and saw it ([`Reply::SendAndWait`]).
+    pub disconnects: mpsc::UnboundedReceiver<usize>,
     pub moves: mpsc::UnboundedReceiver<String>,
     pub servers: Vec<SocketAddr>,
-    /// Connections that servers took.
+    /// Number of connections that servers accepted.
     pub connections: Rc<Cell<usize>>,
 }
 
 impl World {
-    /// Starts the process and `count` servers that answer by `script`, which gets the number of the arrival
-    /// and the arrival.
+    /// Starts the process and `count` servers that reply as `script` says. It gets the number of requests that arrived
+    /// before, over all servers, and the arrival.
     pub async fn start<F>(count: usize, script: F) -> Self
     where
         F: Fn(usize, &Arrival) -> Reply + 'static,
     {
         let store = FakeStore::default();
         let (arrivals_tx, arrivals) = mpsc::unbounded_channel();
-        let (left_tx, left) = mpsc::unbounded_channel();
+        let (disconnects_tx, disconnects) = mpsc::unbounded_channel();
         let connections = Rc::new(Cell::new(0));
         let fleet = Rc::new(Fleet {
             script,
             store: store.clone(),
-            seen: Cell::new(0),
-            started: Cell::new(count),
+            request_count: Cell::new(0),
+            started_count: Cell::new(count),
             arrivals: arrivals_tx,
-            left: left_tx,
+            disconnects: disconnects_tx,
             connections: connections.clone(),
         });
         let mut servers = Vec::new();
@@ -696,10 +698,10 @@
         *store.shared.config.borrow_mut() = Some(config());
         let vm = Vm::start("vm-1", store.clone()).await;
         let Vm { front, ready, metrics, moves } = vm;
-        Self { front, ready, metrics, store, arrivals, left, moves, servers, connections }
+        Self { front, ready, metrics, store, arrivals, disconnects, moves, servers, connections }
     }
 
-    /// Sends a request to the front and reads until the connection ends.
+    /// Sends a request to the frontend and reads until the connection closes.
     pub async fn ask(&self, path: &str, id: &str, more: &str) -> String {
         exchange(self.front, &request(path, id, more)).await
     }
@@ -708,13 +710,13 @@
         get(address, path).await
     }
 
-    /// The arrivals until now.
+    /// Takes the requests that arrived since the last call.
     pub fn arrived(&mut self) -> Vec<Arrival> {
         std::iter::from_fn(|| self.arrivals.try_recv().ok()).collect()
     }
 }
 
-/// A request with a key and one body.
+/// Returns a request with an API key and a body of four bytes; `more` are further header lines.
 pub fn request(path: &str, id: &str, more: &str) -> String {
     format!(
         "POST {path} HTTP/1.1\r\nhost: a.example\r\nx-key: key-1\r\nx-attempt: {id}\r\n\
@@ -722,59 +724,60 @@
     )
 }
 
+/// Sends a request on a new connection and reads until the connection closes.
 pub async fn exchange(address: SocketAddr, text: &str) -> String {
     let mut stream = TcpStream::connect(address).await.expect("a listener");
     stream.write_all(text.as_bytes()).await.expect("a reader");
     let mut answer = Vec::new();
-    // A reset ends the answer like a close.
+    // Treats a reset as the end of the answer, like a close.
     let _ = stream.read_to_end(&mut answer).await;
     String::from_utf8_lossy(&answer).into_owned()
 }
 
-/// What all scripted servers share.
+/// The state that all scripted servers share.
 struct Fleet<F> {
     script: F,
     store: FakeStore,
-    /// Requests that have arrived.
-    seen: Cell<usize>,
-    /// Servers that were started.
-    started: Cell<usize>,
+    /// Number of requests that have arrived.
+    request_count: Cell<usize>,
+    /// Number of server starts, restarts included.
+    started_count: Cell<usize>,
     arrivals: mpsc::UnboundedSender<Arrival>,
-    left: mpsc::UnboundedSender<usize>,
+    disconnects: mpsc::UnboundedSender<usize>,
     connections: Rc<Cell<usize>>,
 }
 
-/// Time until another start of a server that exited is back.
+/// Time between the exit of a server and its restart.
 const RESTART_TIME: Duration = Duration::from_millis(100);
 
-/// Runs a server, and after each exit its next start.
+/// Runs a server and restarts it after each exit.
 async fn run_server<F>(fleet: Rc<Fleet<F>>, mut at: usize, mut listener: TcpListener)
 where
     F: Fn(usize, &Arrival) -> Reply + 'static,
 {
     loop {
         serve_until_exit(&fleet, at, listener).await;
-        let gone = format!("server-{at}");
+        let old_name = format!("server-{at}");
         sleep(RESTART_TIME).await;
         listener = TcpListener::bind(("127.0.0.1", 0)).await.expect("a port");
-        at = fleet.started.replace(fleet.started.get() + 1);
+        at = fleet.started_count.replace(fleet.started_count.get() + 1);
         let address = listener.local_addr().expect("an address");
         fleet.store.change(&format!("server-{at}"), entry(address));
-        fleet.store.remove(&gone);
+        fleet.store.remove(&old_name);
     }
 }
 
-/// Serves until a request ends the process; then nobody listens any more and all connections are closed.
+/// Serves until a reply exits the process, then closes the listener and all connections.
 async fn serve_until_exit<F>(fleet: &Rc<Fleet<F>>, at: usize, listener: TcpListener)
 where
     F: Fn(usize, &Arrival) -> Reply + 'static,
 {
     let (exit_tx, exit) = watch::channel(false);
     let exit_tx = Rc::new(exit_tx);
-    let mut exited = exit.clone();
+    let mut listener_exit = exit.clone();
     loop {
         let stream = tokio::select! {
-            _ = exited.wait_for(|it| *it) => return,
+            _ = listener_exit.wait_for(|it| *it) => return,
             accepted = listener.accept() => accepted.expect("a connection").0,
         };
         fleet.connections.set(fleet.connections.get() + 1);
@@ -797,7 +800,7 @@
     F: Fn(usize, &Arrival) -> Reply,
 {
     while let Some(arrival) = read_request(server, &mut stream).await {
-        let number = fleet.seen.replace(fleet.seen.get() + 1);
+        let number = fleet.request_count.replace(fleet.request_count.get() + 1);
         let reply = (fleet.script)(number, &arrival);
         let _ = fleet.arrivals.send(arrival);
         match reply {
@@ -810,14 +813,14 @@
             }
             Reply::SendAndWait(text) => {
                 let _ = stream.write_all(text.as_bytes()).await;
-                let mut rest = [0; 64];
-                while matches!(stream.read(&mut rest).await, Ok(read) if read > 0) {}
-                let _ = fleet.left.send(server);
+                let mut buf = [0; 64];
+                while matches!(stream.read(&mut buf).await, Ok(read) if read > 0) {}
+                let _ = fleet.disconnects.send(server);
                 return;
             }
-            Reply::SendAndHold(text, word) => {
+            Reply::SendAndHold(text, notify) => {
                 let _ = stream.write_all(text.as_bytes()).await;
-                word.notified().await;
+                notify.notified().await;
                 return;
             }
             Reply::SendAndExit(text) => {
@@ -825,9 +828,9 @@
                 exit.send_replace(true);
                 return;
             }
-            Reply::SendAndExitAt(text, word) => {
+            Reply::SendAndExitAt(text, notify) => {
                 let _ = stream.write_all(text.as_bytes()).await;
-                word.notified().await;
+                notify.notified().await;
                 exit.send_replace(true);
                 return;
             }
@@ -860,12 +863,12 @@
     Some(Arrival { server, at: Instant::now(), head, body })
 }
 
-/// A sealed answer to an arrival.
+/// Returns a sealed answer to a request.
 pub fn sealed(arrival: &Arrival, status: &str, body: &str) -> String {
     sealed_with(arrival, status, "", body)
 }
 
-/// A sealed answer with more headers, each with its line end.
+/// Returns a sealed answer with further headers; each line of `more` ends with CRLF.
 pub fn sealed_with(arrival: &Arrival, status: &str, more: &str, body: &str) -> String {
     let id = arrival.header("x-attempt").unwrap_or_default();
     format!(
@@ -874,7 +877,7 @@
     )
 }
 
-/// The head of a sealed stream.
+/// Returns the head of a sealed event stream.
 pub fn stream_head(arrival: &Arrival) -> String {
     let id = arrival.header("x-attempt").unwrap_or_default();
     format!(
@@ -883,14 +886,15 @@
     )
 }
 
-/// Events of a stream, in one chunk each.
+/// Returns the events of a stream with these ids, each in a chunk of its own.
 pub fn events(ids: std::ops::RangeInclusive<u32>) -> String {
     ids.map(|id| chunk(&format!("id: {id}\ndata: t{id}\n\n"))).collect()
 }
 
+/// Encodes text as one chunk of a chunked body.
 pub fn chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-/// The end of a chunked body.
-pub const END: &str = "0\r\n\r\n";
+/// The last chunk of a chunked body.
+pub const LAST_CHUNK: &str = "0\r\n\r\n";
--- a/crates/quincevalve_node/tests/whole_path.rs
+++ b/crates/quincevalve_node/tests/whole_path.rs
@@ -1,12 +1,12 @@
-//! Requests through the process: what servers get, what callers get, and what never happens.
+//! Sends requests through a whole process: what servers receive, what callers receive, and which retries are forbidden.
 
 mod support;
 
 use std::rc::Rc;
 
 use support::{
-    Arrival, END, Reply, World, chunk, entry, events, exchange, metric, request, run, sealed,
-    stream_head,
+    Arrival, LAST_CHUNK, Reply, World, chunk, entry, events, exchange, metric, request, run,
+    sealed, stream_head,
 };
 use tokio::{
     io::AsyncWriteExt,
@@ -14,14 +14,14 @@
     sync::Notify,
 };
 
-fn ok(arrival: &Arrival) -> Reply {
+fn reply_with_success(arrival: &Arrival) -> Reply {
     Reply::Send(sealed(arrival, "200 OK", "done"))
 }
 
 #[test]
-fn a_request_arrives_unchanged_but_for_what_the_system_sets() {
+fn a_request_arrives_unchanged_except_for_headers_that_the_system_sets() {
     run(async {
-        let mut world = World::start(1, |_, it| ok(it)).await;
+        let mut world = World::start(1, |_, it| reply_with_success(it)).await;
         let more =
             "x-other: 1\r\nx-account: other\r\nx-internal: 1\r\nx-urgency: 0\r\nte: trailers\r\n";
         let answer = world.ask("/once/7?q=1", "id-1", more).await;
@@ -37,17 +37,17 @@
         for name in ["x-key", "x-internal", "x-urgency", "te"] {
             assert_eq!(arrival.header(name), None, "{name}");
         }
-        let left: u64 = arrival.header("x-deadline-ms").unwrap().parse().unwrap();
-        assert!(left <= 15_000);
+        let remaining: u64 = arrival.header("x-deadline-ms").unwrap().parse().unwrap();
+        assert!(remaining <= 15_000);
     });
 }
 
-// A caller names the system's headers as belonging to its connection, so that a server gets the request
-// without its id. They are passed on all the same.
+// Guards against a request that reaches its server without its id, because the caller lists the system's headers in
+// `connection`. They are forwarded nevertheless.
 #[test]
 fn a_connection_header_cannot_remove_what_servers_rely_on() {
     run(async {
-        let mut world = World::start(1, |_, it| ok(it)).await;
+        let mut world = World::start(1, |_, it| reply_with_success(it)).await;
         let text = request("/once/7", "id-1", "").replace(
             "connection: close",
             "connection: close, x-attempt, x-dropped\r\nx-dropped: 1",
@@ -58,60 +58,61 @@
     });
 }
 
-// A booking is answered with "may have run", and reaches its server seconds later, when that has long left: the server's
-// data centre is cut off, and the request was sent on a connection from before the cut, whose bytes arrive once it
-// heals. Two other servers there could not be reached just before. Idle connections to a data centre that is out of
-// reach are closed, so that the next request opens a new one, and nothing is sent if it can't.
-// Evidence: `connect-failed` for two servers of the data centre, and 1.7 s later `exchange-failed` with `reused=true` for
-// a third; its server got the request 6.1 s after that, when retransmission came through.
+// Guards against a non-idempotent request that is answered with "may have run" and reaches its server seconds later:
+// during a partition of the server's data centre it is sent on an idle connection from before, and retransmission
+// delivers it afterwards (6.1 s after `exchange-failed` with `reused=true`, which came 1.7 s after `connect-failed` for
+// two other servers there). Idle connections to an unreachable data centre are closed, so that the next request needs a
+// new one and is not sent if that fails.
 #[test]
-fn connections_to_a_data_centre_out_of_reach_are_not_used_again() {
+fn connections_to_an_unreachable_data_centre_are_not_reused() {
     run(async {
-        let world = World::start(1, |_, it| ok(it)).await;
+        let world = World::start(1, |_, it| reply_with_success(it)).await;
         for at in 0..5 {
             world.ask("/safe/7", &format!("id-{at}"), "").await;
         }
-        assert_eq!(world.connections.get(), 1, "it is kept");
+        assert_eq!(world.connections.get(), 1, "the connection is kept");
         for at in 1..=2 {
-            // Nobody listens there any more.
-            let gone = TcpListener::bind(("127.0.0.1", 0)).await.unwrap().local_addr().unwrap();
-            world.store.change(&format!("server-{at}"), entry(gone));
+            // The listener is dropped at once, so that connecting fails.
+            let closed_address =
+                TcpListener::bind(("127.0.0.1", 0)).await.unwrap().local_addr().unwrap();
+            world.store.change(&format!("server-{at}"), entry(closed_address));
         }
         while metric(world.metrics, "quincevalve_servers").await != Some(3) {
             tokio::task::yield_now().await;
         }
-        let mut asked = 0;
+        let mut request_count = 0;
         while world.connections.get() == 1 {
-            assert!(asked < ENOUGH, "the connection is used for good");
+            assert!(request_count < MAX_REQUESTS, "the old connection is still used");
             let answer = world.ask("/safe/7", "id-9", "").await;
             assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
-            asked += 1;
+            request_count += 1;
         }
     });
 }
 
-// A booking is answered with "may have run" and was never read: a cut began while a connection was idle, and it was sent on
-// it three seconds later. A connection that has heard nothing for a second isn't used again.
+// Guards against a non-idempotent request that is answered with "may have run" though no server received it: a
+// partition begins while a connection is idle, and the request is sent on it three seconds later. A connection that
+// received nothing for a second is not reused.
 #[test]
-fn a_connection_that_was_idle_for_a_second_is_not_used_again() {
+fn a_connection_that_was_idle_for_a_second_is_not_reused() {
     run(async {
-        let world = World::start(1, |_, it| ok(it)).await;
+        let world = World::start(1, |_, it| reply_with_success(it)).await;
         world.ask("/once/7", "id-1", "").await;
         world.ask("/once/7", "id-2", "").await;
-        assert_eq!(world.connections.get(), 1, "it was just used");
+        assert_eq!(world.connections.get(), 1, "a connection that was just used is reused");
         tokio::time::sleep(std::time::Duration::from_secs(1)).await;
         world.ask("/once/7", "id-3", "").await;
         assert_eq!(world.connections.get(), 2);
     });
 }
 
-/// Requests that three idle servers share: none of them gets nothing.
-const ENOUGH: usize = 200;
+/// Number of requests that three idle servers share, enough for each of them to get some.
+const MAX_REQUESTS: usize = 200;
 
 #[test]
-fn unknown_paths_and_keys_are_refused() {
+fn rejects_unknown_paths_unknown_keys_and_large_bodies() {
     run(async {
-        let mut world = World::start(1, |_, it| ok(it)).await;
+        let mut world = World::start(1, |_, it| reply_with_success(it)).await;
         assert!(world.ask("/none/", "id-1", "").await.starts_with("HTTP/1.1 404"));
         let text = request("/once/7", "id-2", "").replace("key-1", "key-2");
         assert!(exchange(world.front, &text).await.starts_with("HTTP/1.1 401"));
@@ -122,19 +123,19 @@
     });
 }
 
-// A key goes on working though it was taken away: the VM is cut off from the store and can't know. Without a
-// proof that is new enough, requests with keys are told to come back, and the VM isn't ready.
+// Guards against a removed key that a VM keeps accepting because the store is unreachable. Without a recent freshness
+// confirmation, requests with keys get a retryable rejection, and the VM is not ready.
 #[test]
-fn keys_are_refused_without_a_new_proof() {
+fn rejects_keys_without_a_recent_freshness_confirmation() {
     run(async {
-        let mut world = World::start(1, |_, it| ok(it)).await;
-        world.store.fall_silent();
+        let mut world = World::start(1, |_, it| reply_with_success(it)).await;
+        world.store.stop_answering();
         while world.get(world.ready, "/readyz").await.starts_with("HTTP/1.1 200") {
             tokio::time::sleep(std::time::Duration::from_millis(50)).await;
         }
-        // It says that it isn't ready while it still serves, so that callers are sent elsewhere in time.
+        // The VM is not ready while it still serves, so that new callers are sent to other VMs in time.
         let mut served = 0;
-        let refused = loop {
+        let rejection = loop {
             let answer = world.ask("/once/7", "id-1", "").await;
             if !answer.starts_with("HTTP/1.1 200") {
                 break answer;
@@ -143,18 +144,18 @@
             served += 1;
             tokio::time::sleep(std::time::Duration::from_millis(50)).await;
         };
-        assert!(refused.starts_with("HTTP/1.1 503"), "{refused}");
-        assert!(refused.contains("retry-after"), "{refused}");
+        assert!(rejection.starts_with("HTTP/1.1 503"), "{rejection}");
+        assert!(rejection.contains("retry-after"), "{rejection}");
         assert_eq!(world.arrived().len(), served);
         assert!(world.ask("/none/", "id-2", "").await.starts_with("HTTP/1.1 503"));
         assert!(world.arrived().is_empty());
     });
 }
 
-// A seat is booked twice: the answer to the first booking is lost, and the request is sent again. What may
-// have run and may not be repeated is never sent to a second server.
+// Guards against a booking that is made twice because its first answer is lost and the request is retried. A
+// non-idempotent request that may have run is never sent to a second server.
 #[test]
-fn a_lost_answer_is_not_asked_for_again() {
+fn does_not_retry_a_non_idempotent_request_whose_answer_is_lost() {
     run(async {
         let mut world = World::start(2, |_, _| Reply::SendAndClose(String::new())).await;
         let answer = world.ask("/once/7", "id-1", "").await;
@@ -164,11 +165,11 @@
 }
 
 #[test]
-fn a_lost_answer_of_an_idempotent_request_is_asked_for_again() {
+fn retries_an_idempotent_request_whose_answer_is_lost() {
     run(async {
         let script = |number, it: &Arrival| match number {
             0 => Reply::SendAndClose(String::new()),
-            _ => ok(it),
+            _ => reply_with_success(it),
         };
         let mut world = World::start(2, script).await;
         let answer = world.ask("/safe/7", "id-1", "").await;
@@ -179,9 +180,10 @@
     });
 }
 
-// A buyer gets another's answer: it came late, and stood where the buyer's own was due. The echoed id tells.
+// Guards against a caller that receives the answer to another request: a late answer arrives on the connection in place
+// of its own. The echoed request id reveals it.
 #[test]
-fn a_foreign_answer_reaches_nobody() {
+fn an_answer_to_another_request_is_not_passed_on() {
     run(async {
         let script =
             |_, it: &Arrival| Reply::Send(sealed(it, "200 OK", "other's").replace("id-1", "id-0"));
@@ -193,7 +195,7 @@
 }
 
 #[test]
-fn a_success_without_a_seal_is_no_success() {
+fn a_success_without_a_seal_is_answered_with_502() {
     run(async {
         let script =
             |_, it: &Arrival| Reply::Send(sealed(it, "200 OK", "done").replace("x-seal", "x-none"));
@@ -203,7 +205,7 @@
 }
 
 #[test]
-fn a_short_answer_is_no_answer() {
+fn a_truncated_answer_is_answered_with_502() {
     run(async {
         let script = |_, it: &Arrival| {
             Reply::SendAndClose(
@@ -216,7 +218,7 @@
 }
 
 #[test]
-fn a_servers_own_failure_is_passed_on_with_its_seal() {
+fn a_sealed_server_error_is_passed_on_and_not_retried() {
     run(async {
         let script = |_, it: &Arrival| Reply::Send(sealed(it, "500 Internal Server Error", "no"));
         let mut world = World::start(2, script).await;
@@ -230,11 +232,11 @@
     "HTTP/1.1 503 Service Unavailable\r\nx-not-run: 1\r\ncontent-length: 0\r\n\r\n";
 
 #[test]
-fn a_server_that_did_not_run_it_lets_it_go_to_another() {
+fn retries_at_another_server_when_the_first_did_not_run_the_request() {
     run(async {
         let script = |number, it: &Arrival| match number {
             0 => Reply::Send(NOT_RUN.to_owned()),
-            _ => ok(it),
+            _ => reply_with_success(it),
         };
         let mut world = World::start(2, script).await;
         let answer = world.ask("/once/7", "id-1", "").await;
@@ -244,7 +246,7 @@
 }
 
 #[test]
-fn a_request_that_no_server_runs_is_refused_as_not_run() {
+fn a_request_that_no_server_runs_is_rejected_as_not_run() {
     run(async {
         let mut world = World::start(2, |_, _| Reply::Send(NOT_RUN.to_owned())).await;
         let answer = world.ask("/once/7", "id-1", "").await;
@@ -253,10 +255,10 @@
     });
 }
 
-// A refusal says "not run" of a request that one server may have run, since the next one refused it. After
-// an attempt that may have run, no answer promises that.
+// Guards against an answer that states "not run" because the second server rejected the request, though the first one
+// may have run it. After an attempt that may have run, no answer states that.
 #[test]
-fn not_run_is_not_said_after_an_attempt_that_may_have_run() {
+fn does_not_answer_not_run_after_an_attempt_that_may_have_run() {
     run(async {
         let script = |number, _: &Arrival| match number {
             0 => Reply::SendAndClose(String::new()),
@@ -269,14 +271,14 @@
 }
 
 #[test]
-fn a_server_that_another_replaced_gets_nothing_more() {
+fn a_server_that_answers_misdirected_gets_no_more_requests() {
     run(async {
         let script = |_, it: &Arrival| {
             if it.server == 0 {
                 let text = "HTTP/1.1 421 Misdirected Request\r\ncontent-length: 0\r\n\r\n";
                 return Reply::Send(text.to_owned());
             }
-            ok(it)
+            reply_with_success(it)
         };
         let mut world = World::start(2, script).await;
         for number in 0..6 {
@@ -288,30 +290,31 @@
     });
 }
 
-fn data(answer: &str) -> Vec<&str> {
+fn event_data(answer: &str) -> Vec<&str> {
     answer.lines().filter_map(|it| it.strip_prefix("data: ")).collect()
 }
 
 #[test]
-fn a_stream_is_passed_on_whole() {
+fn a_complete_stream_is_passed_on_completely() {
     run(async {
-        let script = |_, it: &Arrival| Reply::Send(stream_head(it) + &events(1..=5) + END);
+        let script = |_, it: &Arrival| Reply::Send(stream_head(it) + &events(1..=5) + LAST_CHUNK);
         let world = World::start(1, script).await;
         let answer = world.ask("/stream/7", "id-1", "").await;
-        assert_eq!(data(&answer), ["t1", "t2", "t3", "t4", "t5"]);
-        assert!(answer.ends_with(END), "{answer}");
+        assert_eq!(event_data(&answer), ["t1", "t2", "t3", "t4", "t5"]);
+        assert!(answer.ends_with(LAST_CHUNK), "{answer}");
     });
 }
 
-// A dispatcher's summary ends in the middle and looks complete. A stream that its server didn't end is cut.
+// Guards against an interrupted stream that looks complete to its caller. The answer is aborted without its last chunk
+// if the server did not complete it.
 #[test]
-fn a_broken_stream_does_not_look_complete() {
+fn an_interrupted_stream_does_not_look_complete() {
     run(async {
         let script = |_, it: &Arrival| Reply::SendAndClose(stream_head(it) + &events(1..=3));
         let mut world = World::start(2, script).await;
         let answer = world.ask("/stream/7", "id-1", "").await;
-        assert_eq!(data(&answer), ["t1", "t2", "t3"]);
-        assert!(!answer.ends_with(END), "{answer}");
+        assert_eq!(event_data(&answer), ["t1", "t2", "t3"]);
+        assert!(!answer.ends_with(LAST_CHUNK), "{answer}");
         assert_eq!(world.arrived().len(), 1);
     });
 }
@@ -320,42 +323,42 @@
 fn a_stream_that_ends_inside_an_event_does_not_look_complete() {
     run(async {
         let script = |_, it: &Arrival| {
-            Reply::Send(stream_head(it) + &events(1..=2) + &chunk("id: 3\ndata: t") + END)
+            Reply::Send(stream_head(it) + &events(1..=2) + &chunk("id: 3\ndata: t") + LAST_CHUNK)
         };
         let world = World::start(1, script).await;
         let answer = world.ask("/stream/7", "id-1", "").await;
-        assert_eq!(data(&answer), ["t1", "t2"]);
-        assert!(!answer.ends_with(END), "{answer}");
+        assert_eq!(event_data(&answer), ["t1", "t2"]);
+        assert!(!answer.ends_with(LAST_CHUNK), "{answer}");
     });
 }
 
-// A traveller's chat stops: its server crashed in the middle of an event. Another server goes on after the
-// last whole event, and the caller gets each event once.
+// Guards against a resumable stream that stops when its server crashes in the middle of an event. Another server
+// resumes after the last complete event, and the caller gets each event once.
 #[test]
-fn a_resumable_stream_goes_on_at_another_server() {
+fn a_resumable_stream_resumes_at_another_server() {
     run(async {
         let script = |number, it: &Arrival| match number {
             0 => Reply::SendAndClose(stream_head(it) + &events(1..=2) + &chunk("id: 3\nda")),
-            _ => Reply::Send(stream_head(it) + &events(3..=4) + END),
+            _ => Reply::Send(stream_head(it) + &events(3..=4) + LAST_CHUNK),
         };
         let mut world = World::start(2, script).await;
         let answer = world.ask("/resumable/7", "id-1", "").await;
-        assert_eq!(data(&answer), ["t1", "t2", "t3", "t4"]);
-        assert!(answer.ends_with(END), "{answer}");
+        assert_eq!(event_data(&answer), ["t1", "t2", "t3", "t4"]);
+        assert!(answer.ends_with(LAST_CHUNK), "{answer}");
         let arrivals = world.arrived();
         assert_eq!(arrivals[1].header("last-event-id"), Some("2"));
         assert_ne!(arrivals[0].server, arrivals[1].server);
     });
 }
 
-// Answers stumble between tokens, and no figure shows it: the pause while a stream goes from one server to another counts
+// Guards against pauses between tokens that no metric shows. The pause while a stream resumes at another server counts
 // as time between two events like any other.
 #[test]
 fn the_time_between_events_is_measured() {
     run(async {
         let script = |number, it: &Arrival| match number {
             0 => Reply::SendAndClose(stream_head(it) + &events(1..=1)),
-            _ => Reply::Send(stream_head(it) + &events(2..=2) + END),
+            _ => Reply::Send(stream_head(it) + &events(2..=2) + LAST_CHUNK),
         };
         let world = World::start(2, script).await;
         world.ask("/resumable/7", "id-1", "").await;
@@ -364,48 +367,49 @@
     });
 }
 
-// A chat runs on three servers though its route allows two: the first server's answer was lost, the second one's
-// stream broke off before any event, and only the servers of the stream were counted.
+// Guards against a resumable request that runs on three servers though its route allows two: the first server's answer
+// is lost, the second one's stream is interrupted before any event, and only servers that began a stream are counted.
 #[test]
-fn a_lost_answer_counts_for_the_servers_of_a_stream() {
+fn a_lost_answer_counts_towards_the_maximum_servers_of_a_stream() {
     run(async {
         let script = |number, it: &Arrival| match number {
             0 => Reply::SendAndClose(String::new()),
             1 => Reply::SendAndClose(stream_head(it)),
-            _ => Reply::Send(stream_head(it) + &events(1..=2) + END),
+            _ => Reply::Send(stream_head(it) + &events(1..=2) + LAST_CHUNK),
         };
         let mut world = World::start(3, script).await;
         let answer = world.ask("/resumable/7", "id-1", "").await;
-        assert!(!answer.ends_with(END), "{answer}");
+        assert!(!answer.ends_with(LAST_CHUNK), "{answer}");
         assert_eq!(world.arrived().len(), 2);
     });
 }
 
-// A dossier is cut two seconds after its engine was reclaimed. On the notice the run is stopped, and goes on
-// from its copied memory at another engine; the caller gets each event once.
+// Guards against a stream that is interrupted when its engine is reclaimed, two seconds after the notice. On the notice
+// the running request is migrated: it stops, and resumes from its copied memory at another engine. The caller gets each
+// event once.
 #[test]
-fn a_stream_moves_away_from_an_engine_that_goes() {
+fn a_stream_migrates_from_a_leaving_engine() {
     run(async {
         let stopped = Rc::new(Notify::new());
-        let word = stopped.clone();
+        let stop = stopped.clone();
         let script = move |number, it: &Arrival| match number {
-            0 => Reply::SendAndHold(stream_head(it) + &events(1..=2), word.clone()),
-            _ => Reply::Send(stream_head(it) + &events(3..=4) + END),
+            0 => Reply::SendAndHold(stream_head(it) + &events(1..=2), stop.clone()),
+            _ => Reply::Send(stream_head(it) + &events(3..=4) + LAST_CHUNK),
         };
         let mut world = World::start(2, script).await;
         let (front, text) = (world.front, request("/stream/7", "id-1", ""));
         let caller = tokio::task::spawn_local(async move { exchange(front, &text).await });
         let first = world.arrivals.recv().await.unwrap();
-        let going = quincevalve_forwarding::servers::ServerEntry {
+        let leaving = quincevalve_forwarding::servers::ServerEntry {
             draining: true,
             leaves_in: Some(std::time::Duration::from_millis(1_200)),
             ..entry(world.servers[first.server])
         };
-        world.store.change(&format!("server-{}", first.server), going);
+        world.store.change(&format!("server-{}", first.server), leaving);
         assert_eq!(world.moves.recv().await.as_deref(), Some("id-1"));
         stopped.notify_one();
         let answer = caller.await.unwrap();
-        assert_eq!(data(&answer), ["t1", "t2", "t3", "t4"]);
+        assert_eq!(event_data(&answer), ["t1", "t2", "t3", "t4"]);
         let second = world.arrivals.recv().await.unwrap();
         assert_ne!(first.server, second.server);
         let ticket = format!("{}/copy-1", world.servers[first.server]);
@@ -414,9 +418,10 @@
     });
 }
 
-// A server works on for a caller who has left. The server's connection is closed with the caller's.
+// Guards against a server that keeps working for a caller that has disconnected. The connection to the server is closed
+// with the caller's.
 #[test]
-fn a_caller_that_leaves_a_stream_frees_its_server() {
+fn a_disconnect_during_a_stream_closes_the_server_connection() {
     run(async {
         let script = |_, it: &Arrival| Reply::SendAndWait(stream_head(it) + &events(1..=1));
         let mut world = World::start(1, script).await;
@@ -424,26 +429,26 @@
         caller.write_all(request("/stream/7", "id-1", "").as_bytes()).await.unwrap();
         world.arrivals.recv().await.unwrap();
         drop(caller);
-        assert_eq!(world.left.recv().await, Some(0));
+        assert_eq!(world.disconnects.recv().await, Some(0));
     });
 }
 
 #[test]
-fn a_caller_that_leaves_before_the_answer_frees_its_server() {
+fn a_disconnect_before_the_answer_closes_the_server_connection() {
     run(async {
         let mut world = World::start(1, |_, _| Reply::SendAndWait(String::new())).await;
         let mut caller = TcpStream::connect(world.front).await.unwrap();
         caller.write_all(request("/once/7", "id-1", "").as_bytes()).await.unwrap();
         world.arrivals.recv().await.unwrap();
         drop(caller);
-        assert_eq!(world.left.recv().await, Some(0));
+        assert_eq!(world.disconnects.recv().await, Some(0));
     });
 }
 
 #[test]
 fn metrics_count_requests_by_outcome() {
     run(async {
-        let world = World::start(1, |_, it| ok(it)).await;
+        let world = World::start(1, |_, it| reply_with_success(it)).await;
         world.ask("/once/7", "id-1", "").await;
         let text = world.get(world.metrics, "/metrics").await;
         let line = "quincevalve_requests_total{route=\"/once/\",outcome=\"200\"} 1";
