--- a/crates/quincevalve_node/tests/cut_answers.rs
+++ b/crates/quincevalve_node/tests/cut_answers.rs
@@ -19,17 +19,17 @@
     run(async {
         let script = |_, it: &Arrival| Reply::Send(sealed(it, "200 OK", "done"));
         let world = World::start(1, script).await;
-        world.store.cut_answers(IN_ANSWER);
+        world.store.truncate_answers(IN_ANSWER);
         let began = Instant::now();
         for port in 1..=CHANGES {
-            world.store.change(&format!("new-{port}"), entry(([127, 0, 0, 1], port).into()));
+            world.store.put_server(&format!("new-{port}"), entry(([127, 0, 0, 1], port).into()));
         }
-        while world.store.cut() < 20 {
+        while world.store.truncated_answers() < 20 {
             sleep(LOOK).await;
         }
         let since = began.elapsed();
         let age = support::metric(world.metrics, "quincevalve_proof_age_ms").await;
-        let is_behind = world.store.cut() < usize::from(CHANGES) / IN_ANSWER - 1;
+        let is_behind = world.store.truncated_answers() < usize::from(CHANGES) / IN_ANSWER - 1;
         let proof = Duration::from_millis(age.unwrap_or_default().unsigned_abs());
         assert!(!is_behind || proof >= since, "{proof:?} old after {since:?}");
     });
--- a/crates/quincevalve_node/tests/old_copy.rs
+++ b/crates/quincevalve_node/tests/old_copy.rs
@@ -20,9 +20,9 @@
     run(async {
         let script = |_, it: &Arrival| Reply::Send(sealed(it, "200 OK", "done"));
         let mut world = World::start(2, script).await;
-        world.store.remove("server-1");
-        world.store.hold_changes(true);
-        let vm = Vm::begin("vm-2", world.store.for_another_vm()).await;
+        world.store.remove_server("server-1");
+        world.store.set_changes_paused(true);
+        let vm = Vm::spawn("vm-2", world.store.for_another_vm()).await;
         while vm.metric("quincevalve_servers").await != Some(2) {
             sleep(LOOK).await;
         }
@@ -32,8 +32,8 @@
             assert!(answer.contains("retry-after: "), "{answer}");
         }
         assert!(get(vm.ready, "/readyz").await.starts_with("HTTP/1.1 503"));
-        assert!(world.arrived().is_empty(), "it has not run");
-        world.store.hold_changes(false);
+        assert!(world.drain_arrivals().is_empty(), "it has not run");
+        world.store.set_changes_paused(false);
         while metric(vm.metrics, "quincevalve_servers").await != Some(1) {
             sleep(LOOK).await;
         }
@@ -44,7 +44,7 @@
             let answer = exchange(vm.front, &request("/once/7", &format!("id-{at}"), "")).await;
             assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
         }
-        let arrivals = world.arrived();
+        let arrivals = world.drain_arrivals();
         assert_eq!(arrivals.len(), REQUESTS);
         assert!(arrivals.iter().all(|it| it.server == 0), "it has left");
     });
--- a/crates/quincevalve_node/tests/poison_request.rs
+++ b/crates/quincevalve_node/tests/poison_request.rs
@@ -43,7 +43,7 @@
     move |number, arrival| {
         if arrival.header("x-attempt") == Some("held") {
             holds.set(Some(arrival.server));
-            return Reply::SendAndHold(first(arrival), word.clone());
+            return Reply::SendAndCloseOnNotify(first(arrival), word.clone());
         }
         if holds.get() == Some(arrival.server) {
             return Reply::SendAndClose(String::new());
@@ -69,10 +69,10 @@
 /// Repeats the request until it is quarantined.
 async fn until_quarantined(world: &World, path: &str) {
     for at in 0..ATTEMPTS {
-        if !world.store.own(QUARANTINE).is_empty() {
+        if !world.store.items_with_prefix(QUARANTINE).is_empty() {
             return;
         }
-        world.ask(path, &format!("id-{at}"), "").await;
+        world.send(path, &format!("id-{at}"), "").await;
         sleep(PAUSE).await;
     }
     panic!("it is not quarantined");
@@ -80,8 +80,8 @@
 
 /// Makes the next trial of the quarantined request due.
 fn make_trial_due(store: &FakeStore) {
-    let item = &store.own(QUARANTINE)[0];
-    store.put(&item.key, br#"{"trials":0,"until_ms":0}"#.to_vec());
+    let item = &store.items_with_prefix(QUARANTINE)[0];
+    store.put_item(&item.key, br#"{"trials":0,"until_ms":0}"#.to_vec());
 }
 
 fn is_withheld(answer: &str) -> bool {
@@ -106,7 +106,7 @@
             exchange(fronts[at % fronts.len()], &text).await;
             sleep(PAUSE).await;
         }
-        let sent = world.arrived().len();
+        let sent = world.drain_arrivals().len();
         assert!(sent <= ENDS_AND_SENDINGS, "sent {sent} times, and each ended a server");
     });
 }
@@ -118,11 +118,11 @@
     run(async {
         let mut world = World::start(5, script).await;
         until_quarantined(&world, "/once/poison").await;
-        world.arrived();
-        let answer = world.ask("/once/poison", "id-late", "").await;
+        world.drain_arrivals();
+        let answer = world.send("/once/poison", "id-late", "").await;
         assert!(is_withheld(&answer), "{answer}");
-        assert!(world.arrived().is_empty());
-        assert!(world.ask("/once/7", "id-other", "").await.starts_with("HTTP/1.1 200"));
+        assert!(world.drain_arrivals().is_empty());
+        assert!(world.send("/once/7", "id-other", "").await.starts_with("HTTP/1.1 200"));
     });
 }
 
@@ -140,11 +140,11 @@
             sleep(LOOK).await;
         }
         until_quarantined(&world, "/safe/poison").await;
-        world.arrived();
+        world.drain_arrivals();
         word.notify_waiters();
         let answer = held.await.expect("an answer");
         assert!(answer.starts_with("HTTP/1.1 502"), "{answer}");
-        assert!(world.arrived().is_empty());
+        assert!(world.drain_arrivals().is_empty());
     });
 }
 
@@ -164,11 +164,11 @@
             sleep(LOOK).await;
         }
         until_quarantined(&world, "/resumable/poison").await;
-        world.arrived();
+        world.drain_arrivals();
         word.notify_waiters();
         let answer = held.await.expect("an answer");
         assert!(!answer.ends_with(LAST_CHUNK), "{answer}");
-        assert!(world.arrived().is_empty());
+        assert!(world.drain_arrivals().is_empty());
     });
 }
 
@@ -191,15 +191,15 @@
             }
         };
         until_quarantined(&world, "/resumable/poison").await;
-        world.arrived();
+        world.drain_arrivals();
         let mut leaving = entry(world.servers[arrival.server]);
         leaving.draining = true;
         // Runs are moved 1.1 s before their engine goes.
         leaving.leaves_in = Some(Duration::from_millis(1_150));
-        world.store.change(&format!("server-{}", arrival.server), leaving);
+        world.store.put_server(&format!("server-{}", arrival.server), leaving);
         sleep(Duration::from_millis(400)).await;
-        assert!(world.moves.try_recv().is_err(), "it was moved");
-        assert!(world.arrived().is_empty());
+        assert!(world.migrations.try_recv().is_err(), "it was moved");
+        assert!(world.drain_arrivals().is_empty());
         word.notify_waiters();
         held.await.expect("an answer");
     });
@@ -212,14 +212,14 @@
     run(async {
         let mut world = World::start(5, script).await;
         let others = two_more_vms(&world).await;
-        world.store.hold_changes(true);
+        world.store.set_changes_paused(true);
         until_quarantined(&world, "/once/poison").await;
-        world.arrived();
+        world.drain_arrivals();
         for vm in &others {
             let answer = exchange(vm.front, &request("/once/poison", "id-late", "")).await;
             assert!(is_withheld(&answer), "{answer}");
         }
-        assert!(world.arrived().is_empty());
+        assert!(world.drain_arrivals().is_empty());
     });
 }
 
@@ -229,11 +229,11 @@
     run(async {
         let mut world = World::start(5, script).await;
         until_quarantined(&world, "/once/poison").await;
-        world.arrived();
+        world.drain_arrivals();
         let later = Vm::start("vm-late", world.store.for_another_vm()).await;
         let answer = exchange(later.front, &request("/once/poison", "id-late", "")).await;
         assert!(is_withheld(&answer), "{answer}");
-        assert!(world.arrived().is_empty());
+        assert!(world.drain_arrivals().is_empty());
     });
 }
 
@@ -244,7 +244,7 @@
         let mut world = World::start(5, script).await;
         let others = two_more_vms(&world).await;
         until_quarantined(&world, "/once/poison").await;
-        world.arrived();
+        world.drain_arrivals();
         make_trial_due(&world.store);
         sleep(PAUSE).await;
         let fronts = [world.front, others[0].front, others[1].front];
@@ -255,8 +255,8 @@
         for answer in asked.collect::<Vec<_>>() {
             answer.await.expect("an answer");
         }
-        assert_eq!(world.arrived().len(), 1);
-        let item = &world.store.own(QUARANTINE)[0];
+        assert_eq!(world.drain_arrivals().len(), 1);
+        let item = &world.store.items_with_prefix(QUARANTINE)[0];
         let value = String::from_utf8_lossy(&item.value).into_owned();
         assert!(value.contains("\"trials\":1"), "{value}");
     });
@@ -280,8 +280,8 @@
         is_cured.set(true);
         make_trial_due(&world.store);
         sleep(PAUSE).await;
-        assert!(world.ask("/once/poison", "id-trial", "").await.starts_with("HTTP/1.1 200"));
-        while !world.store.own(QUARANTINE).is_empty() {
+        assert!(world.send("/once/poison", "id-trial", "").await.starts_with("HTTP/1.1 200"));
+        while !world.store.items_with_prefix(QUARANTINE).is_empty() {
             sleep(LOOK).await;
         }
         sleep(PAUSE).await;
@@ -311,11 +311,11 @@
         assert!(exchange(others[0].front, &text).await.starts_with("HTTP/1.1 200"));
         exits.set(true);
         for at in 0..6 {
-            world.ask("/once/7", &format!("id-{at}"), "").await;
+            world.send("/once/7", &format!("id-{at}"), "").await;
             sleep(PAUSE).await;
         }
-        assert_eq!(world.arrived().len(), 7);
-        assert!(world.store.own(QUARANTINE).is_empty());
+        assert_eq!(world.drain_arrivals().len(), 7);
+        assert!(world.store.items_with_prefix(QUARANTINE).is_empty());
     });
 }
 
@@ -326,11 +326,11 @@
         let script = |_, it: &Arrival| Reply::SendAndClose(stream_head(it) + &events(1..=1));
         let mut world = World::start(3, script).await;
         for at in 0..6 {
-            world.ask("/stream/7", &format!("id-{at}"), "").await;
+            world.send("/stream/7", &format!("id-{at}"), "").await;
             sleep(PAUSE).await;
         }
-        assert_eq!(world.arrived().len(), 6);
-        assert!(world.store.own(QUARANTINE).is_empty());
+        assert_eq!(world.drain_arrivals().len(), 6);
+        assert!(world.store.items_with_prefix(QUARANTINE).is_empty());
     });
 }
 
@@ -341,7 +341,7 @@
         let word = Rc::new(Notify::new());
         let at = word.clone();
         let script = move |_, it: &Arrival| {
-            Reply::SendAndExitAt(stream_head(it) + &events(1..=1), at.clone())
+            Reply::SendAndExitOnNotify(stream_head(it) + &events(1..=1), at.clone())
         };
         let mut world = World::start(4, script).await;
         let front = world.front;
@@ -357,7 +357,7 @@
         }
         for server in used {
             let leaving = ServerEntry { draining: true, ..entry(world.servers[server]) };
-            world.store.change(&format!("server-{server}"), leaving);
+            world.store.put_server(&format!("server-{server}"), leaving);
         }
         while metric(world.metrics, "quincevalve_servers").await != Some(1) {
             sleep(LOOK).await;
@@ -365,6 +365,6 @@
         word.notify_waiters();
         // An arbiter would have decided by then, also where servers exited together.
         sleep(Duration::from_millis(2_500)).await;
-        assert!(world.store.own(QUARANTINE).is_empty());
+        assert!(world.store.items_with_prefix(QUARANTINE).is_empty());
     });
 }
--- a/crates/quincevalve_node/tests/promises.rs
+++ b/crates/quincevalve_node/tests/promises.rs
@@ -28,11 +28,11 @@
     let expected = format!("HTTP/1.1 {expected}");
     run(async move {
         let mut world = World::start(2, move |_, it| reply(server, status, it)).await;
-        let answer = world.ask(path, "id-1", "").await;
+        let answer = world.send(path, "id-1", "").await;
         assert!(answer.starts_with(&expected), "{status}: {answer}");
         let is_own = !answer.contains("x-seal");
         assert!(is_own, "a server's seal on another status: {answer}");
-        let arrivals = world.arrived().len();
+        let arrivals = world.drain_arrivals().len();
         match server {
             Server::DidNotRunIt => assert_eq!(arrivals, 2, "another server is asked"),
             Server::RanIt | Server::FellSilent => assert_eq!(arrivals, 1, "it may have run"),
@@ -71,7 +71,7 @@
 fn a_repeatable_request_gets_the_servers_own_refusal() {
     run(async {
         let world = World::start(1, |_, it| reply(Server::RanIt, TOO_MANY, it)).await;
-        let answer = world.ask("/safe/7", "id-1", "").await;
+        let answer = world.send("/safe/7", "id-1", "").await;
         assert!(answer.starts_with("HTTP/1.1 429") && answer.contains("x-seal"), "{answer}");
     });
 }
--- a/crates/quincevalve_node/tests/rollout.rs
+++ b/crates/quincevalve_node/tests/rollout.rs
@@ -39,7 +39,7 @@
     world.store.order_rollout("engines", Some(order(seconds)));
     for at in SERVERS_PER_VERSION..2 * SERVERS_PER_VERSION {
         let entry = ServerEntry { version: "v2".into(), ..entry(world.servers[at]) };
-        world.store.change(&format!("server-{at}"), entry);
+        world.store.put_server(&format!("server-{at}"), entry);
     }
 }
 
@@ -77,7 +77,7 @@
         assert!(Instant::now() < deadline, "{:?}", world.store.statuses());
         let text = request("/once/a", &format!("id-{number}"), "");
         exchange(fronts[number % fronts.len()], &text).await;
-        arrived.extend(world.arrived());
+        arrived.extend(world.drain_arrivals());
     }
     arrived
 }
@@ -87,7 +87,7 @@
     for number in 0..60 {
         exchange(front, &request("/once/a", &format!("{prefix}-{number}"), "")).await;
     }
-    world.arrived()
+    world.drain_arrivals()
 }
 
 async fn wait_until(condition: impl Fn() -> bool) {
@@ -149,7 +149,7 @@
         let fronts = [world.front];
         send_until(&mut world, &fronts, RolloutState::RolledBack).await;
         let other = Vm::start("vm-2", world.store.for_another_vm()).await;
-        world.arrived();
+        world.drain_arrivals();
         let after = send_batch(&mut world, other.front, "late").await;
         assert!(!after.iter().any(is_new_version), "a request went to the bad version");
     });
@@ -283,9 +283,10 @@
 #[test]
 fn a_former_duty_holder_commits_no_status() {
     run(async {
-        let states =
-            states_after_concurrent_write(|store| store.put("duty/holder", b"another".to_vec()))
-                .await;
+        let states = states_after_concurrent_write(|store| {
+            store.put_item("duty/holder", b"another".to_vec())
+        })
+        .await;
         assert_eq!(states, []);
     });
 }
@@ -298,7 +299,7 @@
             let order = store.rollout_order("engines").expect("an order");
             let phase = Phase::RolledBack(RollbackCause::Failures);
             let record = RolloutRecord { phase, ..RolloutRecord::first(&order, 0) };
-            store.put("rollout/engines", serde_json::to_vec(&record).expect("a record"));
+            store.put_item("rollout/engines", serde_json::to_vec(&record).expect("a record"));
         });
         assert_eq!(states.await, []);
     });
--- a/crates/quincevalve_node/tests/server_signals.rs
+++ b/crates/quincevalve_node/tests/server_signals.rs
@@ -129,8 +129,11 @@
         let others = start_two_more_vms(&world).await;
         let answers =
             run_callers(&[world.front, others[0].front, others[1].front], "/once/7").await;
-        let max =
-            max_arrivals_in_window(&world.arrived(), 0, &first_answers_with(&answers, "x-limit"));
+        let max = max_arrivals_in_window(
+            &world.drain_arrivals(),
+            0,
+            &first_answers_with(&answers, "x-limit"),
+        );
         let allowed = LIMIT * LIMIT_WINDOW.as_secs_f64() * LIMIT_FACTOR + LIMIT_SLACK;
         assert!(max as f64 <= allowed, "{max} requests, allowed {allowed}");
         let served = answers.borrow().values().filter(|(_, it)| it.contains(" 200 OK")).count();
@@ -154,7 +157,7 @@
         for (header, limited) in [("x-limit: 1.2\r\n", 1), ("", 0)] {
             limit.set(header);
             while metric(world.metrics, LIMITED_SERVERS_METRIC).await != Some(limited) {
-                world.ask("/once/7", "id-1", "").await;
+                world.send("/once/7", "id-1", "").await;
                 sleep(POLL_INTERVAL).await;
             }
             for metrics in all {
@@ -180,7 +183,7 @@
         let (store, stale) = (world.store.clone(), entry(world.servers[0]));
         spawn_local(async move {
             sleep(LOAD_DURATION / 2).await;
-            store.change("server-0", ServerEntry { slots: 32, ..stale });
+            store.put_server("server-0", ServerEntry { slots: 32, ..stale });
         });
         let answers =
             run_callers(&[world.front, others[0].front, others[1].front], "/once/7").await;
@@ -189,7 +192,11 @@
             let vm = it.header("x-attempt").map(vm_of).unwrap_or_default();
             it.server == 0 && signalled_at.get(vm).is_some_and(|at| it.at > *at + MAX_LEAVING_DELAY)
         };
-        assert_eq!(world.arrived().iter().filter(late).count(), 0, "requests to a leaving server");
+        assert_eq!(
+            world.drain_arrivals().iter().filter(late).count(),
+            0,
+            "requests to a leaving server"
+        );
         let served = answers.borrow().values().filter(|(_, it)| it.contains(" 200 OK")).count();
         assert_eq!(served, answers.borrow().len(), "the other server has capacity for all");
     });
@@ -212,7 +219,8 @@
         let others = start_two_more_vms(&world).await;
         let answers =
             run_callers(&[world.front, others[0].front, others[1].front], "/once/7").await;
-        let rejected: Vec<_> = world.arrived().into_iter().filter(|it| it.server == 0).collect();
+        let rejected: Vec<_> =
+            world.drain_arrivals().into_iter().filter(|it| it.server == 0).collect();
         let in_rest = |first: &Arrival| {
             let vm = |it: &Arrival| vm_of(it.header("x-attempt").unwrap_or_default()).to_owned();
             let rest = first.at + SIGNAL_DELAY..first.at + REST;
--- a/crates/quincevalve_node/tests/start_together.rs
+++ b/crates/quincevalve_node/tests/start_together.rs
@@ -37,12 +37,12 @@
         for at in 2..=MANY {
             others.push(start(&world, &format!("vm-{at}")).await);
         }
-        let read = others.iter().map(|(_, store)| store.whole_readings()).sum::<usize>();
+        let read = others.iter().map(|(_, store)| store.snapshot_reads()).sum::<usize>();
         assert_eq!(read, MANY - 1, "few are known yet");
         for at in 0..3 {
             let (vm, store) = start(&world, &format!("late-{at}")).await;
             assert!(serves(&vm, &format!("id-{at}")).await);
-            assert_eq!(store.whole_readings(), 0);
+            assert_eq!(store.snapshot_reads(), 0);
             others.push((vm, store));
         }
     });
@@ -57,7 +57,7 @@
         world.store.list_dead_vms(MANY as u16);
         let (vm, store) = start(&world, "vm-2").await;
         assert!(serves(&vm, "id-1").await);
-        assert_eq!(store.whole_readings(), 0);
+        assert_eq!(store.snapshot_reads(), 0);
     });
 }
 
@@ -71,7 +71,7 @@
         world.store.remove_vm("vm-1");
         let (vm, store) = start(&world, "vm-2").await;
         assert!(serves(&vm, "id-1").await);
-        assert_eq!(store.whole_readings(), 1);
+        assert_eq!(store.snapshot_reads(), 1);
     });
 }
 
@@ -84,14 +84,14 @@
         let stores: Vec<_> = (0..=MANY).map(|_| world.store.for_another_vm()).collect();
         let mut vms = Vec::new();
         for (at, store) in stores.iter().enumerate() {
-            vms.push(Vm::begin_first(&format!("first-{at}"), store.clone()).await);
+            vms.push(Vm::spawn_first_start(&format!("first-{at}"), store.clone()).await);
         }
         for (at, vm) in vms.iter().enumerate() {
             while !serves(vm, &format!("id-{at}")).await {
                 sleep(LOOK).await;
             }
         }
-        let read: usize = stores.iter().map(FakeStore::whole_readings).sum();
+        let read: usize = stores.iter().map(FakeStore::snapshot_reads).sum();
         assert!(read <= READERS, "{read} of {}", stores.len());
     });
 }
--- a/crates/quincevalve_node/tests/support/mod.rs
+++ b/crates/quincevalve_node/tests/support/mod.rs
@@ -125,18 +125,18 @@
     }
 
     /// Leaves requests for changes unanswered while `paused`, and answers the pending ones afterwards.
-    pub fn hold_changes(&self, paused: bool) {
+    pub fn set_changes_paused(&self, paused: bool) {
         self.shared.are_changes_paused.set(paused);
         self.shared.changed.notify_waiters();
     }
 
     /// Limits the number of changes in one answer to `changes` from now on.
-    pub fn cut_answers(&self, changes: usize) {
+    pub fn truncate_answers(&self, changes: usize) {
         self.shared.max_changes.set(Some(changes));
     }
 
     /// Returns the number of truncated answers to this handle's VM.
-    pub fn cut(&self) -> usize {
+    pub fn truncated_answers(&self) -> usize {
         self.vm.truncated.get()
     }
 
@@ -146,17 +146,17 @@
     }
 
     /// Rejects the calls of this handle's VM while `rejecting`.
-    pub fn turn_away(&self, rejecting: bool) {
+    pub fn set_rejecting(&self, rejecting: bool) {
         self.vm.is_rejecting.set(rejecting);
     }
 
     /// Returns the number of rejected calls of this handle's VM.
-    pub fn refused(&self) -> usize {
+    pub fn rejected_calls(&self) -> usize {
         self.vm.rejected.get()
     }
 
     /// Returns the number of answered requests for changes of this handle's VM.
-    pub fn answered(&self) -> usize {
+    pub fn answered_change_requests(&self) -> usize {
         self.vm.answered_change_requests.get()
     }
 
@@ -185,17 +185,17 @@
     }
 
     /// Returns the number of snapshots that this handle's VM read.
-    pub fn whole_readings(&self) -> usize {
+    pub fn snapshot_reads(&self) -> usize {
         self.vm.snapshot_reads.get()
     }
 
     /// Adds or changes the entry of a server.
-    pub fn change(&self, name: &str, entry: ServerEntry) {
+    pub fn put_server(&self, name: &str, entry: ServerEntry) {
         self.add(FakeChange::Server(name.into(), Some(entry)));
     }
 
     /// Removes the entry of a server.
-    pub fn remove(&self, name: &str) {
+    pub fn remove_server(&self, name: &str) {
         self.add(FakeChange::Server(name.into(), None));
     }
 
@@ -244,7 +244,7 @@
     }
 
     /// Writes an item of the system.
-    pub fn put(&self, key: &str, value: Vec<u8>) {
+    pub fn put_item(&self, key: &str, value: Vec<u8>) {
         let revision = self.add(FakeChange::Item(key.to_owned(), Some(value.clone())));
         let mut items = self.shared.items.borrow_mut();
         items.retain(|it| it.key != key);
@@ -252,7 +252,7 @@
     }
 
     /// Returns the items of the system whose keys have a prefix.
-    pub fn own(&self, prefix: &str) -> Vec<OwnItem> {
+    pub fn items_with_prefix(&self, prefix: &str) -> Vec<OwnItem> {
         let items = self.shared.items.borrow();
         items.iter().filter(|it| it.key.starts_with(prefix)).cloned().collect()
     }
@@ -293,7 +293,7 @@
 
     async fn own_items(&self, prefix: &str) -> Result<Vec<OwnItem>, StoreError> {
         self.admit_call().await?;
-        Ok(self.own(prefix))
+        Ok(self.items_with_prefix(prefix))
     }
 
     async fn changes(&self, after: StoreRevision, wait: Duration) -> Result<Changes, StoreError> {
@@ -332,7 +332,7 @@
 
     async fn get(&self, key: &str) -> Result<Option<OwnItem>, StoreError> {
         self.admit_call().await?;
-        let found = self.own(key).into_iter().find(|it| it.key == key);
+        let found = self.items_with_prefix(key).into_iter().find(|it| it.key == key);
         // Lets other VMs read and write before this one receives the answer.
         tokio::task::yield_now().await;
         Ok(found)
@@ -340,8 +340,9 @@
 
     async fn commit(&self, commit: &Commit) -> Result<StoreRevision, StoreError> {
         self.admit_call().await?;
-        let revision_of =
-            |key: &str| self.own(key).iter().find(|it| it.key == key).map(|it| it.revision);
+        let revision_of = |key: &str| {
+            self.items_with_prefix(key).iter().find(|it| it.key == key).map(|it| it.revision)
+        };
         let is_expected = |(key, at): &(String, StoreRevision)| {
             revision_of(key).unwrap_or(StoreRevision::ABSENT) == *at
         };
@@ -567,12 +568,12 @@
     /// Sends these bytes and waits until the caller closes the connection.
     SendAndWait(String),
     /// Sends these bytes, waits for the notification, and closes the connection.
-    SendAndHold(String, Rc<Notify>),
+    SendAndCloseOnNotify(String, Rc<Notify>),
     /// Sends these bytes, then the server's process exits and all its connections close. The server restarts under
     /// another name and at another port.
     SendAndExit(String),
     /// Like [`Reply::SendAndExit`], but waits for the notification before the exit.
-    SendAndExitAt(String, Rc<Notify>),
+    SendAndExitOnNotify(String, Rc<Notify>),
 }
 
 /// A request as a server received it.
@@ -596,13 +597,13 @@
     pub front: SocketAddr,
     pub ready: SocketAddr,
     pub metrics: SocketAddr,
-    pub moves: mpsc::UnboundedReceiver<String>,
+    pub migrations: mpsc::UnboundedReceiver<String>,
 }
 
 impl Vm {
     /// Starts a VM's process and waits until it is ready.
     pub async fn start(name: &str, store: FakeStore) -> Self {
-        let vm = Self::begin(name, store).await;
+        let vm = Self::spawn(name, store).await;
         while !get(vm.ready, "/readyz").await.starts_with("HTTP/1.1 200") {
             sleep(Duration::from_millis(5)).await;
         }
@@ -610,27 +611,27 @@
     }
 
     /// Starts a VM's process without waiting until it is ready.
-    pub async fn begin(name: &str, store: FakeStore) -> Self {
-        Self::begin_with(settings(name), store).await
+    pub async fn spawn(name: &str, store: FakeStore) -> Self {
+        Self::spawn_with(settings(name), store).await
     }
 
     /// Starts a VM's process in a system that starts for the first time, without waiting until it is ready.
-    pub async fn begin_first(name: &str, store: FakeStore) -> Self {
-        Self::begin_with(NodeSettings { is_first_start: true, ..settings(name) }, store).await
+    pub async fn spawn_first_start(name: &str, store: FakeStore) -> Self {
+        Self::spawn_with(NodeSettings { is_first_start: true, ..settings(name) }, store).await
     }
 
-    async fn begin_with(mut settings: NodeSettings, store: FakeStore) -> Self {
+    async fn spawn_with(mut settings: NodeSettings, store: FakeStore) -> Self {
         let listeners = Listeners::bind(&settings).await.expect("free ports");
         settings.peer_port = listeners.peer_address().expect("an address").port();
         let front = listeners.front_address().expect("an address");
         let ready = listeners.ready_address().expect("an address");
         let metrics = listeners.metrics_address().expect("an address");
-        let (moves_tx, moves) = mpsc::unbounded_channel();
-        let engines = FakeEngines(moves_tx);
+        let (migrations_tx, migrations) = mpsc::unbounded_channel();
+        let engines = FakeEngines(migrations_tx);
         let process =
             quincevalve_node::run(settings, listeners, headers(), store, FakeCloud, engines);
         spawn_local(async move { process.await.expect("a process that runs") });
-        Self { front, ready, metrics, moves }
+        Self { front, ready, metrics, migrations }
     }
 
     /// Returns the value of a metric.
@@ -660,7 +661,7 @@
     pub arrivals: mpsc::UnboundedReceiver<Arrival>,
     /// Servers that waited for the close of their connection and saw it ([`Reply::SendAndWait`]).
     pub disconnects: mpsc::UnboundedReceiver<usize>,
-    pub moves: mpsc::UnboundedReceiver<String>,
+    pub migrations: mpsc::UnboundedReceiver<String>,
     pub servers: Vec<SocketAddr>,
     /// Number of connections that servers accepted.
     pub connections: Rc<Cell<usize>>,
@@ -697,12 +698,22 @@
         }
         *store.shared.config.borrow_mut() = Some(config());
         let vm = Vm::start("vm-1", store.clone()).await;
-        let Vm { front, ready, metrics, moves } = vm;
-        Self { front, ready, metrics, store, arrivals, disconnects, moves, servers, connections }
+        let Vm { front, ready, metrics, migrations } = vm;
+        Self {
+            front,
+            ready,
+            metrics,
+            store,
+            arrivals,
+            disconnects,
+            migrations,
+            servers,
+            connections,
+        }
     }
 
     /// Sends a request to the frontend and reads until the connection closes.
-    pub async fn ask(&self, path: &str, id: &str, more: &str) -> String {
+    pub async fn send(&self, path: &str, id: &str, more: &str) -> String {
         exchange(self.front, &request(path, id, more)).await
     }
 
@@ -711,7 +722,7 @@
     }
 
     /// Takes the requests that arrived since the last call.
-    pub fn arrived(&mut self) -> Vec<Arrival> {
+    pub fn drain_arrivals(&mut self) -> Vec<Arrival> {
         std::iter::from_fn(|| self.arrivals.try_recv().ok()).collect()
     }
 }
@@ -762,8 +773,8 @@
         listener = TcpListener::bind(("127.0.0.1", 0)).await.expect("a port");
         at = fleet.started_count.replace(fleet.started_count.get() + 1);
         let address = listener.local_addr().expect("an address");
-        fleet.store.change(&format!("server-{at}"), entry(address));
-        fleet.store.remove(&old_name);
+        fleet.store.put_server(&format!("server-{at}"), entry(address));
+        fleet.store.remove_server(&old_name);
     }
 }
 
@@ -818,7 +829,7 @@
                 let _ = fleet.disconnects.send(server);
                 return;
             }
-            Reply::SendAndHold(text, notify) => {
+            Reply::SendAndCloseOnNotify(text, notify) => {
                 let _ = stream.write_all(text.as_bytes()).await;
                 notify.notified().await;
                 return;
@@ -828,7 +839,7 @@
                 exit.send_replace(true);
                 return;
             }
-            Reply::SendAndExitAt(text, notify) => {
+            Reply::SendAndExitOnNotify(text, notify) => {
                 let _ = stream.write_all(text.as_bytes()).await;
                 notify.notified().await;
                 exit.send_replace(true);
--- a/crates/quincevalve_node/tests/turned_away.rs
+++ b/crates/quincevalve_node/tests/turned_away.rs
@@ -30,26 +30,26 @@
         {
             sleep(LOOK).await;
         }
-        world.store.turn_away(true);
-        while world.store.refused() < 2 {
+        world.store.set_rejecting(true);
+        while world.store.rejected_calls() < 2 {
             sleep(LOOK).await;
         }
-        world.store.remove("server-1");
+        world.store.remove_server("server-1");
         while metric(world.metrics, "quincevalve_servers").await != Some(1) {
             sleep(LOOK).await;
         }
-        let answered = world.store.answered();
-        world.store.turn_away(false);
+        let answered = world.store.answered_change_requests();
+        world.store.set_rejecting(false);
         // The second question is asked after the first answer was taken.
-        while world.store.answered() < answered + 2 {
+        while world.store.answered_change_requests() < answered + 2 {
             sleep(LOOK).await;
         }
-        world.arrived();
+        world.drain_arrivals();
         for at in 0..REQUESTS {
-            let answer = world.ask("/once/7", &format!("id-{at}"), "").await;
+            let answer = world.send("/once/7", &format!("id-{at}"), "").await;
             assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
         }
-        let arrivals = world.arrived();
+        let arrivals = world.drain_arrivals();
         assert_eq!(arrivals.len(), REQUESTS);
         assert!(arrivals.iter().all(|it| it.server == 0), "it has left");
     });
--- a/crates/quincevalve_node/tests/whole_path.rs
+++ b/crates/quincevalve_node/tests/whole_path.rs
@@ -24,10 +24,10 @@
         let mut world = World::start(1, |_, it| reply_with_success(it)).await;
         let more =
             "x-other: 1\r\nx-account: other\r\nx-internal: 1\r\nx-urgency: 0\r\nte: trailers\r\n";
-        let answer = world.ask("/once/7?q=1", "id-1", more).await;
+        let answer = world.send("/once/7?q=1", "id-1", more).await;
         assert!(answer.starts_with("HTTP/1.1 200 OK") && answer.ends_with("done"), "{answer}");
         assert!(answer.contains("x-seal: s-1"), "{answer}");
-        let arrivals = world.arrived();
+        let arrivals = world.drain_arrivals();
         let arrival = &arrivals[0];
         assert!(arrival.head.starts_with("POST /once/7?q=1 HTTP/1.1"), "{}", arrival.head);
         assert_eq!(arrival.body, "body");
@@ -53,7 +53,7 @@
             "connection: close, x-attempt, x-dropped\r\nx-dropped: 1",
         );
         exchange(world.front, &text).await;
-        let arrivals = world.arrived();
+        let arrivals = world.drain_arrivals();
         assert_eq!(arrivals[0].header("x-attempt"), Some("id-1"));
     });
 }
@@ -68,14 +68,14 @@
     run(async {
         let world = World::start(1, |_, it| reply_with_success(it)).await;
         for at in 0..5 {
-            world.ask("/safe/7", &format!("id-{at}"), "").await;
+            world.send("/safe/7", &format!("id-{at}"), "").await;
         }
         assert_eq!(world.connections.get(), 1, "the connection is kept");
         for at in 1..=2 {
             // The listener is dropped at once, so that connecting fails.
             let closed_address =
                 TcpListener::bind(("127.0.0.1", 0)).await.unwrap().local_addr().unwrap();
-            world.store.change(&format!("server-{at}"), entry(closed_address));
+            world.store.put_server(&format!("server-{at}"), entry(closed_address));
         }
         while metric(world.metrics, "quincevalve_servers").await != Some(3) {
             tokio::task::yield_now().await;
@@ -83,7 +83,7 @@
         let mut request_count = 0;
         while world.connections.get() == 1 {
             assert!(request_count < MAX_REQUESTS, "the old connection is still used");
-            let answer = world.ask("/safe/7", "id-9", "").await;
+            let answer = world.send("/safe/7", "id-9", "").await;
             assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
             request_count += 1;
         }
@@ -97,11 +97,11 @@
 fn a_connection_that_was_idle_for_a_second_is_not_reused() {
     run(async {
         let world = World::start(1, |_, it| reply_with_success(it)).await;
-        world.ask("/once/7", "id-1", "").await;
-        world.ask("/once/7", "id-2", "").await;
+        world.send("/once/7", "id-1", "").await;
+        world.send("/once/7", "id-2", "").await;
         assert_eq!(world.connections.get(), 1, "a connection that was just used is reused");
         tokio::time::sleep(std::time::Duration::from_secs(1)).await;
-        world.ask("/once/7", "id-3", "").await;
+        world.send("/once/7", "id-3", "").await;
         assert_eq!(world.connections.get(), 2);
     });
 }
@@ -113,13 +113,13 @@
 fn rejects_unknown_paths_unknown_keys_and_large_bodies() {
     run(async {
         let mut world = World::start(1, |_, it| reply_with_success(it)).await;
-        assert!(world.ask("/none/", "id-1", "").await.starts_with("HTTP/1.1 404"));
+        assert!(world.send("/none/", "id-1", "").await.starts_with("HTTP/1.1 404"));
         let text = request("/once/7", "id-2", "").replace("key-1", "key-2");
         assert!(exchange(world.front, &text).await.starts_with("HTTP/1.1 401"));
         let text =
             request("/once/7", "id-3", "").replace("content-length: 4", "content-length: 4000");
         assert!(exchange(world.front, &text).await.starts_with("HTTP/1.1 413"));
-        assert!(world.arrived().is_empty());
+        assert!(world.drain_arrivals().is_empty());
     });
 }
 
@@ -136,7 +136,7 @@
         // The VM is not ready while it still serves, so that new callers are sent to other VMs in time.
         let mut served = 0;
         let rejection = loop {
-            let answer = world.ask("/once/7", "id-1", "").await;
+            let answer = world.send("/once/7", "id-1", "").await;
             if !answer.starts_with("HTTP/1.1 200") {
                 break answer;
             }
@@ -146,9 +146,9 @@
         };
         assert!(rejection.starts_with("HTTP/1.1 503"), "{rejection}");
         assert!(rejection.contains("retry-after"), "{rejection}");
-        assert_eq!(world.arrived().len(), served);
-        assert!(world.ask("/none/", "id-2", "").await.starts_with("HTTP/1.1 503"));
-        assert!(world.arrived().is_empty());
+        assert_eq!(world.drain_arrivals().len(), served);
+        assert!(world.send("/none/", "id-2", "").await.starts_with("HTTP/1.1 503"));
+        assert!(world.drain_arrivals().is_empty());
     });
 }
 
@@ -158,9 +158,9 @@
 fn does_not_retry_a_non_idempotent_request_whose_answer_is_lost() {
     run(async {
         let mut world = World::start(2, |_, _| Reply::SendAndClose(String::new())).await;
-        let answer = world.ask("/once/7", "id-1", "").await;
+        let answer = world.send("/once/7", "id-1", "").await;
         assert!(answer.starts_with("HTTP/1.1 502"), "{answer}");
-        assert_eq!(world.arrived().len(), 1);
+        assert_eq!(world.drain_arrivals().len(), 1);
     });
 }
 
@@ -172,9 +172,9 @@
             _ => reply_with_success(it),
         };
         let mut world = World::start(2, script).await;
-        let answer = world.ask("/safe/7", "id-1", "").await;
+        let answer = world.send("/safe/7", "id-1", "").await;
         assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
-        let arrivals = world.arrived();
+        let arrivals = world.drain_arrivals();
         assert_eq!(arrivals.len(), 2);
         assert_ne!(arrivals[0].server, arrivals[1].server);
     });
@@ -188,9 +188,9 @@
         let script =
             |_, it: &Arrival| Reply::Send(sealed(it, "200 OK", "other's").replace("id-1", "id-0"));
         let mut world = World::start(2, script).await;
-        let answer = world.ask("/once/7", "id-1", "").await;
+        let answer = world.send("/once/7", "id-1", "").await;
         assert!(answer.starts_with("HTTP/1.1 502"), "{answer}");
-        assert_eq!(world.arrived().len(), 1);
+        assert_eq!(world.drain_arrivals().len(), 1);
     });
 }
 
@@ -200,7 +200,7 @@
         let script =
             |_, it: &Arrival| Reply::Send(sealed(it, "200 OK", "done").replace("x-seal", "x-none"));
         let world = World::start(1, script).await;
-        assert!(world.ask("/once/7", "id-1", "").await.starts_with("HTTP/1.1 502"));
+        assert!(world.send("/once/7", "id-1", "").await.starts_with("HTTP/1.1 502"));
     });
 }
 
@@ -213,7 +213,7 @@
             )
         };
         let world = World::start(1, script).await;
-        assert!(world.ask("/once/7", "id-1", "").await.starts_with("HTTP/1.1 502"));
+        assert!(world.send("/once/7", "id-1", "").await.starts_with("HTTP/1.1 502"));
     });
 }
 
@@ -222,9 +222,9 @@
     run(async {
         let script = |_, it: &Arrival| Reply::Send(sealed(it, "500 Internal Server Error", "no"));
         let mut world = World::start(2, script).await;
-        let answer = world.ask("/once/7", "id-1", "").await;
+        let answer = world.send("/once/7", "id-1", "").await;
         assert!(answer.starts_with("HTTP/1.1 500") && answer.contains("x-seal"), "{answer}");
-        assert_eq!(world.arrived().len(), 1);
+        assert_eq!(world.drain_arrivals().len(), 1);
     });
 }
 
@@ -239,9 +239,9 @@
             _ => reply_with_success(it),
         };
         let mut world = World::start(2, script).await;
-        let answer = world.ask("/once/7", "id-1", "").await;
+        let answer = world.send("/once/7", "id-1", "").await;
         assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
-        assert_eq!(world.arrived().len(), 2);
+        assert_eq!(world.drain_arrivals().len(), 2);
     });
 }
 
@@ -249,9 +249,9 @@
 fn a_request_that_no_server_runs_is_rejected_as_not_run() {
     run(async {
         let mut world = World::start(2, |_, _| Reply::Send(NOT_RUN.to_owned())).await;
-        let answer = world.ask("/once/7", "id-1", "").await;
+        let answer = world.send("/once/7", "id-1", "").await;
         assert!(answer.starts_with("HTTP/1.1 503") && answer.contains("retry-after"), "{answer}");
-        assert_eq!(world.arrived().len(), 2);
+        assert_eq!(world.drain_arrivals().len(), 2);
     });
 }
 
@@ -265,7 +265,7 @@
             _ => Reply::Send(NOT_RUN.to_owned()),
         };
         let world = World::start(2, script).await;
-        let answer = world.ask("/safe/7", "id-1", "").await;
+        let answer = world.send("/safe/7", "id-1", "").await;
         assert!(answer.starts_with("HTTP/1.1 502"), "{answer}");
     });
 }
@@ -282,10 +282,10 @@
         };
         let mut world = World::start(2, script).await;
         for number in 0..6 {
-            let answer = world.ask("/once/7", &format!("id-{number}"), "").await;
+            let answer = world.send("/once/7", &format!("id-{number}"), "").await;
             assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
         }
-        let misdirected = world.arrived().iter().filter(|it| it.server == 0).count();
+        let misdirected = world.drain_arrivals().iter().filter(|it| it.server == 0).count();
         assert!(misdirected <= 1, "{misdirected}");
     });
 }
@@ -299,7 +299,7 @@
     run(async {
         let script = |_, it: &Arrival| Reply::Send(stream_head(it) + &events(1..=5) + LAST_CHUNK);
         let world = World::start(1, script).await;
-        let answer = world.ask("/stream/7", "id-1", "").await;
+        let answer = world.send("/stream/7", "id-1", "").await;
         assert_eq!(event_data(&answer), ["t1", "t2", "t3", "t4", "t5"]);
         assert!(answer.ends_with(LAST_CHUNK), "{answer}");
     });
@@ -312,10 +312,10 @@
     run(async {
         let script = |_, it: &Arrival| Reply::SendAndClose(stream_head(it) + &events(1..=3));
         let mut world = World::start(2, script).await;
-        let answer = world.ask("/stream/7", "id-1", "").await;
+        let answer = world.send("/stream/7", "id-1", "").await;
         assert_eq!(event_data(&answer), ["t1", "t2", "t3"]);
         assert!(!answer.ends_with(LAST_CHUNK), "{answer}");
-        assert_eq!(world.arrived().len(), 1);
+        assert_eq!(world.drain_arrivals().len(), 1);
     });
 }
 
@@ -326,7 +326,7 @@
             Reply::Send(stream_head(it) + &events(1..=2) + &chunk("id: 3\ndata: t") + LAST_CHUNK)
         };
         let world = World::start(1, script).await;
-        let answer = world.ask("/stream/7", "id-1", "").await;
+        let answer = world.send("/stream/7", "id-1", "").await;
         assert_eq!(event_data(&answer), ["t1", "t2"]);
         assert!(!answer.ends_with(LAST_CHUNK), "{answer}");
     });
@@ -342,10 +342,10 @@
             _ => Reply::Send(stream_head(it) + &events(3..=4) + LAST_CHUNK),
         };
         let mut world = World::start(2, script).await;
-        let answer = world.ask("/resumable/7", "id-1", "").await;
+        let answer = world.send("/resumable/7", "id-1", "").await;
         assert_eq!(event_data(&answer), ["t1", "t2", "t3", "t4"]);
         assert!(answer.ends_with(LAST_CHUNK), "{answer}");
-        let arrivals = world.arrived();
+        let arrivals = world.drain_arrivals();
         assert_eq!(arrivals[1].header("last-event-id"), Some("2"));
         assert_ne!(arrivals[0].server, arrivals[1].server);
     });
@@ -361,7 +361,7 @@
             _ => Reply::Send(stream_head(it) + &events(2..=2) + LAST_CHUNK),
         };
         let world = World::start(2, script).await;
-        world.ask("/resumable/7", "id-1", "").await;
+        world.send("/resumable/7", "id-1", "").await;
         let count = "quincevalve_between_events_seconds_count{route=\"/resumable/\"}";
         assert_eq!(metric(world.metrics, count).await, Some(1));
     });
@@ -378,9 +378,9 @@
             _ => Reply::Send(stream_head(it) + &events(1..=2) + LAST_CHUNK),
         };
         let mut world = World::start(3, script).await;
-        let answer = world.ask("/resumable/7", "id-1", "").await;
+        let answer = world.send("/resumable/7", "id-1", "").await;
         assert!(!answer.ends_with(LAST_CHUNK), "{answer}");
-        assert_eq!(world.arrived().len(), 2);
+        assert_eq!(world.drain_arrivals().len(), 2);
     });
 }
 
@@ -393,7 +393,7 @@
         let stopped = Rc::new(Notify::new());
         let stop = stopped.clone();
         let script = move |number, it: &Arrival| match number {
-            0 => Reply::SendAndHold(stream_head(it) + &events(1..=2), stop.clone()),
+            0 => Reply::SendAndCloseOnNotify(stream_head(it) + &events(1..=2), stop.clone()),
             _ => Reply::Send(stream_head(it) + &events(3..=4) + LAST_CHUNK),
         };
         let mut world = World::start(2, script).await;
@@ -405,8 +405,8 @@
             leaves_in: Some(std::time::Duration::from_millis(1_200)),
             ..entry(world.servers[first.server])
         };
-        world.store.change(&format!("server-{}", first.server), leaving);
-        assert_eq!(world.moves.recv().await.as_deref(), Some("id-1"));
+        world.store.put_server(&format!("server-{}", first.server), leaving);
+        assert_eq!(world.migrations.recv().await.as_deref(), Some("id-1"));
         stopped.notify_one();
         let answer = caller.await.unwrap();
         assert_eq!(event_data(&answer), ["t1", "t2", "t3", "t4"]);
@@ -449,7 +449,7 @@
 fn metrics_count_requests_by_outcome() {
     run(async {
         let world = World::start(1, |_, it| reply_with_success(it)).await;
-        world.ask("/once/7", "id-1", "").await;
+        world.send("/once/7", "id-1", "").await;
         let text = world.get(world.metrics, "/metrics").await;
         let line = "quincevalve_requests_total{route=\"/once/\",outcome=\"200\"} 1";
         assert!(text.contains(line), "{text}");
