--- a/crates/quincevalve_node/src/duties.rs
+++ b/crates/quincevalve_node/src/duties.rs
@@ -86,7 +86,7 @@
     let now = clock::now();
     let draw = node.rng.borrow_mut().random();
     let Vacancy { since, draw } = *vacancy.get_or_insert(Vacancy { since: now, draw });
-    let is_small = node.peers.borrow().book.is_small();
+    let is_small = node.peers.borrow().table.is_small();
     is_small
         || now.since(since) >= node.store_read_role().duty_takeover_delay(node.vm_count(), draw)
 }
@@ -119,7 +119,7 @@
     };
     store.commit(&commit).await?;
     node.duty.borrow_mut().record_acquired(me, &before, &term, ttl, requested_at);
-    node.peers.borrow_mut().holder_seen(Some(me.to_owned()));
+    node.peers.borrow_mut().set_holder(Some(me.to_owned()));
     log::info!(number = term.number.0, before = before.holder; "duty-taken");
     Ok(lease)
 }
--- a/crates/quincevalve_node/src/duties/orders.rs
+++ b/crates/quincevalve_node/src/duties/orders.rs
@@ -67,7 +67,7 @@
                 planner.set_demand(measured.clone());
             }
             let present = count_present(node, name, scaling.prices.keys());
-            let reachable_fraction = node.peers.borrow().reachable_part();
+            let reachable_fraction = node.peers.borrow().reachable_fraction();
             let busy = planner.observe(
                 node.total_demand(name),
                 reachable_fraction,
--- a/crates/quincevalve_node/src/duties/reports.rs
+++ b/crates/quincevalve_node/src/duties/reports.rs
@@ -242,7 +242,7 @@
     let complete_since = begin + length + COMPLETE_DIGEST_DELAY_MS;
     let peers = node.peers.borrow();
     let missing = node.usage.borrow().missing_fraction(
-        peers.book.expected_reporters(now),
+        peers.table.expected_reporters(now),
         begin,
         complete_since,
     );
--- a/crates/quincevalve_node/src/duties/rollouts.rs
+++ b/crates/quincevalve_node/src/duties/rollouts.rs
@@ -165,7 +165,7 @@
             has_old_servers: old > 0,
             vms: PromotionProgress {
                 vms,
-                reachable: (peers.reachable_part() * vms as f64).round() as usize,
+                reachable: (peers.reachable_fraction() * vms as f64).round() as usize,
                 switched: (progress.switched + own_switched) as usize,
                 old_in_flight: progress.old_in_flight,
             },
--- a/crates/quincevalve_node/src/node.rs
+++ b/crates/quincevalve_node/src/node.rs
@@ -233,14 +233,14 @@
     pub(crate) fn store_read_role(&self) -> StoreReadRole {
         let now = clock::now();
         let peers = self.peers.borrow();
-        peers.book.store_read_role(peers.has_members(now), now)
+        peers.table.store_read_role(peers.has_members(now), now)
     }
 
     /// Returns whether this VM relays changes of the store to other VMs.
     pub(crate) fn relays_store(&self) -> bool {
         let now = clock::now();
         let peers = self.peers.borrow();
-        peers.book.relays_store(peers.has_members(now), now)
+        peers.table.relays_store(peers.has_members(now), now)
     }
 
     /// Takes one log line about a rejected request from its budget; a line that doesn't fit is counted as suppressed.
@@ -264,7 +264,7 @@
 
     /// Returns the number of known entry VMs, including this one.
     pub(crate) fn vm_count(&self) -> usize {
-        self.peers.borrow().book.vm_count()
+        self.peers.borrow().table.vm_count()
     }
 
     /// Counts a request that is sent to a server, by the server's version.
@@ -306,7 +306,7 @@
     /// Returns the work that all entry VMs accept for a service at present, in busy servers.
     pub(crate) fn total_demand(&self, service: &ServiceName) -> f64 {
         let own = self.demand.borrow().get(service).map_or(0.0, |it| it.busy(clock::now()));
-        own + self.peers.borrow().others_demand(service)
+        own + self.peers.borrow().peer_demand(service)
     }
 
     /// Returns the mean seconds for which a request of a service occupies a server, as recently observed by this VM.
--- a/crates/quincevalve_node/src/rollouts.rs
+++ b/crates/quincevalve_node/src/rollouts.rs
@@ -100,7 +100,7 @@
     let context = RefreshContext {
         wall_clock_ms: node.wall_clock.borrow().estimate_ms(now),
         has_engines: engine.is_some(),
-        vm_rank: node.peers.borrow().book.rank(order.0),
+        vm_rank: node.peers.borrow().table.rank(order.0),
         is_connected: is_connected(node),
     };
     let mut rollouts = node.rollouts.borrow_mut();
@@ -119,7 +119,7 @@
 fn is_connected(node: &Node) -> bool {
     let limit = node.settings.bounds.change_in_force.mul_f64(FRESH_FRACTION);
     let is_fresh = node.freshness.get().is_within(limit, clock::now());
-    is_fresh && node.peers.borrow().reachable_part() >= MIN_REACHABLE_FRACTION
+    is_fresh && node.peers.borrow().reachable_fraction() >= MIN_REACHABLE_FRACTION
 }
 
 /// Returns which versions' servers a new request may be sent to.
--- a/crates/quincevalve_node/src/start.rs
+++ b/crates/quincevalve_node/src/start.rs
@@ -19,7 +19,7 @@
     quarantine::{QuarantineStore, run_quarantine_task},
     request::{front, mover::Mover},
     settings::NodeSettings,
-    store::sync::{follow_store, keep_entry},
+    store::sync::{follow_store, maintain_entry},
 };
 
 /// Time from SIGTERM until idle connections are closed. The platform stops sending callers here after two readiness
@@ -143,7 +143,7 @@
     spawn_local(crate::metrics::serve_metrics(node.clone(), metrics));
     spawn_local(front::serve_callers(node.clone(), front, closing));
     spawn_local(follow_store(node.clone(), store.clone(), socket.clone()));
-    spawn_local(keep_entry(node.clone(), store.clone()));
+    spawn_local(maintain_entry(node.clone(), store.clone()));
     spawn_local(run_quarantine_task(node.clone(), store.clone(), quarantine_commands));
     spawn_local(peers::send_digests(node.clone(), socket.clone()));
     spawn_local(peers::receive_datagrams(node.clone(), socket));
