--- a/crates/quincevalve_node/src/peers/receive.rs
+++ b/crates/quincevalve_node/src/peers/receive.rs
@@ -62,7 +62,7 @@
         };
         peers.last_datagrams.insert(name.clone(), last);
     }
-    node.wall.borrow_mut().record(name.clone(), datagram.wall_ms, now);
+    node.wall_clock.borrow_mut().record(name.clone(), datagram.wall_ms, now);
     match datagram.content {
         Content::Digest { scope, sum, store_report, store_contact } => {
             // What is relayed may say that servers are gone, and the contact whether that may be a lapse.
@@ -96,7 +96,7 @@
             if scope == Scope::Rest
                 && let Some(estimated_ms) = datagram.estimated_ms
             {
-                node.wall.borrow_mut().record_estimate(estimated_ms, now);
+                node.wall_clock.borrow_mut().record_estimate(estimated_ms, now);
             }
         }
         Content::ConfigRequest { above } => {
@@ -157,7 +157,7 @@
 fn apply_store_report(node: &Node, store_report: StoreReport, echo: Option<Echo>) {
     let StoreReport { age, version, after, upto, changes } = store_report;
     let is_contiguous = apply_batch(node, ChangeBatch { after, upto, changes });
-    node.told_version.set(node.told_version.get().max(version));
+    node.reported_config_version.set(node.reported_config_version.get().max(version));
     let reached = node.store_view.borrow().reached();
     let is_up_to_date = node.config().is_some_and(|it| it.version >= version)
         && reached.is_some_and(|it| it.0 >= upto);
--- a/crates/quincevalve_node/src/peers/send.rs
+++ b/crates/quincevalve_node/src/peers/send.rs
@@ -55,10 +55,10 @@
 pub(crate) async fn send_digests(node: Rc<Node>, socket: Rc<UdpSocket>) {
     for turn in 0_u32.. {
         let now = clock::now();
-        node.wall.borrow_mut().record(String::new(), clock::wall_ms(), now);
+        node.wall_clock.borrow_mut().record(String::new(), clock::wall_ms(), now);
         for expired in node.peers.borrow_mut().table.remove_expired(now) {
             log::info!(peer = expired; "peer-forgotten");
-            node.wall.borrow_mut().forget(&expired);
+            node.wall_clock.borrow_mut().forget(&expired);
         }
         node.connections.remove_expired();
         if node.peers.borrow_mut().take_has_new_sums() || turn.is_multiple_of(SUMS_REFRESH_PERIODS)
@@ -81,17 +81,17 @@
 
 /// Says how many lines of requests were not written since the last time.
 fn log_suppressed_lines(node: &Node) {
-    let lines = node.lines.borrow_mut().take_suppressed();
+    let lines = node.log_budget.borrow_mut().take_suppressed();
     if lines > 0 {
         log::info!(lines; "lines-left-out");
-        node.metrics.left_out(lines);
+        node.metrics.count_suppressed_lines(lines);
     }
 }
 
 /// Makes what others told the load that placements see.
 fn apply_peer_sums(node: &Node, now: TimePoint) {
     let peer_sum = node.peers.borrow().peer_sum(now);
-    let reachable_fraction = (f64::from(peer_sum.vms + 1) / node.vms() as f64).min(1.0);
+    let reachable_fraction = (f64::from(peer_sum.vms + 1) / node.vm_count() as f64).min(1.0);
     {
         let mut peers = node.peers.borrow_mut();
         peers.peer_demand.clone_from(&peer_sum.demand);
@@ -102,7 +102,7 @@
         quota.set_peer_spending(&peer_sum.spending, reachable_fraction, &config, now);
     }
     let rank = node.peers.borrow().table.rank(LIMIT_RANK_KEY);
-    let estimated_ms = node.wall.borrow().estimate_ms(now).unwrap_or_else(clock::wall_ms);
+    let estimated_ms = node.wall_clock.borrow().estimate_ms(now).unwrap_or_else(clock::wall_ms);
     node.servers.borrow_mut().set_rank(rank, estimated_ms, now);
     measure_demand(node, now);
     if !node.rollouts.borrow().is_idle() {
@@ -116,9 +116,9 @@
 fn measure_demand(node: &Node, now: TimePoint) {
     let Some(config) = node.config() else { return };
     let fraction = node.peers.borrow().reachable_fraction();
-    let mut measured = node.measured.borrow_mut();
+    let mut measured = node.measured_demand.borrow_mut();
     for (name, _) in config.services.iter().filter(|(_, it)| it.scaling.is_some()) {
-        measured.entry(name.clone()).or_default().observe(node.demand_of(name), fraction, now);
+        measured.entry(name.clone()).or_default().observe(node.total_demand(name), fraction, now);
     }
 }
 
@@ -250,7 +250,7 @@
 /// What a VM that knows the store passes on to another.
 fn store_report_for(node: &Node, to: SocketAddr, now: TimePoint) -> Option<StoreReport> {
     let age = node.freshness.get().age(now)?;
-    let version = node.config()?.version.max(node.told_version.get());
+    let version = node.config()?.version.max(node.reported_config_version.get());
     let revision = {
         let peers = node.peers.borrow();
         let name = peers.table.name_of(to)?;
@@ -379,7 +379,7 @@
         from: node.peers.borrow().table.me().clone(),
         incarnation: node.incarnation,
         wall_ms: clock::wall_ms(),
-        estimated_ms: node.wall.borrow().estimate_ms(now),
+        estimated_ms: node.wall_clock.borrow().estimate_ms(now),
         content,
     };
     match encoding().serialize(&datagram) {
--- a/crates/quincevalve_node/src/request/dispatch.rs
+++ b/crates/quincevalve_node/src/request/dispatch.rs
@@ -44,7 +44,7 @@
     loop {
         let found = find_server(node, &req, &tried).await;
         if let Some(prompt) = req.prompt.filter(|_| tried.is_empty()) {
-            node.note_demand(&req.service, prompt.expected_work(), found.is_ok());
+            node.record_demand(&req.service, prompt.expected_work(), found.is_ok());
         }
         let place = match found {
             Ok(place) => place,
@@ -93,7 +93,7 @@
             AttemptError::MayHaveRun => {
                 // The request counts toward usage unless the server reported that it did not run it.
                 if runs == 0 {
-                    node.note_began(req.account.as_ref());
+                    node.record_usage_start(req.account.as_ref());
                 }
                 runs += 1;
             }
@@ -130,7 +130,7 @@
         && runs < req.route.max_servers
         && refusals < MAX_REFUSALS
         && Instant::now() < req.deadline
-        && node.spend_retry(&req.service)
+        && node.try_spend_retry(&req.service)
 }
 
 /// Forwards a server's answer to the caller, or returns why another server should be tried.
@@ -194,10 +194,10 @@
     }
     if status.is_success() {
         record_first_answer(node, place, sent);
-        quarantine::note_completed(node, req);
+        quarantine::record_completion(node, req);
     }
     if runs == 0 {
-        node.note_began(req.account.as_ref());
+        node.record_usage_start(req.account.as_ref());
     }
     node.connections.release(place, answer.connection, &answer.keep_alive);
     Ok(caller_response(status, &head.headers, AnswerBody::whole(body)))
--- a/crates/quincevalve_node/src/request/frontend.rs
+++ b/crates/quincevalve_node/src/request/frontend.rs
@@ -117,7 +117,7 @@
         }
     };
     // Makes the caller send its next request to another VM. The platform routes no new ones here.
-    if node.phase.get() != Phase::Serving || node.is_losing_touch() {
+    if node.phase.get() != Phase::Serving || node.is_losing_freshness() {
         answer.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
     Ok(answer)
@@ -135,14 +135,14 @@
     if req.retry_safety().is_stream() && status.is_success() {
         return;
     }
-    node.metrics.first_answer(&req.route.name, took);
-    node.metrics.request(&req.route.name, status.as_str());
+    node.metrics.observe_first_answer(&req.route.name, took);
+    node.metrics.count_request(&req.route.name, status.as_str());
     let was_bad = took > req.route.objective || !status.is_success();
     req.trace.end(node, &req.id, was_bad);
 }
 
 fn log_refusal(node: &Node, id: &str, arrived: Instant, refused: Refused) {
-    if !node.may_tell_refusal() {
+    if !node.may_log_refusal() {
         return;
     }
     let took_ms = arrived.elapsed().as_millis() as u64;
@@ -180,7 +180,7 @@
         });
     }
     let cost = take_quota(node, &identified).inspect_err(|refused| {
-        node.metrics.request(&identified.route.name, refused.refusal.name());
+        node.metrics.count_request(&identified.route.name, refused.refusal.name());
     })?;
     let identified = Rc::new(identified);
     let answer = dispatch(node, identified.clone()).await;
@@ -188,7 +188,7 @@
         Ok(answer) => record_answer(node, &identified, answer.status()),
         Err(refused) => {
             identified.trace.end(node, &identified.id, true);
-            node.metrics.request(&identified.route.name, refused.refusal.name());
+            node.metrics.count_request(&identified.route.name, refused.refusal.name());
         }
     }
     if let Err(refused) = &answer
@@ -204,7 +204,7 @@
 /// reachable, this VM alone is isolated and other VMs can serve the request; otherwise the store is unreachable for
 /// all.
 fn stale_config_retry_after(node: &Node) -> Duration {
-    if !node.was_proved() && clock::now().since(node.began) < STARTUP_WINDOW {
+    if !node.was_confirmed_fresh() && clock::now().since(node.started_at) < STARTUP_WINDOW {
         return STARTUP_RETRY_AFTER;
     }
     let is_isolated = node.peers.borrow().reachable_fraction() < MIN_REACHABLE_FRACTION;
@@ -244,7 +244,7 @@
     let spent =
         node.quota.borrow_mut().try_spend(account, &quota, quota_request, draw, clock::now());
     spent.map(|()| cost).map_err(|over| {
-        if node.may_tell_refusal() {
+        if node.may_log_refusal() {
             let reachable_fraction = node.peers.borrow().reachable_fraction();
             log::info!(
                 id = req.id, account = account.as_str(), cost, level = over.level,
--- a/crates/quincevalve_node/src/request/identify.rs
+++ b/crates/quincevalve_node/src/request/identify.rs
@@ -74,7 +74,8 @@
     arrived: Instant,
 ) -> Result<IdentifiedRequest, Refusal> {
     let names = &node.headers;
-    let config = node.config().filter(|_| node.was_proved()).ok_or(Refusal::StaleConfig)?;
+    let config =
+        node.config().filter(|_| node.was_confirmed_fresh()).ok_or(Refusal::StaleConfig)?;
     let host = header_text(req.headers(), &header::HOST).ok_or(Refusal::Malformed)?;
     let route = config.route(strip_port(host), req.uri().path());
     let route = route.ok_or_else(|| unknown_refusal(node, Refusal::NoRoute))?.clone();
@@ -111,7 +112,7 @@
 /// If a route or key is added while this VM is partitioned from the store, a final refusal would wrongly state that it
 /// doesn't exist. Without a recent freshness confirmation the caller is asked to retry instead.
 fn unknown_refusal(node: &Node, refusal: Refusal) -> Refusal {
-    if node.absence_is_proved() { refusal } else { Refusal::StaleConfig }
+    if node.absence_is_confirmed() { refusal } else { Refusal::StaleConfig }
 }
 
 /// Finds the account of the request's key. Routes for anonymous callers need none.
@@ -127,7 +128,7 @@
     let key = header_text(headers, &node.headers.key);
     let account = key.and_then(|it| config.account_of_key(it));
     let account = account.ok_or_else(|| unknown_refusal(node, Refusal::UnknownKey))?;
-    if !node.keys_are_proved() {
+    if !node.may_accept_keys() {
         return Err(Refusal::StaleConfig);
     }
     Ok(Some(account.clone()))
@@ -188,7 +189,7 @@
         [&names.attempt_id, &names.token_counts, &names.prompt_parts].contains(&name)
             || name.as_str().starts_with("x-")
             || *name == header::HOST
-            || *name == names.last_event
+            || *name == names.last_event_id
     };
     let mut kept = HeaderMap::with_capacity(headers.len());
     for (name, value) in headers {
--- a/crates/quincevalve_node/src/request/migration.rs
+++ b/crates/quincevalve_node/src/request/migration.rs
@@ -7,7 +7,7 @@
     task::spawn_local,
 };
 
-use crate::ports::{EngineApi, MoveError, MovedRun};
+use crate::ports::{EngineApi, MigratedRequest, MigrationError};
 
 /// Maximum number of migrations waiting to be started: about as many requests of one VM run at a data centre's engines.
 const MAX_PENDING_MIGRATIONS: usize = 256;
@@ -16,7 +16,7 @@
     from: SocketAddr,
     to: SocketAddr,
     attempt_id: Rc<str>,
-    reply: oneshot::Sender<Result<MovedRun, MoveError>>,
+    reply: oneshot::Sender<Result<MigratedRequest, MigrationError>>,
 }
 
 /// Handle to the task that asks engines to migrate runs. It spares the rest of the process the engine's type parameter.
@@ -36,8 +36,9 @@
             while let Some(request) = rx.recv().await {
                 let engines = engines.clone();
                 spawn_local(async move {
-                    let migrated =
-                        engines.move_run(request.from, request.to, &request.attempt_id).await;
+                    let migrated = engines
+                        .migrate_request(request.from, request.to, &request.attempt_id)
+                        .await;
                     // The receiver may have been dropped meanwhile; the engine frees the copy after its own timeout.
                     let _ = request.reply.send(migrated);
                 });
@@ -53,7 +54,7 @@
         from: SocketAddr,
         to: SocketAddr,
         attempt_id: &str,
-    ) -> Option<oneshot::Receiver<Result<MovedRun, MoveError>>> {
+    ) -> Option<oneshot::Receiver<Result<MigratedRequest, MigrationError>>> {
         let (reply, rx) = oneshot::channel();
         let request = MigrationRequest { from, to, attempt_id: attempt_id.into(), reply };
         self.requests.try_send(request).is_ok().then_some(rx)
--- a/crates/quincevalve_node/src/request/relay.rs
+++ b/crates/quincevalve_node/src/request/relay.rs
@@ -127,7 +127,7 @@
             let end = self.forward_events(&mut source, self.supports_migration()).await;
             match end {
                 StreamEnd::Whole => {
-                    quarantine::note_completed(&self.node, &self.req);
+                    quarantine::record_completion(&self.node, &self.req);
                     self.record_end("whole", &servers);
                     if servers.len() == 1 && self.gap_count > 0 {
                         let mean_gap = self.gap_sum / self.gap_count;
@@ -173,7 +173,7 @@
             took_ms = self.req.arrived.elapsed().as_millis() as u64;
             "stream-ended"
         );
-        self.node.metrics.request(&self.req.route.name, how);
+        self.node.metrics.count_request(&self.req.route.name, how);
         let was_late = self.first_after.is_none_or(|it| it > self.req.route.objective);
         let was_bad = was_late || !matches!(how, "whole" | "caller-left");
         self.req.trace.end(&self.node, &self.req.id, was_bad);
@@ -225,13 +225,15 @@
                     "stream-began"
                 );
                 self.first_after = Some(self.req.arrived.elapsed());
-                self.node.metrics.first_answer(&self.req.route.name, self.req.arrived.elapsed());
+                self.node
+                    .metrics
+                    .observe_first_answer(&self.req.route.name, self.req.arrived.elapsed());
                 record_first_answer(&self.node, &source.place, source.sent);
-                self.node.note_began(self.req.account.as_ref());
+                self.node.record_usage_start(self.req.account.as_ref());
             }
             let now = Instant::now();
             if let Some(before) = self.newest_event.replace(now) {
-                self.node.metrics.between_events(&self.req.route.name, now - before);
+                self.node.metrics.observe_event_interval(&self.req.route.name, now - before);
                 self.gap_sum += now - before;
                 self.longest_gap = self.longest_gap.max(now - before);
                 self.gap_count += 1;
@@ -289,7 +291,7 @@
         };
         drop(source);
         if let (Some(Ok(migrated)), Some(to)) = (migrated, to) {
-            let extra = (self.node.headers.moved_from.clone(), migrated.ticket);
+            let extra = (self.node.headers.migrated_from.clone(), migrated.ticket);
             servers.push(to.server.clone());
             if let Some(next) = self.resume_at(to, Some(extra)).await {
                 return Some(next);
@@ -312,7 +314,7 @@
     ) -> Option<Source> {
         match end {
             StreamEnd::Whole => {
-                quarantine::note_completed(&self.node, &self.req);
+                quarantine::record_completion(&self.node, &self.req);
                 self.record_end("whole", servers);
                 self.node.connections.release(&source.place, source.connection, &source.keep_alive);
             }
@@ -364,14 +366,14 @@
         place: Placement,
         extra: Option<(HeaderName, HeaderValue)>,
     ) -> Option<Source> {
-        if !self.node.spend_retry(&self.req.service) {
+        if !self.node.try_spend_retry(&self.req.service) {
             return None;
         }
         self.partial.clear();
         let mut guard = WorkGuard::new(&self.node, &place);
         let sent = Instant::now();
         let last_event = self.last_event.iter();
-        let last_event = last_event.map(|it| (self.node.headers.last_event.clone(), it.clone()));
+        let last_event = last_event.map(|it| (self.node.headers.last_event_id.clone(), it.clone()));
         let is_migration = extra.is_some();
         let extra: Vec<(HeaderName, HeaderValue)> = last_event.chain(extra).collect();
         log_request!(
--- a/crates/quincevalve_node/src/request/server_selection.rs
+++ b/crates/quincevalve_node/src/request/server_selection.rs
@@ -19,7 +19,7 @@
         identify::IdentifiedRequest,
         refusal::{Refusal, Refused},
     },
-    rollouts::{self, WatchedRun},
+    rollouts::{self, AttemptTracker},
 };
 
 /// Fraction of its latency objective for which a request waits at most when all servers are too busy. If the request is
@@ -41,35 +41,35 @@
     work: Work,
     prefill_pending: bool,
     /// Set if the attempt is compared with attempts at another version.
-    tracker: Option<WatchedRun>,
+    tracker: Option<AttemptTracker>,
 }
 
 impl WorkGuard {
     pub(crate) fn new(node: &Rc<Node>, place: &Placement) -> Self {
         update_server(node, place, |it, now| it.load.add_request(place.work, now));
-        node.note_sent(place);
+        node.record_sent(place);
         let (server, start, work) = (place.server.clone(), place.start, place.work);
         Self { node: node.clone(), server, start, work, prefill_pending: true, tracker: None }
     }
 
     /// Starts to track the attempt if it is compared with attempts at another version.
     pub(crate) fn start_tracking(&mut self, req: &IdentifiedRequest, place: &Placement) {
-        self.tracker = WatchedRun::begin(&self.node, req, place);
+        self.tracker = AttemptTracker::start(&self.node, req, place);
     }
 
     /// Records that the first part of the server's answer arrived.
     pub(crate) fn record_first_part(&self) {
-        self.tracker.iter().for_each(WatchedRun::first_part);
+        self.tracker.iter().for_each(AttemptTracker::record_first_part);
     }
 
     /// Records whether the server succeeded.
     pub(crate) fn record_outcome(&self, succeeded: bool) {
-        self.tracker.iter().for_each(|it| it.judged(succeeded));
+        self.tracker.iter().for_each(|it| it.record_outcome(succeeded));
     }
 
     /// Records the mean time between two events of the server's stream, in milliseconds.
     pub(crate) fn record_pace(&self, between_ms: f64) {
-        self.tracker.iter().for_each(|it| it.pace(between_ms));
+        self.tracker.iter().for_each(|it| it.record_pace(between_ms));
     }
 
     /// Records that the server has processed the prompt.
@@ -104,9 +104,9 @@
 ) -> Result<Placement, Refused> {
     let wait_end = req.arrived + req.route.objective.mul_f64(MAX_WAIT_FRACTION);
     let choice = if tried.is_empty() {
-        rollouts::choose(node, req)
+        rollouts::choose_versions(node, req)
     } else {
-        rollouts::regular(node, &req.service)
+        rollouts::choice_for_retry(node, &req.service)
     };
     loop {
         let elapsed = req.arrived.elapsed();
@@ -134,7 +134,7 @@
     req: &IdentifiedRequest,
     tried: &[BackendServerName],
 ) -> Option<Placement> {
-    let choice = rollouts::regular(node, &req.service);
+    let choice = rollouts::choice_for_retry(node, &req.service);
     place(node, &placement_request(node, req, tried, req.route.objective), &choice).ok()
 }
 
--- a/crates/quincevalve_node/src/request/trace.rs
+++ b/crates/quincevalve_node/src/request/trace.rs
@@ -30,7 +30,7 @@
         if buffered.len() < MAX_BUFFERED_LINES {
             buffered.push(BufferedLine { name, fields, at_ms: clock::now().as_micros() / 1_000 });
         } else {
-            node.lines.borrow_mut().record_suppressed(1);
+            node.log_budget.borrow_mut().record_suppressed(1);
         }
     }
 
@@ -39,7 +39,7 @@
     pub(crate) fn end(&self, node: &Node, id: &str, was_bad: bool) {
         let buffered = self.buffered.take();
         if !was_bad {
-            node.lines.borrow_mut().record_suppressed(buffered.len() as u64);
+            node.log_budget.borrow_mut().record_suppressed(buffered.len() as u64);
             return;
         }
         for line in buffered {
@@ -51,7 +51,7 @@
 /// Writes a log line of a request, or buffers it if the line budget is used up.
 macro_rules! log_request {
     ($node:expr, $req:expr, $($key:ident = $value:expr),* ; $name:literal) => {
-        if $node.lines.borrow_mut().take($crate::clock::now()) {
+        if $node.log_budget.borrow_mut().take($crate::clock::now()) {
             log::info!(id = $req.id, $($key:% = $value),*; $name);
         } else {
             let fields = [$(format!("{}={}", stringify!($key), $value)),*].join(" ");
--- a/crates/quincevalve_node/src/store/config_copy.rs
+++ b/crates/quincevalve_node/src/store/config_copy.rs
@@ -32,7 +32,7 @@
 pub(crate) fn should_request(node: &Node, now: TimePoint) -> bool {
     let known = node.config().map_or(0, |it| it.version);
     let mut copy = node.config_copy.borrow_mut();
-    if node.told_version.get() <= known {
+    if node.reported_config_version.get() <= known {
         copy.missing_since = None;
         return false;
     }
--- a/crates/quincevalve_node/src/store/view/tests.rs
+++ b/crates/quincevalve_node/src/store/view/tests.rs
@@ -70,12 +70,12 @@
         let change = (StoreRevision(103), Change::Server(name.clone(), draining()));
         apply_changes(
             &reader,
-            Changes { changes: vec![change], at: StoreRevision(104), may_be_cut: false },
+            Changes { changes: vec![change], at: StoreRevision(104), may_be_truncated: false },
         );
         let renewal = (StoreRevision(105), Change::Server(name.clone(), draining()));
         apply_changes(
             &reader,
-            Changes { changes: vec![renewal], at: StoreRevision(105), may_be_cut: false },
+            Changes { changes: vec![renewal], at: StoreRevision(105), may_be_truncated: false },
         );
         let batch = reader.store_view.borrow().changes_since(StoreRevision(100), usize::MAX);
         let batch = batch.expect("changes since the full read");
@@ -85,13 +85,13 @@
 }
 
 fn snapshot_with(descriptor: &VmDescriptor, lease: u64) -> Snapshot {
-    let item = OwnItem {
+    let item = SystemItem {
         key: peer_key(descriptor),
         value: serde_json::to_vec(descriptor).expect("a descriptor"),
         revision: StoreRevision(5),
         lease: Some(LeaseId(lease)),
     };
-    Snapshot { own: vec![item], at: StoreRevision(7), ..Snapshot::default() }
+    Snapshot { system_items: vec![item], at: StoreRevision(7), ..Snapshot::default() }
 }
 
 // After a power loss all VMs are back at once, and each would write an entry that still exists. A VM renews the lease of its
@@ -163,7 +163,7 @@
         let leaves = (StoreRevision(101), Change::Server("i-1".into(), draining()));
         apply_changes(
             &node,
-            Changes { changes: vec![leaves], at: StoreRevision(101), may_be_cut: false },
+            Changes { changes: vec![leaves], at: StoreRevision(101), may_be_truncated: false },
         );
         assert_eq!(usable(&node), 0);
     });
@@ -172,7 +172,7 @@
         let removal = (StoreRevision(101), Change::ServerRemoved("i-1".into()));
         apply_changes(
             &node,
-            Changes { changes: vec![removal], at: StoreRevision(101), may_be_cut: false },
+            Changes { changes: vec![removal], at: StoreRevision(101), may_be_truncated: false },
         );
         assert_eq!(usable(&node), 0);
     });
@@ -180,7 +180,7 @@
         let node = informed();
         let unreadable = Change::ServerUnreadable("i-1".into(), "spoiled".to_owned());
         let changes = vec![(StoreRevision(101), unreadable)];
-        apply_changes(&node, Changes { changes, at: StoreRevision(101), may_be_cut: false });
+        apply_changes(&node, Changes { changes, at: StoreRevision(101), may_be_truncated: false });
         assert_eq!(usable(&node), 0);
     });
 }
@@ -212,7 +212,7 @@
         let removal = (StoreRevision(101), Change::ServerRemoved("i-1".into()));
         apply_changes(
             &node,
-            Changes { changes: vec![removal], at: StoreRevision(101), may_be_cut: false },
+            Changes { changes: vec![removal], at: StoreRevision(101), may_be_truncated: false },
         );
         let at = StoreRevision(100);
         let servers = vec![("i-1".into(), ready())];
@@ -227,7 +227,7 @@
 fn a_full_read_applies_a_quarantine() {
     run(|| {
         let node = node("vm-1");
-        let item = OwnItem {
+        let item = SystemItem {
             key: "quarantine/00000000000000ab".to_owned(),
             value: br#"{"trials":0,"until_ms":1}"#.to_vec(),
             revision: StoreRevision(5),
@@ -235,23 +235,30 @@
         };
         apply_snapshot(
             &node,
-            Snapshot { own: vec![item], at: StoreRevision(7), ..Snapshot::default() },
+            Snapshot { system_items: vec![item], at: StoreRevision(7), ..Snapshot::default() },
         );
         assert_eq!(node.poison.borrow().stored_entries().count(), 1);
     });
 }
 
-fn read_all_again(node: &Node, servers: Vec<(BackendServerName, ServerEntry)>, own: Vec<OwnItem>) {
+fn read_all_again(
+    node: &Node,
+    servers: Vec<(BackendServerName, ServerEntry)>,
+    own: Vec<SystemItem>,
+) {
     node.store_view.borrow_mut().invalidate();
     let at = StoreRevision(120);
-    apply_snapshot(node, Snapshot { servers, own, at, newest: at, ..Snapshot::default() });
+    apply_snapshot(
+        node,
+        Snapshot { servers, system_items: own, at, newest: at, ..Snapshot::default() },
+    );
 }
 
-fn vm(name: &str) -> OwnItem {
+fn vm(name: &str) -> SystemItem {
     let descriptor =
         VmDescriptor { name: name.to_owned(), ..node("vm-0").peers.borrow().table.me().clone() };
     let value = serde_json::to_vec(&descriptor).expect("a descriptor");
-    OwnItem { key: peer_key(&descriptor), value, revision: StoreRevision(110), lease: None }
+    SystemItem { key: peer_key(&descriptor), value, revision: StoreRevision(110), lease: None }
 }
 
 // When the store drops its history, the VMs that read it for the others do a full read. Without the differences to relay,
@@ -271,7 +278,7 @@
         let usable = servers.usable(&service, clock::now());
         let usable: Vec<_> = usable.map(|(name, _)| name.as_str().to_owned()).collect();
         assert_eq!(usable, ["i-2", "i-3"]);
-        assert_eq!(member.vms(), 2);
+        assert_eq!(member.vm_count(), 2);
     });
 }
 
@@ -302,7 +309,10 @@
         reader.store_view.borrow_mut().invalidate();
         let at = StoreRevision(130);
         let own = names.iter().map(|it| vm(it)).collect();
-        apply_snapshot(&reader, Snapshot { servers, own, at, newest: at, ..Snapshot::default() });
+        apply_snapshot(
+            &reader,
+            Snapshot { servers, system_items: own, at, newest: at, ..Snapshot::default() },
+        );
         let batch = reader.store_view.borrow().changes_since(StoreRevision(120), MAX_BATCH_BYTES);
         let batch = batch.expect("no change is missing");
         assert_eq!((batch.upto, batch.changes.len()), (130, 0), "{:?}", batch.changes);
--- a/crates/quincevalve_node/src/test_node.rs
+++ b/crates/quincevalve_node/src/test_node.rs
@@ -1,4 +1,4 @@
-//! A VM's state for the tests of its parts.
+//! A VM's state for unit tests.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -14,22 +14,29 @@
 
 use crate::{
     node::Node,
-    ports::{DecodedSignals, EngineApi, HeaderNames, MoveError, MovedRun},
+    ports::{DecodedSignals, EngineApi, HeaderNames, MigratedRequest, MigrationError},
     quarantine::QuarantineStore,
     request::migration::MigrationClient,
     settings::{Bounds, Duties, NodeSettings},
 };
 
+/// Engine API whose calls never return.
 #[derive(Clone)]
 struct NoEngines;
 
 impl EngineApi for NoEngines {
-    async fn move_run(&self, _: SocketAddr, _: SocketAddr, _: &str) -> Result<MovedRun, MoveError> {
+    async fn migrate_request(
+        &self,
+        _: SocketAddr,
+        _: SocketAddr,
+        _: &str,
+    ) -> Result<MigratedRequest, MigrationError> {
         std::future::pending().await
     }
 }
 
-pub(crate) fn any() -> SocketAddr {
+/// Returns a loopback address with port 0.
+pub(crate) fn any_address() -> SocketAddr {
     ([127, 0, 0, 1], 0).into()
 }
 
@@ -48,25 +55,25 @@
         seal: name("x-seal"),
         not_run: name("x-not-run"),
         urgency: name("x-urgency"),
-        last_event: name("last-event-id"),
-        moved_from: name("x-moved-from"),
+        last_event_id: name("last-event-id"),
+        migrated_from: name("x-moved-from"),
         signals: |_| DecodedSignals::default(),
         internal: Vec::new(),
     }
 }
 
-/// A VM of that name that knows nothing yet.
+/// Creates the state of a VM without configuration, servers or peers.
 pub(crate) fn node(name: &str) -> Node {
     let settings = NodeSettings {
         name: name.into(),
         data_centre: "a".into(),
-        ip: any().ip(),
+        ip: any_address().ip(),
         cpu: 250,
-        link: 125_000_000,
-        front: any(),
-        ready: any(),
+        link_bytes_per_second: 125_000_000,
+        front: any_address(),
+        ready: any_address(),
         peer_port: 0,
-        metrics: any(),
+        metrics: any_address(),
         is_first_start: false,
         bounds: Bounds {
             change_in_force: Duration::from_secs(2),
@@ -87,13 +94,13 @@
     Node::new(settings, headers(), MigrationClient::start(NoEngines), QuarantineStore::new().0)
 }
 
-/// Runs a test where the node's tasks can run.
+/// Runs a test in a runtime that can spawn the node's local tasks.
 pub(crate) fn run(test: impl FnOnce()) {
     let rt = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
     LocalSet::new().block_on(&rt, async { test() });
 }
 
-/// A configuration of that version with one account and no route.
+/// Creates a configuration of version `version` with one account and no routes.
 pub(crate) fn config(version: u64) -> ForwardingConfig {
     let limits = CallerLimits {
         head_bytes: 16 << 10,
--- a/crates/quincevalve_node/tests/not_run_statuses.rs
+++ b/crates/quincevalve_node/tests/not_run_statuses.rs
@@ -30,11 +30,11 @@
     let expected = format!("HTTP/1.1 {expected}");
     run(async move {
         let mut world = World::start(2, move |_, it| reply(server, status, it)).await;
-        let answer = world.ask(path, "id-1", "").await;
+        let answer = world.send(path, "id-1", "").await;
         assert!(answer.starts_with(&expected), "{status}: {answer}");
         let is_own = !answer.contains("x-seal");
         assert!(is_own, "a server's seal on the system's own answer: {answer}");
-        let arrivals = world.arrived().len();
+        let arrivals = world.drain_arrivals().len();
         match server {
             ServerAction::ReportsNotRun => assert_eq!(arrivals, 2, "another server is tried"),
             ServerAction::Runs | ServerAction::ClosesConnection => {
@@ -76,7 +76,7 @@
 fn idempotent_request_gets_the_servers_own_status() {
     run(async {
         let world = World::start(1, |_, it| reply(ServerAction::Runs, TOO_MANY, it)).await;
-        let answer = world.ask("/safe/7", "id-1", "").await;
+        let answer = world.send("/safe/7", "id-1", "").await;
         assert!(answer.starts_with("HTTP/1.1 429") && answer.contains("x-seal"), "{answer}");
     });
 }
--- a/crates/quincevalve_node/tests/poison_request.rs
+++ b/crates/quincevalve_node/tests/poison_request.rs
@@ -6,8 +6,8 @@
 
 use quincevalve_forwarding::servers::ServerEntry;
 use support::{
-    Arrival, END, FakeStore, Reply, Vm, World, entry, events, exchange, metric, request, run,
-    sealed, stream_head,
+    Arrival, FakeStore, LAST_CHUNK, Reply, Vm, World, entry, events, exchange, metric, request,
+    run, sealed, stream_head,
 };
 use tokio::{sync::Notify, task::spawn_local, time::sleep};
 
@@ -45,7 +45,7 @@
     move |number, arrival| {
         if arrival.header("x-attempt") == Some("held") {
             holds.set(Some(arrival.server));
-            return Reply::SendAndHold(first(arrival), release.clone());
+            return Reply::SendAndCloseOnNotify(first(arrival), release.clone());
         }
         if holds.get() == Some(arrival.server) {
             return Reply::SendAndClose(String::new());
@@ -71,10 +71,10 @@
 /// Repeats the request until it is quarantined.
 async fn repeat_until_quarantined(world: &World, path: &str) {
     for at in 0..ATTEMPTS {
-        if !world.store.own(QUARANTINE).is_empty() {
+        if !world.store.items_with_prefix(QUARANTINE).is_empty() {
             return;
         }
-        world.ask(path, &format!("id-{at}"), "").await;
+        world.send(path, &format!("id-{at}"), "").await;
         sleep(RETRY_PAUSE).await;
     }
     panic!("the request was not quarantined");
@@ -82,8 +82,8 @@
 
 /// Makes the next trial of the quarantined request due at once.
 fn make_trial_due(store: &FakeStore) {
-    let item = &store.own(QUARANTINE)[0];
-    store.put(&item.key, br#"{"trials":0,"until_ms":0}"#.to_vec());
+    let item = &store.items_with_prefix(QUARANTINE)[0];
+    store.put_item(&item.key, br#"{"trials":0,"until_ms":0}"#.to_vec());
 }
 
 fn is_withheld(answer: &str) -> bool {
@@ -107,7 +107,7 @@
             exchange(fronts[at % fronts.len()], &text).await;
             sleep(RETRY_PAUSE).await;
         }
-        let sent = world.arrived().len();
+        let sent = world.drain_arrivals().len();
         assert!(sent <= MAX_SENDS, "sent {sent} times, and a server exited each time");
     });
 }
@@ -119,11 +119,11 @@
     run(async {
         let mut world = World::start(5, script).await;
         repeat_until_quarantined(&world, "/once/poison").await;
-        world.arrived();
-        let answer = world.ask("/once/poison", "id-late", "").await;
+        world.drain_arrivals();
+        let answer = world.send("/once/poison", "id-late", "").await;
         assert!(is_withheld(&answer), "{answer}");
-        assert!(world.arrived().is_empty());
-        assert!(world.ask("/once/7", "id-other", "").await.starts_with("HTTP/1.1 200"));
+        assert!(world.drain_arrivals().is_empty());
+        assert!(world.send("/once/7", "id-other", "").await.starts_with("HTTP/1.1 200"));
     });
 }
 
@@ -142,11 +142,11 @@
             sleep(POLL_INTERVAL).await;
         }
         repeat_until_quarantined(&world, "/safe/poison").await;
-        world.arrived();
+        world.drain_arrivals();
         release.notify_waiters();
         let answer = held.await.expect("an answer");
         assert!(answer.starts_with("HTTP/1.1 502"), "{answer}");
-        assert!(world.arrived().is_empty());
+        assert!(world.drain_arrivals().is_empty());
     });
 }
 
@@ -166,11 +166,11 @@
             sleep(POLL_INTERVAL).await;
         }
         repeat_until_quarantined(&world, "/resumable/poison").await;
-        world.arrived();
+        world.drain_arrivals();
         release.notify_waiters();
         let answer = held.await.expect("an answer");
-        assert!(!answer.ends_with(END), "{answer}");
-        assert!(world.arrived().is_empty());
+        assert!(!answer.ends_with(LAST_CHUNK), "{answer}");
+        assert!(world.drain_arrivals().is_empty());
     });
 }
 
@@ -194,15 +194,15 @@
             }
         };
         repeat_until_quarantined(&world, "/resumable/poison").await;
-        world.arrived();
+        world.drain_arrivals();
         let mut leaving = entry(world.servers[arrival.server]);
         leaving.draining = true;
         // Runs are migrated 1.1 s before their engine stops.
         leaving.leaves_in = Some(Duration::from_millis(1_150));
-        world.store.change(&format!("server-{}", arrival.server), leaving);
+        world.store.put_server(&format!("server-{}", arrival.server), leaving);
         sleep(Duration::from_millis(400)).await;
-        assert!(world.moves.try_recv().is_err(), "the run was migrated");
-        assert!(world.arrived().is_empty());
+        assert!(world.migrations.try_recv().is_err(), "the run was migrated");
+        assert!(world.drain_arrivals().is_empty());
         release.notify_waiters();
         held.await.expect("an answer");
     });
@@ -215,14 +215,14 @@
     run(async {
         let mut world = World::start(5, script).await;
         let others = start_two_more_vms(&world).await;
-        world.store.hold_changes(true);
+        world.store.set_changes_paused(true);
         repeat_until_quarantined(&world, "/once/poison").await;
-        world.arrived();
+        world.drain_arrivals();
         for vm in &others {
             let answer = exchange(vm.front, &request("/once/poison", "id-late", "")).await;
             assert!(is_withheld(&answer), "{answer}");
         }
-        assert!(world.arrived().is_empty());
+        assert!(world.drain_arrivals().is_empty());
     });
 }
 
@@ -232,11 +232,11 @@
     run(async {
         let mut world = World::start(5, script).await;
         repeat_until_quarantined(&world, "/once/poison").await;
-        world.arrived();
+        world.drain_arrivals();
         let later = Vm::start("vm-late", world.store.for_another_vm()).await;
         let answer = exchange(later.front, &request("/once/poison", "id-late", "")).await;
         assert!(is_withheld(&answer), "{answer}");
-        assert!(world.arrived().is_empty());
+        assert!(world.drain_arrivals().is_empty());
     });
 }
 
@@ -248,7 +248,7 @@
         let mut world = World::start(5, script).await;
         let others = start_two_more_vms(&world).await;
         repeat_until_quarantined(&world, "/once/poison").await;
-        world.arrived();
+        world.drain_arrivals();
         make_trial_due(&world.store);
         sleep(RETRY_PAUSE).await;
         let fronts = [world.front, others[0].front, others[1].front];
@@ -259,8 +259,8 @@
         for answer in asked.collect::<Vec<_>>() {
             answer.await.expect("an answer");
         }
-        assert_eq!(world.arrived().len(), 1);
-        let item = &world.store.own(QUARANTINE)[0];
+        assert_eq!(world.drain_arrivals().len(), 1);
+        let item = &world.store.items_with_prefix(QUARANTINE)[0];
         let value = String::from_utf8_lossy(&item.value).into_owned();
         assert!(value.contains("\"trials\":1"), "{value}");
     });
@@ -284,8 +284,8 @@
         is_fixed.set(true);
         make_trial_due(&world.store);
         sleep(RETRY_PAUSE).await;
-        assert!(world.ask("/once/poison", "id-trial", "").await.starts_with("HTTP/1.1 200"));
-        while !world.store.own(QUARANTINE).is_empty() {
+        assert!(world.send("/once/poison", "id-trial", "").await.starts_with("HTTP/1.1 200"));
+        while !world.store.items_with_prefix(QUARANTINE).is_empty() {
             sleep(POLL_INTERVAL).await;
         }
         sleep(RETRY_PAUSE).await;
@@ -315,11 +315,11 @@
         assert!(exchange(others[0].front, &text).await.starts_with("HTTP/1.1 200"));
         exits.set(true);
         for at in 0..6 {
-            world.ask("/once/7", &format!("id-{at}"), "").await;
+            world.send("/once/7", &format!("id-{at}"), "").await;
             sleep(RETRY_PAUSE).await;
         }
-        assert_eq!(world.arrived().len(), 7);
-        assert!(world.store.own(QUARANTINE).is_empty());
+        assert_eq!(world.drain_arrivals().len(), 7);
+        assert!(world.store.items_with_prefix(QUARANTINE).is_empty());
     });
 }
 
@@ -331,11 +331,11 @@
         let script = |_, it: &Arrival| Reply::SendAndClose(stream_head(it) + &events(1..=1));
         let mut world = World::start(3, script).await;
         for at in 0..6 {
-            world.ask("/stream/7", &format!("id-{at}"), "").await;
+            world.send("/stream/7", &format!("id-{at}"), "").await;
             sleep(RETRY_PAUSE).await;
         }
-        assert_eq!(world.arrived().len(), 6);
-        assert!(world.store.own(QUARANTINE).is_empty());
+        assert_eq!(world.drain_arrivals().len(), 6);
+        assert!(world.store.items_with_prefix(QUARANTINE).is_empty());
     });
 }
 
@@ -347,7 +347,7 @@
         let release = Rc::new(Notify::new());
         let exit_at = release.clone();
         let script = move |_, it: &Arrival| {
-            Reply::SendAndExitAt(stream_head(it) + &events(1..=1), exit_at.clone())
+            Reply::SendAndExitOnNotify(stream_head(it) + &events(1..=1), exit_at.clone())
         };
         let mut world = World::start(4, script).await;
         let front = world.front;
@@ -363,7 +363,7 @@
         }
         for server in used {
             let leaving = ServerEntry { draining: true, ..entry(world.servers[server]) };
-            world.store.change(&format!("server-{server}"), leaving);
+            world.store.put_server(&format!("server-{server}"), leaving);
         }
         while metric(world.metrics, "quincevalve_servers").await != Some(1) {
             sleep(POLL_INTERVAL).await;
@@ -371,6 +371,6 @@
         release.notify_waiters();
         // An arbiter would have decided by then, even for servers that exit at the same time.
         sleep(Duration::from_millis(2_500)).await;
-        assert!(world.store.own(QUARANTINE).is_empty());
+        assert!(world.store.items_with_prefix(QUARANTINE).is_empty());
     });
 }
--- a/crates/quincevalve_node/tests/truncated_store_answers.rs
+++ b/crates/quincevalve_node/tests/truncated_store_answers.rs
@@ -21,17 +21,18 @@
     run(async {
         let script = |_, it: &Arrival| Reply::Send(sealed(it, "200 OK", "done"));
         let world = World::start(1, script).await;
-        world.store.cut_answers(CHANGES_PER_ANSWER);
+        world.store.truncate_answers(CHANGES_PER_ANSWER);
         let began = Instant::now();
         for port in 1..=CHANGES {
-            world.store.change(&format!("new-{port}"), entry(([127, 0, 0, 1], port).into()));
+            world.store.put_server(&format!("new-{port}"), entry(([127, 0, 0, 1], port).into()));
         }
-        while world.store.cut() < 20 {
+        while world.store.truncated_answers() < 20 {
             sleep(POLL_INTERVAL).await;
         }
         let elapsed = began.elapsed();
         let age = support::metric(world.metrics, "quincevalve_proof_age_ms").await;
-        let is_behind = world.store.cut() < usize::from(CHANGES) / CHANGES_PER_ANSWER - 1;
+        let is_behind =
+            world.store.truncated_answers() < usize::from(CHANGES) / CHANGES_PER_ANSWER - 1;
         let confirmation_age = Duration::from_millis(age.unwrap_or_default().unsigned_abs());
         assert!(
             !is_behind || confirmation_age >= elapsed,
