--- a/crates/quincevalve_node/src/quarantine.rs
+++ b/crates/quincevalve_node/src/quarantine.rs
@@ -39,7 +39,10 @@
             UNGRANTED_TRIAL_DELAY
         }
     };
-    log_request!(node, req, digest = req.digest(), hold_ms = retry_after.as_millis() as u64; "withheld");
+    log_request!(
+        node, req, digest = req.digest(), hold_ms = retry_after.as_millis() as u64;
+        "withheld"
+    );
     Err(retry_after)
 }
 
--- a/crates/quincevalve_node/src/request/connection_pool.rs
+++ b/crates/quincevalve_node/src/request/connection_pool.rs
@@ -186,7 +186,7 @@
     }
 
     async fn connect(&self, address: SocketAddr) -> Result<Connection, ConnectError> {
-        let opening = timeout(CONNECT_TIMEOUT, open_socket(self.local, address)).await;
+        let opening = timeout(CONNECT_TIMEOUT, open_stream(self.local, address)).await;
         let stream = opening
             .map_err(|_| ConnectError::TimedOut { address })?
             .context(RefusedSnafu { address })?;
@@ -207,7 +207,7 @@
     (place.server.clone(), place.start)
 }
 
-async fn open_socket(local: IpAddr, address: SocketAddr) -> io::Result<TcpStream> {
+async fn open_stream(local: IpAddr, address: SocketAddr) -> io::Result<TcpStream> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.bind(SocketAddr::new(local, 0))?;
     let stream = socket.connect(address).await?;
--- a/crates/quincevalve_node/src/request/dispatch.rs
+++ b/crates/quincevalve_node/src/request/dispatch.rs
@@ -66,23 +66,23 @@
             digest = req.digest_if_cheap().map_or_else(String::new, |it| it.to_string());
             "placed"
         );
-        let failed = match exchange(node, &req, &place, &[]).await {
+        let failure = match exchange(node, &req, &place, &[]).await {
             Ok(answer) => {
                 match handle_answer(node, &req, &place, answer, guard, sent, runs).await {
                     Ok(answer) => return Ok(answer),
-                    Err(failed) => failed,
+                    Err(failure) => failure,
                 }
             }
-            Err(failed) => {
-                if failed == AttemptError::TimedOut {
+            Err(failure) => {
+                if failure == AttemptError::TimedOut {
                     guard.record_outcome(false);
                 }
                 guard.complete_prefill();
                 drop(guard);
-                failed
+                failure
             }
         };
-        match failed {
+        match failure {
             AttemptError::TimedOut => return Err(Refusal::Late.into()),
             AttemptError::Quarantined { remaining } if runs == 0 => {
                 let refusal = Refusal::Quarantined;
@@ -98,10 +98,13 @@
                 runs += 1;
             }
         }
-        if !may_retry(node, &req, failed, runs, refusals) {
+        if !may_retry(node, &req, failure, runs, refusals) {
             return Err(refusal_without_answer(runs));
         }
-        log_request!(node, req, servers = tried.len(), runs = runs, refusals = refusals; "send-again");
+        log_request!(
+            node, req, servers = tried.len(), runs = runs, refusals = refusals;
+            "send-again"
+        );
     }
 }
 
@@ -120,11 +123,11 @@
 fn may_retry(
     node: &Node,
     req: &IdentifiedRequest,
-    failed: AttemptError,
+    failure: AttemptError,
     runs: u32,
     refusals: usize,
 ) -> bool {
-    let is_safe = failed == AttemptError::NotRun || req.retry_safety() == RetrySafety::Idempotent;
+    let is_safe = failure == AttemptError::NotRun || req.retry_safety() == RetrySafety::Idempotent;
     let is_resumable = req.retry_safety() == RetrySafety::ResumableStream;
     (is_safe || is_resumable)
         && runs < req.route.max_servers
@@ -162,14 +165,20 @@
     // The server didn't report that it has not run the request, but the caller would infer so from the status.
     if promises_not_run(status) && !req.retry_safety().is_retryable() {
         guard.record_outcome(false);
-        log_request!(node, req, server = place.server.as_str(), status = status.as_u16(); "server-error");
+        log_request!(
+            node, req, server = place.server.as_str(), status = status.as_u16();
+            "server-error"
+        );
         return Err(AttemptError::MayHaveRun);
     }
     let should_retry = status.is_server_error()
         && req.retry_safety() == RetrySafety::Idempotent
         && runs + 1 < req.route.max_servers;
     if should_retry {
-        log_request!(node, req, server = place.server.as_str(), status = status.as_u16(); "server-error");
+        log_request!(
+            node, req, server = place.server.as_str(), status = status.as_u16();
+            "server-error"
+        );
         return Err(AttemptError::MayHaveRun);
     }
     if status.is_success() && req.retry_safety().is_stream() {
--- a/crates/quincevalve_node/src/request/exchange.rs
+++ b/crates/quincevalve_node/src/request/exchange.rs
@@ -115,6 +115,7 @@
     classify(node, req, place, connection, response)
 }
 
+/// Checks that a response belongs to the request, and whether the server ran the request.
 fn classify(
     node: &Node,
     req: &IdentifiedRequest,
--- a/crates/quincevalve_node/src/request/frontend.rs
+++ b/crates/quincevalve_node/src/request/frontend.rs
@@ -179,7 +179,7 @@
             retry_after: Some(OTHER_VM_RETRY_AFTER),
         });
     }
-    let cost = take_quota(node, &identified).inspect_err(|refused| {
+    let cost = charge_quota(node, &identified).inspect_err(|refused| {
         node.metrics.count_request(&identified.route.name, refused.refusal.name());
     })?;
     let identified = Rc::new(identified);
@@ -234,7 +234,7 @@
 }
 
 /// Charges the request's cost to its account's quota and returns the cost.
-fn take_quota(node: &Node, req: &IdentifiedRequest) -> Result<f64, Refused> {
+fn charge_quota(node: &Node, req: &IdentifiedRequest) -> Result<f64, Refused> {
     let Some(account) = &req.account else { return Ok(0.0) };
     let quota = req.config.accounts.get(account).and_then(|it| it.quota);
     let Some(quota) = quota else { return Ok(0.0) };
--- a/crates/quincevalve_node/src/request/migration.rs
+++ b/crates/quincevalve_node/src/request/migration.rs
@@ -12,7 +12,8 @@
 /// Maximum number of migrations waiting to be started: about as many requests of one VM run at a data centre's engines.
 const MAX_PENDING_MIGRATIONS: usize = 256;
 
-struct MigrationRequest {
+/// A migration that waits to be started.
+struct PendingMigration {
     from: SocketAddr,
     to: SocketAddr,
     attempt_id: Rc<str>,
@@ -22,7 +23,7 @@
 /// Handle to the task that asks engines to migrate runs. It spares the rest of the process the engine's type parameter.
 #[derive(Clone, Debug)]
 pub(crate) struct MigrationClient {
-    requests: mpsc::Sender<MigrationRequest>,
+    pending: mpsc::Sender<PendingMigration>,
 }
 
 impl MigrationClient {
@@ -31,20 +32,20 @@
     where
         E: EngineApi,
     {
-        let (requests, mut rx) = mpsc::channel::<MigrationRequest>(MAX_PENDING_MIGRATIONS);
+        let (pending, mut rx) = mpsc::channel::<PendingMigration>(MAX_PENDING_MIGRATIONS);
         spawn_local(async move {
-            while let Some(request) = rx.recv().await {
+            while let Some(migration) = rx.recv().await {
                 let engines = engines.clone();
                 spawn_local(async move {
                     let migrated = engines
-                        .migrate_request(request.from, request.to, &request.attempt_id)
+                        .migrate_request(migration.from, migration.to, &migration.attempt_id)
                         .await;
                     // The receiver may have been dropped meanwhile; the engine frees the copy after its own timeout.
-                    let _ = request.reply.send(migrated);
+                    let _ = migration.reply.send(migrated);
                 });
             }
         });
-        Self { requests }
+        Self { pending }
     }
 
     /// Asks an engine to stop a run and copy its memory to another engine. Returns `None` if too many migrations are
@@ -56,7 +57,7 @@
         attempt_id: &str,
     ) -> Option<oneshot::Receiver<Result<MigratedRequest, MigrationError>>> {
         let (reply, rx) = oneshot::channel();
-        let request = MigrationRequest { from, to, attempt_id: attempt_id.into(), reply };
-        self.requests.try_send(request).is_ok().then_some(rx)
+        let migration = PendingMigration { from, to, attempt_id: attempt_id.into(), reply };
+        self.pending.try_send(migration).is_ok().then_some(rx)
     }
 }
--- a/crates/quincevalve_node/src/request/relay.rs
+++ b/crates/quincevalve_node/src/request/relay.rs
@@ -43,7 +43,7 @@
 /// Why reading from a source stopped.
 enum StreamEnd {
     /// The server completed the stream.
-    Whole,
+    Completed,
     /// The stream ended before it was complete.
     Interrupted,
     /// The request's deadline passed.
@@ -84,10 +84,10 @@
         req: req.clone(),
         tx,
         partial: BytesMut::new(),
-        last_event: None,
+        last_event_id: None,
         has_begun: false,
-        first_after: None,
-        newest_event: None,
+        time_to_first_event: None,
+        last_event_at: None,
         gap_sum: Duration::ZERO,
         gap_count: 0,
         longest_gap: Duration::ZERO,
@@ -104,13 +104,13 @@
     tx: mpsc::Sender<Result<Bytes, AnswerAborted>>,
     /// The received part of an event whose end has not arrived yet.
     partial: BytesMut,
-    last_event: Option<HeaderValue>,
+    last_event_id: Option<HeaderValue>,
     has_begun: bool,
     /// Time from the request's arrival to the first event.
-    first_after: Option<Duration>,
+    time_to_first_event: Option<Duration>,
     /// When the newest event arrived.
-    newest_event: Option<Instant>,
-    /// Sum of the gaps between successive events, and their number.
+    last_event_at: Option<Instant>,
+    /// Sum of the gaps between successive events, and the number of gaps.
     gap_sum: Duration,
     gap_count: u32,
     longest_gap: Duration,
@@ -126,7 +126,7 @@
         loop {
             let end = self.forward_events(&mut source, self.supports_migration()).await;
             match end {
-                StreamEnd::Whole => {
+                StreamEnd::Completed => {
                     quarantine::record_completion(&self.node, &self.req);
                     self.record_end("whole", &servers);
                     if servers.len() == 1 && self.gap_count > 0 {
@@ -165,7 +165,7 @@
 
     /// Logs and counts the end of the stream, and ends the request's trace.
     fn record_end(&self, how: &str, servers: &[quincevalve_names::BackendServerName]) {
-        let first_ms = self.first_after.map_or(0, |it| it.as_millis() as u64);
+        let first_ms = self.time_to_first_event.map_or(0, |it| it.as_millis() as u64);
         log_request!(
             self.node, self.req,
             how = how, servers = servers.len(), server = servers.last().map_or("", |it| it.as_str()),
@@ -174,7 +174,7 @@
             "stream-ended"
         );
         self.node.metrics.count_request(&self.req.route.name, how);
-        let was_late = self.first_after.is_none_or(|it| it > self.req.route.objective);
+        let was_late = self.time_to_first_event.is_none_or(|it| it > self.req.route.objective);
         let was_bad = was_late || !matches!(how, "whole" | "caller-left");
         self.req.trace.end(&self.node, &self.req.id, was_bad);
     }
@@ -200,7 +200,7 @@
             };
             let data = match frame {
                 Err(_) => return StreamEnd::TimedOut,
-                Ok(None) if self.partial.is_empty() => return StreamEnd::Whole,
+                Ok(None) if self.partial.is_empty() => return StreamEnd::Completed,
                 // An answer that ends within an event is truncated, even if its HTTP framing is complete.
                 Ok(None) => return StreamEnd::Interrupted,
                 Ok(Some(Err(error))) => {
@@ -224,7 +224,7 @@
                     predicted_ms = source.place.predicted.as_millis() as u64;
                     "stream-began"
                 );
-                self.first_after = Some(self.req.arrived.elapsed());
+                self.time_to_first_event = Some(self.req.arrived.elapsed());
                 self.node
                     .metrics
                     .observe_first_answer(&self.req.route.name, self.req.arrived.elapsed());
@@ -232,7 +232,7 @@
                 self.node.record_usage_start(self.req.account.as_ref());
             }
             let now = Instant::now();
-            if let Some(before) = self.newest_event.replace(now) {
+            if let Some(before) = self.last_event_at.replace(now) {
                 self.node.metrics.observe_event_interval(&self.req.route.name, now - before);
                 self.gap_sum += now - before;
                 self.longest_gap = self.longest_gap.max(now - before);
@@ -281,7 +281,7 @@
         // Tokens that the engine generates until it stops the run still arrive on the old stream.
         let end = self.forward_events(&mut source, false).await;
         let has_ended =
-            matches!(end, StreamEnd::Whole | StreamEnd::CallerLeft | StreamEnd::TimedOut);
+            matches!(end, StreamEnd::Completed | StreamEnd::CallerLeft | StreamEnd::TimedOut);
         if has_ended {
             return self.finish_without_migration(end, source, servers).await;
         }
@@ -313,7 +313,7 @@
         servers: &[quincevalve_names::BackendServerName],
     ) -> Option<Source> {
         match end {
-            StreamEnd::Whole => {
+            StreamEnd::Completed => {
                 quarantine::record_completion(&self.node, &self.req);
                 self.record_end("whole", servers);
                 self.node.connections.release(&source.place, source.connection, &source.keep_alive);
@@ -333,7 +333,7 @@
         let end = self.partial.windows(2).rposition(|it| it == b"\n\n")? + 2;
         let events = self.partial.split_to(end).freeze();
         if let Some(id) = last_id(&events) {
-            self.last_event = HeaderValue::from_bytes(id).ok();
+            self.last_event_id = HeaderValue::from_bytes(id).ok();
         }
         Some(events)
     }
@@ -372,10 +372,11 @@
         self.partial.clear();
         let mut guard = WorkGuard::new(&self.node, &place);
         let sent = Instant::now();
-        let last_event = self.last_event.iter();
-        let last_event = last_event.map(|it| (self.node.headers.last_event_id.clone(), it.clone()));
+        let last_event_id = self.last_event_id.iter();
+        let last_event_id =
+            last_event_id.map(|it| (self.node.headers.last_event_id.clone(), it.clone()));
         let is_migration = extra.is_some();
-        let extra: Vec<(HeaderName, HeaderValue)> = last_event.chain(extra).collect();
+        let extra: Vec<(HeaderName, HeaderValue)> = last_event_id.chain(extra).collect();
         log_request!(
             self.node, self.req,
             server = place.server.as_str(), moved = is_migration, unlisted_ms = unlisted_ms(&place);
--- a/crates/quincevalve_node/src/request/server_selection.rs
+++ b/crates/quincevalve_node/src/request/server_selection.rs
@@ -117,14 +117,14 @@
             Ok(place) => return Ok(place),
             Err(error) => error,
         };
-        let next_attempt = match error {
+        let retry_delay = match error {
             PlacementError::Resting { wait } => wait,
             _ => PLACEMENT_INTERVAL,
         };
-        if Instant::now() + next_attempt >= wait_end {
-            return Err(no_server_refusal(&request, error));
+        if Instant::now() + retry_delay >= wait_end {
+            return Err(placement_refusal(&request, error));
         }
-        sleep(next_attempt).await;
+        sleep(retry_delay).await;
     }
 }
 
@@ -180,7 +180,7 @@
 }
 
 /// Converts a failed placement into a refusal of the request.
-fn no_server_refusal(request: &PlacementRequest<'_>, error: PlacementError) -> Refused {
+fn placement_refusal(request: &PlacementRequest<'_>, error: PlacementError) -> Refused {
     match error {
         PlacementError::NoServer => {
             Refused { refusal: Refusal::NoServer, retry_after: Some(RETRY_AFTER_RANGE.1) }
--- a/crates/quincevalve_node/src/request/signals.rs
+++ b/crates/quincevalve_node/src/request/signals.rs
@@ -36,6 +36,12 @@
             log::info!(server = place.server.as_str(), start = place.start.0, rest_ms; "server-rests");
         }
     }
-    let news = server.apply_signals(&signals, now);
-    publish_signals(node, (place.server.clone(), place.start), server, news, SignalSource::Server);
+    let update = server.apply_signals(&signals, now);
+    publish_signals(
+        node,
+        (place.server.clone(), place.start),
+        server,
+        update,
+        SignalSource::Server,
+    );
 }
