--- a/crates/quincevalve_node/tests/rollout.rs
+++ b/crates/quincevalve_node/tests/rollout.rs
@@ -155,7 +155,7 @@
     });
 }
 
-// Without the store no record can say that the version is bad. Guards against VMs that each go on sending it its share
+// Without the store no record can say that the version is bad. Guards against VMs that each keep sending it its share
 // until the end of the roll-out.
 #[test]
 fn a_bad_version_gets_no_more_requests_while_the_store_does_not_respond() {
