--- a/crates/quincevalve_node/src/peers.rs
+++ b/crates/quincevalve_node/src/peers.rs
@@ -1,7 +1,7 @@
-//! What entry VMs tell each other: datagrams, several times a second.
+//! Communication between entry VMs: datagrams, several times a second.
 //!
-//! Datagrams can't go silent as connections do, cost no connection to each peer, and nothing that is lost
-//! has to be sent again: each one carries running totals.
+//! Datagrams need no connection to each peer and can't stall as connections do. A lost datagram isn't sent again, since
+//! each one carries running totals.
 
 mod datagram;
 mod receive;
@@ -22,42 +22,45 @@
     send::{request_state, send_digests},
 };
 
-/// The newest datagram of a VM.
+/// Header data of the newest datagram from a VM.
 #[derive(Clone, Copy, Debug)]
 struct LastDatagram {
     incarnation: u64,
-    /// Its clock when it sent it.
+    /// The VM's clock when it sent the datagram.
     sent: TimePoint,
-    /// Our clock when it came.
+    /// This VM's clock when it received the datagram.
     received_at: TimePoint,
-    /// The revision of the store that it had reached.
+    /// The store revision that the VM had reached.
     revision: Option<u64>,
 }
 
-/// What the other entry VMs told.
+/// State received from the other entry VMs.
 #[derive(Debug)]
 pub(crate) struct Peers {
     pub(crate) table: PeerTable,
-    /// The VM that holds the duties, as the store has it.
+    /// The name of the VM that holds the duties, according to the store.
     holder: Option<String>,
+    /// Partial sums of this collector's members.
     members: PartialSums,
+    /// Partial sums of the other collectors.
     collectors: PartialSums,
+    /// The sum over all other VMs, from this member's collector.
     rest: PartialSums,
-    /// Members' addresses, by sender.
+    /// Addresses of members, by sender.
     member_addresses: HashMap<String, SocketAddr>,
-    /// The work that all other VMs take on, as told last.
+    /// Demand by service that all other VMs reported, in busy servers.
     peer_demand: Demand,
-    /// The part of the entry VMs that was heard, this one included.
+    /// Fraction of the entry VMs that reported lately, this one included.
     reachable_fraction: f64,
     /// The newest datagram of each VM, by name.
     last_datagrams: HashMap<String, LastDatagram>,
-    /// How often members are told.
+    /// Controls how often members get digests.
     pace: DigestPace,
-    /// Whether a share was heard that wasn't taken over yet.
+    /// Whether a partial sum was received since the sums were applied.
     has_new_sums: bool,
-    /// What this VM told its collector last.
+    /// The partial sum that this VM sent to its collector last.
     last_own_report: Option<PartialSum>,
-    /// Units a second that accounts spent here when there was news last.
+    /// Spending of all accounts at this VM when its partial sum changed last, in units per second.
     spending_at_last_change: f64,
 }
 
@@ -80,17 +83,17 @@
         }
     }
 
-    /// Whether anything was heard since this was asked last.
+    /// Returns whether a partial sum was received since the last call.
     fn take_has_new_sums(&mut self) -> bool {
         std::mem::take(&mut self.has_new_sums)
     }
 
-    /// Whether `own`, what this VM does, differs from what its collector was told.
+    /// Returns whether this VM's partial sum differs from the one that its collector has.
     fn has_own_change(&self, own: &PartialSum) -> bool {
         self.last_own_report.as_ref().is_none_or(|it| own.has_changed_since(it))
     }
 
-    /// Notes which VM holds the duties.
+    /// Sets the VM that holds the duties.
     pub(crate) fn set_holder(&mut self, holder: Option<String>) {
         self.holder = holder;
     }
@@ -103,23 +106,23 @@
         self.holder.is_some()
     }
 
-    /// Whether other VMs have chosen this one as their collector.
+    /// Returns whether other VMs have chosen this one as their collector.
     pub(crate) fn has_members(&self, now: TimePoint) -> bool {
         self.members.has_fresh(now)
     }
 
-    /// The work that other VMs take on for a service, in busy servers.
+    /// Returns the demand for a service that the other VMs reported, in busy servers.
     pub(crate) fn peer_demand(&self, service: &ServiceName) -> f64 {
         self.peer_demand.get(service).copied().unwrap_or_default()
     }
 
-    /// The part of the entry VMs that was heard lately, this one included.
+    /// Returns the fraction of the entry VMs that reported lately, this one included.
     pub(crate) fn reachable_fraction(&self) -> f64 {
         self.reachable_fraction
     }
 
-    /// What all other VMs do, as far as told. A member hears all of it from its collector; a collector adds
-    /// up its members and the other collectors.
+    /// Returns the sum over all other VMs that reported. A member receives it from its collector; a collector adds up
+    /// its members and the other collectors.
     fn peer_sum(&self, now: TimePoint) -> PartialSum {
         let mut sum = PartialSum::default();
         match self.table.role(self.has_members(now), now) {
@@ -132,7 +135,7 @@
         sum
     }
 
-    /// Whether a VM is the collector that this one has chosen.
+    /// Returns whether a VM is the collector that this one has chosen.
     fn is_collector(&self, name: &str, now: TimePoint) -> bool {
         let role = self.table.role(self.has_members(now), now);
         matches!(role, Role::Member { collector, .. } if collector == name)
--- a/crates/quincevalve_node/src/peers/datagram.rs
+++ b/crates/quincevalve_node/src/peers/datagram.rs
@@ -12,119 +12,117 @@
 
 use crate::{signal_reports::SignalReport, store::view::RelayedChange};
 
-/// The largest datagram that is taken, in bytes.
+/// Maximum size of a datagram, in bytes.
 pub(super) const MAX_DATAGRAM: usize = 60 << 10;
 
-/// Whose share a digest carries.
+/// Which VMs a digest or a report of signals covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) enum Scope {
-    /// The sender's own, for its collector.
+    /// The sender, for its collector.
     Own,
-    /// The sender's and its members', for other collectors.
+    /// The sender and its members, for other collectors.
     Members,
-    /// Everybody's but the receiver's, for a member.
+    /// All VMs but the receiver, for a member.
     Rest,
 }
 
-/// What the sender knows of the store.
+/// Changes of the store that the sender relays.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct StoreReport {
-    /// How long ago the sender sent the question whose answer proves that this is the newest.
+    /// Age of the sender's freshness confirmation: the time since the confirming request to the store was sent.
     pub(super) age: Duration,
     /// The newest version of the configuration that the sender knows of.
     pub(super) version: u64,
+    /// The changes follow this revision.
     pub(super) after: u64,
+    /// The changes are complete up to this revision.
     pub(super) upto: u64,
     pub(super) changes: Vec<(u64, RelayedChange)>,
 }
 
-/// The newest datagram that the sender has of the receiver.
+/// The newest datagram that the sender received from the receiver.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(super) struct Echo {
-    /// The start of the receiver that sent that: another start had another clock.
+    /// The start of the receiver that sent the echoed datagram. Clocks of different starts aren't comparable.
     pub(super) incarnation: u64,
-    /// The receiver's clock when it sent that.
+    /// The receiver's clock when it sent the echoed datagram.
     pub(super) sent: TimePoint,
-    /// How long the sender has had it.
+    /// How long ago the sender received the echoed datagram.
     pub(super) held: Duration,
 }
 
-/// When the store answered the sender or one that it hears.
+/// When the store answered the sender or a VM in contact with it.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(super) struct ReportedContact {
-    /// How long ago the newest answer was asked for.
+    /// Time since the newest answered request was sent.
     pub(super) age: Duration,
-    /// For how long before it the store had answered without a gap.
+    /// How long the store had answered without a gap before that request.
     pub(super) uninterrupted: Duration,
 }
 
+/// The content of a datagram.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) enum Content {
+    /// The periodic load message.
     Digest {
         scope: Scope,
         sum: Box<PartialSum>,
         store_report: Option<StoreReport>,
         store_contact: Option<ReportedContact>,
     },
-    Usage {
-        counts: Counts,
-    },
-    /// The sender lacks a configuration above this version.
-    ConfigRequest {
-        above: u64,
-    },
-    /// A part of the sender's configuration.
+    /// Running totals of requests that began at the sender.
+    Usage { counts: Counts },
+    /// The sender requests a configuration newer than this version.
+    ConfigRequest { above: u64 },
+    /// A chunk of the sender's configuration.
     ConfigChunk(Chunk),
-    /// The sender has just started and knows nothing of the store.
+    /// The sender is starting and requests the store's state.
     StateRequest(ChunkRequest),
-    /// Another VM should be asked for it.
+    /// The receiver should request the state from another VM.
     StateRedirect {
-        /// Whether the sender knows it, and only serves others at present.
+        /// Whether the sender has the state, but is serving other VMs at present.
         serves_others: bool,
     },
-    /// A part of what the sender knows of the store.
+    /// A chunk of the sender's copy of the store's state.
     StateChunk {
-        /// How long ago the sender sent the question whose answer proves that this is the newest.
+        /// Age of the freshness confirmation of the state: the time since the confirming request to the store was sent.
         age: Duration,
         chunk: Chunk,
     },
-    /// About a request under which servers exit.
+    /// A message about a request under which servers exit.
     Poison(PoisonMessage),
-    /// What servers said of themselves.
-    Signals {
-        scope: Scope,
-        servers: Vec<SignalReport>,
-    },
+    /// Signals of servers.
+    Signals { scope: Scope, servers: Vec<SignalReport> },
 }
 
-/// One datagram.
+/// A datagram between entry VMs.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct Datagram {
     pub(super) from: VmDescriptor,
     pub(super) incarnation: u64,
-    /// The sender's time of day.
+    /// The sender's system clock, in milliseconds since 1970.
     pub(super) wall_ms: i64,
-    /// True time as the sender reckons it.
+    /// The sender's estimate of wall-clock time, in milliseconds since 1970.
     pub(super) estimated_ms: Option<i64>,
-    /// The sender's clock.
+    /// The sender's steady clock when it sent the datagram.
     pub(super) sent: TimePoint,
     pub(super) echo: Option<Echo>,
-    /// The revision of the store that the sender has reached.
+    /// The store revision that the sender has reached.
     pub(super) revision: Option<u64>,
     pub(super) content: Content,
 }
 
 impl Datagram {
-    /// One start of one VM: totals of another start are no continuation of these.
+    /// Returns an id of one start of one VM. Totals of different starts don't continue each other.
     pub(super) fn sender(&self) -> String {
         format!("{}#{}", self.from.name, self.incarnation)
     }
 }
 
-/// How datagrams are encoded: numbers take as many bytes as they need.
+/// Returns the encoding of datagrams, with integers of variable length.
 ///
-/// Load: a collector tells each of its members the work at all servers, sixteen times a second. With numbers of fixed
-/// length and twenty members it sent 2.1 MB a second, and a VM of an eighth of a core had no time left for requests.
+/// A collector sends the work at all servers to each of its members 16 times a second. With integers of fixed length
+/// and 20 members that is 2.1 MB/s, which leaves a VM with an eighth of a core no time for requests.
 pub(crate) fn encoding() -> impl Options {
     DefaultOptions::new().with_limit(MAX_DATAGRAM as u64)
 }
--- a/crates/quincevalve_node/src/peers/receive.rs
+++ b/crates/quincevalve_node/src/peers/receive.rs
@@ -1,4 +1,4 @@
-//! What this VM takes from what others tell.
+//! Receives datagrams of other VMs and applies their content.
 
 use std::{rc::Rc, time::Duration};
 
@@ -28,7 +28,7 @@
     },
 };
 
-/// Hears peers, for as long as the process lives.
+/// Receives datagrams of peers for as long as the process lives.
 pub(crate) async fn receive_datagrams(node: Rc<Node>, socket: Rc<UdpSocket>) {
     let mut buf = vec![0; MAX_DATAGRAM];
     loop {
@@ -65,7 +65,8 @@
     node.wall.borrow_mut().record(name.clone(), datagram.wall_ms, now);
     match datagram.content {
         Content::Digest { scope, sum, store_report, store_contact } => {
-            // What is relayed may say that servers are gone, and the contact whether that may be a lapse.
+            // The store report may remove servers; the contact, applied first, decides whether a removal may be an
+            // expiry.
             if let Some(reported) = store_contact {
                 apply_store_contact(node, reported, datagram.echo);
             }
@@ -76,7 +77,7 @@
                     send(node, socket, datagram.from.address, Content::ConfigRequest { above });
                 }
             }
-            // Two collectors would tell the same twice.
+            // The sums of two collectors cover the same VMs and would be counted twice.
             if scope == Scope::Rest && !node.peers.borrow().is_collector(&name, now) {
                 return;
             }
@@ -150,10 +151,11 @@
     }
 }
 
-/// Takes what another VM knows of the store.
+/// Applies changes of the store that another VM relays.
 ///
-/// The proof counts from when this VM sent the datagram that the other echoes, less the age of the other's
-/// own proof: however long the answer was on its way, it can't be taken for newer than it is.
+/// If nothing is missing, this confirms freshness as of the earliest time at which the report can have been sent, less
+/// the age of the sender's own confirmation. The confirmation is therefore never too new, however long the datagram
+/// took.
 fn apply_store_report(node: &Node, store_report: StoreReport, echo: Option<Echo>) {
     let StoreReport { age, version, after, upto, changes } = store_report;
     let is_contiguous = apply_batch(node, ChangeBatch { after, upto, changes });
@@ -169,8 +171,7 @@
     }
 }
 
-/// Takes it that the store answered another VM; however long the datagram was on its way, that isn't taken for newer
-/// than it is.
+/// Records when the store answered another VM. The recorded time is never too new, however long the datagram took.
 fn apply_store_contact(node: &Node, reported: ReportedContact, echo: Option<Echo>) {
     let newest = earliest_send_time(node, echo).and_then(|it| earlier(it, reported.age));
     let Some(newest) = newest else { return };
@@ -180,13 +181,15 @@
     }
 }
 
-/// The latest moment at which a datagram with this echo can't have been sent yet, by this VM's clock: when this VM sent
-/// what it echoes, and as long after that as the sender had it. `None` if an earlier start of this VM sent that.
+/// Returns a lower bound of the time at which a datagram with this echo was sent, by this VM's clock: when this VM sent
+/// the echoed datagram, plus how long the sender had held it. `None` if an earlier start of this VM sent the echoed
+/// datagram.
 fn earliest_send_time(node: &Node, echo: Option<Echo>) -> Option<TimePoint> {
     let echo = echo.filter(|it| it.incarnation == node.incarnation)?;
     Some(echo.sent + echo.held)
 }
 
+/// Returns the time `by` before `at`; `None` if that is before the clock's start.
 fn earlier(at: TimePoint, by: Duration) -> Option<TimePoint> {
     at.as_micros().checked_sub(by.as_micros() as u64).map(TimePoint)
 }
--- a/crates/quincevalve_node/src/peers/receive/tests.rs
+++ b/crates/quincevalve_node/src/peers/receive/tests.rs
@@ -18,7 +18,7 @@
     test_node::{any, config, node as bare_node},
 };
 
-const AT: u64 = 50;
+const REVISION: u64 = 50;
 
 fn run<F>(test: F)
 where
@@ -51,11 +51,14 @@
     ["i-1".into(), "i-2".into()]
 }
 
-/// A VM that knows two servers and read the store itself so many milliseconds ago.
+/// Returns a VM that knows two servers and read the store itself `read_ago` milliseconds ago.
 fn node(read_ago: u64) -> Node {
     let node = bare_node("vm-1");
     let servers = names().map(|it| (it, server(false))).into();
-    apply_state(&node, StoreState { at: AT, newest: AT, servers, ..StoreState::default() });
+    apply_state(
+        &node,
+        StoreState { at: REVISION, newest: REVISION, servers, ..StoreState::default() },
+    );
     record_store_contact(&node, ContactSpan::at(ago(read_ago)));
     node
 }
@@ -66,13 +69,13 @@
     servers.usable(&service, clock::now()).map(|(name, _)| name.as_str().to_owned()).collect()
 }
 
-/// What vm-2 tells: that the store answered it a moment ago, and so without a gap for a minute; and changes.
+/// Returns a digest of vm-2 that reports changes and, if given, when the store answered vm-2.
 fn datagram(
     node: &Node,
     store_contact: Option<ReportedContact>,
     changes: Vec<(u64, RelayedChange)>,
 ) -> Datagram {
-    let upto = changes.last().map_or(AT, |(at, _)| *at);
+    let upto = changes.last().map_or(REVISION, |(at, _)| *at);
     Datagram {
         from: VmDescriptor {
             name: "vm-2".into(),
@@ -96,7 +99,7 @@
             store_report: Some(StoreReport {
                 age: Duration::ZERO,
                 version: 0,
-                after: AT,
+                after: REVISION,
                 upto,
                 changes,
             }),
@@ -105,31 +108,32 @@
     }
 }
 
-fn answered_all_the_while() -> ReportedContact {
+/// A store contact that is recent and had no gap for a minute.
+fn uninterrupted_contact() -> ReportedContact {
     ReportedContact { age: Duration::from_millis(20), uninterrupted: Duration::from_secs(60) }
 }
 
-/// Both servers are gone: those whose entries may have lapsed are used only where no other is left.
-fn removed() -> Vec<(u64, RelayedChange)> {
-    names().map(|it| (AT + 1, RelayedChange::ServerRemoved(it))).into()
+/// Removals of both servers. Servers whose entries may have expired are used only if no other is left.
+fn removals() -> Vec<(u64, RelayedChange)> {
+    names().map(|it| (REVISION + 1, RelayedChange::ServerRemoved(it))).into()
 }
 
 async fn socket() -> UdpSocket {
     UdpSocket::bind(("127.0.0.1", 0)).await.expect("a port")
 }
 
-// Requests reach a server seconds after it left: the store turned this VM away for three seconds, longer than any entry
-// lives, while it answered another, which tells so and passes the removal on. It was no outage, so it is no lapse; also
-// once this VM reads the store again.
+// The store rejects this VM for 3 s, which is long enough for entries to expire, while it answers another VM, which
+// reports so and relays the removal. If this counted as an outage and the removal as an expiry, requests would reach
+// the server seconds after it left. The same holds once this VM reads the store again.
 #[test]
-fn a_removal_that_another_vm_heard_of_is_no_lapse() {
+fn a_removal_is_no_expiry_when_the_store_answered_another_vm() {
     run(async {
         let node = node(3_000);
         begin_outage_if_unreachable(&node);
         handle_datagram(
             &node,
             &socket().await,
-            datagram(&node, Some(answered_all_the_while()), removed()),
+            datagram(&node, Some(uninterrupted_contact()), removals()),
         );
         assert!(usable(&node).is_empty());
         record_store_contact(&node, ContactSpan::at(clock::now()));
@@ -138,50 +142,55 @@
     });
 }
 
-// The other VM's word counts although the removal comes first, in a datagram before it.
+// The reported contact counts although the removal arrives first, in an earlier datagram.
 #[test]
-fn the_word_that_the_store_answered_may_come_after_the_removal() {
+fn a_removal_is_no_expiry_when_the_contact_is_reported_later() {
     run(async {
         let (node, socket) = (node(3_000), socket().await);
         begin_outage_if_unreachable(&node);
-        handle_datagram(&node, &socket, datagram(&node, None, removed()));
-        handle_datagram(&node, &socket, datagram(&node, Some(answered_all_the_while()), removed()));
+        handle_datagram(&node, &socket, datagram(&node, None, removals()));
+        handle_datagram(&node, &socket, datagram(&node, Some(uninterrupted_contact()), removals()));
         record_store_contact(&node, ContactSpan::at(clock::now()));
         assert!(usable(&node).is_empty());
     });
 }
 
-// Nobody had an answer for three seconds: then the same removal is a lapse, and the server, which lives, is not given up
+// No VM had an answer for 3 s: the same removal may be an expiry, and the server, which may be running, stays usable
 // while no other is left.
 #[test]
-fn without_anybodys_answer_it_may_be_a_lapse() {
+fn a_removal_may_be_an_expiry_when_the_store_answered_no_vm() {
     run(async {
         let node = node(3_000);
         begin_outage_if_unreachable(&node);
         assert!(node.servers.borrow().is_store_unreachable());
-        handle_datagram(&node, &socket().await, datagram(&node, None, removed()));
+        handle_datagram(&node, &socket().await, datagram(&node, None, removals()));
         assert!(!usable(&node).is_empty());
     });
 }
 
-// Requests reach a server that said that it leaves: its word comes by another VM only.
+// This VM learns that a server leaves from another VM only. If it ignored the report, requests would reach the server.
 #[test]
-fn a_server_that_leaves_by_another_vms_word_gets_nothing_more() {
+fn a_server_is_unusable_when_another_vm_reports_that_it_leaves() {
     run(async {
         let node = node(100);
-        let leaves = vec![(AT + 1, RelayedChange::Server("i-1".into(), server(true)))];
+        let leaves = vec![(REVISION + 1, RelayedChange::Server("i-1".into(), server(true)))];
         handle_datagram(
             &node,
             &socket().await,
-            datagram(&node, Some(answered_all_the_while()), leaves),
+            datagram(&node, Some(uninterrupted_contact()), leaves),
         );
         assert_eq!(usable(&node), ["i-2"]);
     });
 }
 
-/// What a VM of that name tells of the store, from one revision to another.
-fn relays(node: &Node, sender: &str, after: u64, changes: Vec<(u64, RelayedChange)>) -> Datagram {
-    let mut datagram = datagram(node, Some(answered_all_the_while()), changes);
+/// Returns a digest in which the VM `sender` relays the changes after a revision.
+fn store_report_from(
+    node: &Node,
+    sender: &str,
+    after: u64,
+    changes: Vec<(u64, RelayedChange)>,
+) -> Datagram {
+    let mut datagram = datagram(node, Some(uninterrupted_contact()), changes);
     datagram.from.name = sender.to_owned();
     if let Content::Digest { store_report: Some(store_report), .. } = &mut datagram.content {
         store_report.after = after;
@@ -189,45 +198,50 @@
     datagram
 }
 
-// Requests reach a server that said that it leaves while the collector was replaced: the first one passed nothing more on,
-// and the next one, another VM, goes on where it ended.
+// A server leaves while the collector is replaced. The new collector continues from the revision up to which the first
+// one reported; otherwise requests would reach the server.
 #[test]
-fn another_collector_goes_on_where_the_first_ended() {
+fn applies_changes_of_a_new_collector_after_those_of_the_first() {
     run(async {
         let (node, socket) = (node(100), socket().await);
         handle_datagram(
             &node,
             &socket,
-            relays(&node, "vm-2", AT, vec![(AT + 1, RelayedChange::Config(0))]),
+            store_report_from(
+                &node,
+                "vm-2",
+                REVISION,
+                vec![(REVISION + 1, RelayedChange::Config(0))],
+            ),
         );
-        let leaves = vec![(AT + 2, RelayedChange::Server("i-1".into(), server(true)))];
-        handle_datagram(&node, &socket, relays(&node, "vm-3", AT + 1, leaves));
+        let leaves = vec![(REVISION + 2, RelayedChange::Server("i-1".into(), server(true)))];
+        handle_datagram(&node, &socket, store_report_from(&node, "vm-3", REVISION + 1, leaves));
         assert_eq!(usable(&node), ["i-2"]);
     });
 }
 
-// The next collector doesn't go back far enough: this VM missed the change in which the server said that it leaves. What
-// it is told is then no proof that nothing is newer, and it has to read the store itself.
+// The log of a new collector doesn't reach back far enough: this VM missed the change with which a server began to
+// leave. The report then doesn't confirm freshness, and this VM has to read the store itself.
 #[test]
-fn a_collector_that_lacks_what_came_before_proves_nothing() {
+fn a_report_with_missing_changes_does_not_confirm_freshness() {
     run(async {
         let (node, socket) = (node(100), socket().await);
-        let later = vec![(AT + 4, RelayedChange::ServerRemoved("i-2".into()))];
-        handle_datagram(&node, &socket, relays(&node, "vm-3", AT + 3, later));
-        assert_eq!(usable(&node), ["i-1", "i-2"], "a part without what came before isn't taken");
-        assert_eq!(node.store_view.borrow().reached().map(|it| it.0), Some(AT));
+        let later = vec![(REVISION + 4, RelayedChange::ServerRemoved("i-2".into()))];
+        handle_datagram(&node, &socket, store_report_from(&node, "vm-3", REVISION + 3, later));
+        assert_eq!(usable(&node), ["i-1", "i-2"], "changes after a gap aren't applied");
+        assert_eq!(node.store_view.borrow().reached().map(|it| it.0), Some(REVISION));
         assert!(!node.was_proved());
     });
 }
 
-// The same datagram with nothing missing does prove it, once there is a configuration.
+// The same report without a gap confirms freshness once this VM has a configuration.
 #[test]
-fn a_collector_that_lacks_nothing_proves_it() {
+fn a_report_without_missing_changes_confirms_freshness() {
     run(async {
         let (node, socket) = (node(100), socket().await);
         node.apply_config(config(1));
-        let leaves = vec![(AT + 1, RelayedChange::ServerRemoved("i-2".into()))];
-        handle_datagram(&node, &socket, relays(&node, "vm-3", AT, leaves));
+        let leaves = vec![(REVISION + 1, RelayedChange::ServerRemoved("i-2".into()))];
+        handle_datagram(&node, &socket, store_report_from(&node, "vm-3", REVISION, leaves));
         assert!(node.was_proved());
     });
 }
--- a/crates/quincevalve_node/src/peers/send.rs
+++ b/crates/quincevalve_node/src/peers/send.rs
@@ -1,4 +1,4 @@
-//! What this VM tells others, several times a second.
+//! Sends datagrams to other VMs, several times a second.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -23,37 +23,38 @@
     store::view::MAX_BATCH_BYTES,
 };
 
-/// Time between two digests. Loads and quotas are known everywhere after three of them at most.
+/// Length of a period, the interval between two digests. Loads and spending reach all VMs within three digests.
 pub(super) const DIGEST_INTERVAL: Duration = Duration::from_millis(60);
 
 const PERIODS_PER_SECOND: f64 = 1_000.0 / DIGEST_INTERVAL.as_millis() as f64;
 
-/// Periods between two questions to a collector that was silent.
+/// Periods between two attempts to contact a silent preferred collector.
 const COLLECTOR_PROBE_PERIODS: u32 = 32;
 
-/// Periods between two digests of a VM that has taken on and ended nothing meanwhile: two of them may be lost before others
-/// take it for gone, and each tells when the store answered.
+/// Maximum number of periods between two digests of a member whose partial sum doesn't change. Two such digests may be
+/// lost before other VMs consider the member gone, and each reports when the store answered.
 const MAX_UNCHANGED_PERIODS: u32 = CONTACT_PERIODS;
-/// The part of what accounts spent at the last news below which it has faded.
+/// Fraction of the spending at the last change at or below which spending counts as decayed.
 const DECAYED_FRACTION: f64 = 0.1;
-/// Periods after which what others told is taken over though nothing new was heard: it may be too old to count.
+/// Periods after which the peers' sums are applied again although no new ones were received: some may have expired.
 const SUMS_REFRESH_PERIODS: u32 = 4;
 
-/// Periods between two digests of when the store answered: an eighth of the gap that counts as an outage.
+/// Periods between two reports of when the store answered: an eighth of the shortest outage in which entries expire.
 const CONTACT_PERIODS: u32 = 4;
 
-/// Servers of which one datagram has news at most: with names of forty bytes it stays below half of the largest.
+/// Maximum number of servers whose signals one datagram reports. With names of 40 bytes, the datagram stays below half
+/// of the largest.
 const MAX_REPORTS_PER_DATAGRAM: usize = 400;
 
-/// The key of the order of VMs by which limits that servers name are divided.
+/// Key of the ranking of VMs by which the limits that servers state are divided.
 const LIMIT_RANK_KEY: u64 = 0;
 
-/// Periods between two digests of usage, which is needed by the second.
+/// Periods between two reports of usage, which is needed at a resolution of 1 s.
 const USAGE_PERIODS: u32 = 12;
 
-/// Tells peers, for as long as the process lives.
+/// Sends digests, signals, usage and messages about poisonous requests to peers for as long as the process lives.
 pub(crate) async fn send_digests(node: Rc<Node>, socket: Rc<UdpSocket>) {
-    for turn in 0_u32.. {
+    for period in 0_u32.. {
         let now = clock::now();
         node.wall.borrow_mut().record(String::new(), clock::wall_ms(), now);
         for expired in node.peers.borrow_mut().table.remove_expired(now) {
@@ -61,17 +62,18 @@
             node.wall.borrow_mut().forget(&expired);
         }
         node.backends.sweep();
-        if node.peers.borrow_mut().take_has_new_sums() || turn.is_multiple_of(SUMS_REFRESH_PERIODS)
+        if node.peers.borrow_mut().take_has_new_sums()
+            || period.is_multiple_of(SUMS_REFRESH_PERIODS)
         {
             apply_peer_sums(&node, now);
         }
-        send_load_digests(&node, &socket, turn, now);
+        send_load_digests(&node, &socket, period, now);
         send_poison(&node, &socket, now);
         send_signals(&node, &socket, now);
-        if turn % COLLECTOR_PROBE_PERIODS == 0 {
+        if period % COLLECTOR_PROBE_PERIODS == 0 {
             probe_preferred_collector(&node, &socket, now);
         }
-        if turn % USAGE_PERIODS == 0 {
+        if period % USAGE_PERIODS == 0 {
             send_usage(&node, &socket);
             log_suppressed_lines(&node);
         }
@@ -79,7 +81,7 @@
     }
 }
 
-/// Says how many lines of requests were not written since the last time.
+/// Logs how many log lines were suppressed since the last call.
 fn log_suppressed_lines(node: &Node) {
     let lines = node.lines.borrow_mut().take_suppressed();
     if lines > 0 {
@@ -88,7 +90,8 @@
     }
 }
 
-/// Makes what others told the load that placements see.
+/// Applies the sums that peers reported: to quotas, limits, measured demand, roll-outs and the load that placements
+/// use.
 fn apply_peer_sums(node: &Node, now: TimePoint) {
     let peer_sum = node.peers.borrow().peer_sum(now);
     let reachable_fraction = (f64::from(peer_sum.vms + 1) / node.vms() as f64).min(1.0);
@@ -112,7 +115,7 @@
     node.servers.borrow_mut().set_peer_work(&peer_sum.server_work, now);
 }
 
-/// Measures the work that all VMs take on, whoever holds the duties: the next holder plans by it at once.
+/// Measures the demand at all VMs. Every VM does so, so that the next holder of the duties can plan at once.
 fn measure_demand(node: &Node, now: TimePoint) {
     let Some(config) = node.config() else { return };
     let fraction = node.peers.borrow().reachable_fraction();
@@ -122,6 +125,7 @@
     }
 }
 
+/// Returns this VM's own partial sum.
 fn own_partial_sum(node: &Node) -> PartialSum {
     let now = clock::now();
     let demand = node.demand.borrow();
@@ -136,22 +140,24 @@
     }
 }
 
-/// A digest for the VM at an address.
+/// The address of a VM, with the scope and the sum of its digest.
 type Outgoing = (SocketAddr, Scope, PartialSum);
 
-fn send_load_digests(node: &Node, socket: &UdpSocket, turn: u32, now: TimePoint) {
+/// Sends this period's digests to the collector, or to members and other collectors.
+fn send_load_digests(node: &Node, socket: &UdpSocket, period: u32, now: TimePoint) {
     let own = own_partial_sum(node);
     let config = node.config();
     let mut peers = node.peers.borrow_mut();
     let members = peers.members.fresh_senders(now).count();
-    // Members that are told by turns hear of the store each time: their turns may never be those of the others.
+    // Members that don't get a digest in each period get the store contact with each digest: the periods in which they
+    // are due may never be multiples of `CONTACT_PERIODS`.
     let is_staggered = peers.pace.periods_between_digests(members, PERIODS_PER_SECOND) > 1;
     let sent = match peers.table.role(members > 0, now) {
         Role::Member { address, .. } => {
-            own_digest(&mut peers, own, address, turn).into_iter().collect()
+            own_digest(&mut peers, own, address, period).into_iter().collect()
         }
         Role::Collector { others } => {
-            collector_digests(&peers, own, &others, config.as_deref(), turn, now)
+            collector_digests(&peers, own, &others, config.as_deref(), period, now)
         }
     };
     drop(peers);
@@ -159,7 +165,7 @@
     let relays_store = node.relays_store();
     for (address, scope, sum) in sent {
         let with_contact =
-            turn.is_multiple_of(CONTACT_PERIODS) || (is_staggered && scope == Scope::Rest);
+            period.is_multiple_of(CONTACT_PERIODS) || (is_staggered && scope == Scope::Rest);
         let store_contact = contact.filter(|_| with_contact);
         let reports_store = relays_store && scope != Scope::Own;
         let store_report = if reports_store { store_report_for(node, address, now) } else { None };
@@ -178,14 +184,16 @@
     }
 }
 
-/// What a member tells its collector in this period: nothing while there is no news, but for every few periods.
+/// Returns the digest of a member to its collector in this period. While nothing changes, there is one only every
+/// `MAX_UNCHANGED_PERIODS` periods.
 ///
-/// What an account spends is a rate that fades. Who stops telling it while it is high has it counted on at its full height.
+/// The spending of an account is a decaying rate. If a member stopped reporting it while it is high, the other VMs
+/// would keep counting the high value.
 fn own_digest(
     peers: &mut Peers,
     own: PartialSum,
     address: SocketAddr,
-    turn: u32,
+    period: u32,
 ) -> Option<Outgoing> {
     let spent: f64 = own.spending.values().sum();
     let has_changed = peers.has_own_change(&own);
@@ -193,20 +201,20 @@
         peers.spending_at_last_change = spent;
     }
     let has_decayed = spent <= DECAYED_FRACTION * peers.spending_at_last_change;
-    if !has_changed && has_decayed && !turn.is_multiple_of(MAX_UNCHANGED_PERIODS) {
+    if !has_changed && has_decayed && !period.is_multiple_of(MAX_UNCHANGED_PERIODS) {
         return None;
     }
     peers.last_own_report = Some(own.clone());
     Some((address, Scope::Own, own))
 }
 
-/// What a collector tells its members and the other collectors in this period.
+/// Returns the digests of a collector to its members and the other collectors in this period.
 fn collector_digests(
     peers: &Peers,
     own: PartialSum,
     others: &[SocketAddr],
     config: Option<&ForwardingConfig>,
-    turn: u32,
+    period: u32,
     now: TimePoint,
 ) -> Vec<Outgoing> {
     let mut sum = own;
@@ -219,7 +227,7 @@
         all.drop_low_spending(config);
     }
     let members: Vec<_> = peers.members.fresh_senders(now).collect();
-    let is_due = |at| peers.pace.is_due(at, turn, members.len(), PERIODS_PER_SECOND);
+    let is_due = |at| peers.pace.is_due(at, period, members.len(), PERIODS_PER_SECOND);
     let due = members.iter().enumerate().filter(|(at, _)| is_due(*at));
     let to_members = due.filter_map(|(_, member)| {
         let address = peers.member_addresses.get(*member)?;
@@ -230,8 +238,8 @@
     to_members.chain(to_collectors).collect()
 }
 
-/// Asks the best collector of the data centre again, if it was silent. The share is empty: the VM's own is
-/// counted where it is told now.
+/// Sends an empty digest to the preferred collector of the data centre if it was silent. The digest is empty because
+/// this VM's partial sum is already counted by its current collector.
 fn probe_preferred_collector(node: &Node, socket: &UdpSocket, now: TimePoint) {
     let better = node.peers.borrow().table.preferred_collector(now);
     let Some(address) = better else { return };
@@ -241,13 +249,15 @@
     send(node, socket, address, content);
 }
 
+/// Returns the newest span in which the store answered, for a digest.
 fn contact_to_report(node: &Node, now: TimePoint) -> Option<ReportedContact> {
     let contact = node.store_contact.get().newest_span()?;
     let age = now.since(contact.newest);
     Some(ReportedContact { age, uninterrupted: contact.newest.since(contact.since) })
 }
 
-/// What a VM that knows the store passes on to another.
+/// Returns the changes of the store that the VM at `to` lacks; `None` without a freshness confirmation of this VM or a
+/// known revision of the other, and if this VM's log doesn't reach back to that revision.
 fn store_report_for(node: &Node, to: SocketAddr, now: TimePoint) -> Option<StoreReport> {
     let age = node.freshness.get().age(now)?;
     let version = node.config()?.version.max(node.told_version.get());
@@ -261,8 +271,7 @@
     Some(StoreReport { age, version, after, upto, changes })
 }
 
-/// Tells usage to the holder of the duties; in a small system to everyone, so that a successor
-/// knows them at once.
+/// Sends this VM's usage to the holder of the duties, in a small system to all VMs, so that a successor has it at once.
 fn send_usage(node: &Node, socket: &UdpSocket) {
     let addresses = {
         let peers = node.peers.borrow();
@@ -282,7 +291,7 @@
     }
 }
 
-/// Tells what there is to tell of requests under which servers exit.
+/// Sends the messages that are due about requests under which servers exit, and writes new quarantine entries.
 fn send_poison(node: &Node, socket: &UdpSocket, now: TimePoint) {
     if !node.poison.borrow().is_due(now) {
         return;
@@ -295,7 +304,7 @@
     };
     for (name, message) in messages {
         let address = node.peers.borrow().table.descriptor(&name).map(|it| it.address);
-        // A VM that was forgotten meanwhile hears of it from the store when it is back.
+        // A VM that was removed from the table meanwhile learns of the quarantine from the store when it returns.
         let Some(address) = address else { continue };
         send(node, socket, address, Content::Poison(message));
     }
@@ -304,7 +313,7 @@
     }
 }
 
-/// Tells what servers said of themselves and others don't know yet.
+/// Sends the signals of servers that are due to be reported to other VMs.
 fn send_signals(node: &Node, socket: &UdpSocket, now: TimePoint) {
     let (for_collectors, for_members) = {
         let mut outbox = node.signal_outbox.borrow_mut();
@@ -327,6 +336,7 @@
     send_signal_reports(node, socket, Scope::Rest, for_members, &members);
 }
 
+/// Sends the current signals of these servers to the given addresses.
 fn send_signal_reports(
     node: &Node,
     socket: &UdpSocket,
@@ -345,7 +355,7 @@
     }
 }
 
-/// Asks a VM for parts of what it knows of the store.
+/// Requests chunks of a VM's copy of the store's state.
 pub(crate) fn request_state(
     node: &Node,
     socket: &UdpSocket,
@@ -355,7 +365,7 @@
     send(node, socket, address, Content::StateRequest(request));
 }
 
-/// Sends a datagram and returns its length.
+/// Sends a datagram and returns its length in bytes; 0 if it can't be encoded.
 pub(super) fn send(
     node: &Node,
     socket: &UdpSocket,
@@ -383,7 +393,7 @@
         content,
     };
     match encoding().serialize(&datagram) {
-        // A datagram that can't be sent is like one that is lost.
+        // A datagram that can't be sent is treated like a lost one.
         Ok(bytes) => {
             if let Err(error) = socket.try_send_to(&bytes, address) {
                 log::debug!(peer:% = address, error:% = error; "send-failed");
--- a/crates/quincevalve_node/src/signal_reports.rs
+++ b/crates/quincevalve_node/src/signal_reports.rs
@@ -1,4 +1,4 @@
-//! What servers say of themselves, on its way between VMs.
+//! Reports of servers' signals between VMs.
 
 use quincevalve_forwarding::{
     server_signals::{ReportedSignals, RequestRate, SignalUpdate},
@@ -9,10 +9,10 @@
 
 use crate::{clock, node::Node};
 
-/// What one start of a server said of itself.
+/// The signals of one start of a server.
 pub(crate) type SignalReport = (BackendServerName, ServerStart, ReportedSignals);
 
-/// Notes what a server said that wasn't known here, and has other VMs told.
+/// Logs an update of a server's signals and queues it for other VMs. Does nothing if the update is empty.
 pub(crate) fn publish_signals(
     node: &Node,
     key: ServerKey,
@@ -35,7 +35,7 @@
     node.signal_outbox.borrow_mut().push(key, from);
 }
 
-/// Takes what servers said to other VMs.
+/// Applies signals that other VMs report.
 pub(crate) fn apply_signal_reports(node: &Node, reports: Vec<SignalReport>, from: SignalSource) {
     let now = clock::now();
     let mut servers = node.servers.borrow_mut();
@@ -46,7 +46,7 @@
     }
 }
 
-/// What is known of servers now, to tell others.
+/// Returns the current signals of these servers, for other VMs.
 pub(crate) fn signal_reports_of(node: &Node, keys: Vec<ServerKey>) -> Vec<SignalReport> {
     let now = clock::now();
     let servers = node.servers.borrow();
--- a/crates/quincevalve_node/src/store.rs
+++ b/crates/quincevalve_node/src/store.rs
@@ -1,7 +1,7 @@
 //! Follows the platform's key-value store.
 //!
-//! [`sync`] reads changes from the store; [`view`] applies them and logs them for relaying to other VMs. [`state_copy`] and
-//! [`config_copy`] fetch state and configurations from other VMs instead.
+//! [`sync`] reads changes from the store; [`view`] applies them and logs them for relaying to other VMs. [`state_copy`]
+//! and [`config_copy`] fetch state and configurations from other VMs instead.
 
 pub(crate) mod config_copy;
 pub(crate) mod state_copy;
--- a/crates/quincevalve_node/src/store/config_copy/tests.rs
+++ b/crates/quincevalve_node/src/store/config_copy/tests.rs
@@ -32,8 +32,8 @@
     ForwardingConfig::new(version, Vec::new(), IndexMap::new(), accounts, limits)
 }
 
-// The store rejects a VM while a key is removed: the VM knows of a newer configuration that it can't read and would reject
-// all callers with keys for 4 s. It requests the configuration from another VM, and again after a lost chunk.
+// The store rejects a VM while a key is removed: the VM knows of a newer configuration that it can't read and would
+// reject all callers with keys for 4 s. It requests the configuration from another VM, and again after a lost chunk.
 #[test]
 fn fetches_the_configuration_from_another_vm_when_the_store_rejects_this_one() {
     run(|| {
--- a/crates/quincevalve_node/src/store/state_copy.rs
+++ b/crates/quincevalve_node/src/store/state_copy.rs
@@ -1,8 +1,8 @@
 //! Copies the store's state from another VM of the data centre to a starting VM.
 //!
-//! After a power loss hundreds of VMs start together. If each read the whole store, the store's link would carry the whole
-//! list once for each VM, and every caller would be rejected until then. So a starting VM reads only the entries of its own
-//! data centre and requests the rest from one of the strongest VMs.
+//! After a power loss hundreds of VMs start together. If each read the whole store, the store's link would carry the
+//! whole list once for each VM, and every caller would be rejected until then. So a starting VM reads only the entries
+//! of its own data centre and requests the rest from one of the strongest VMs.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -44,8 +44,8 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Maximum number of sources besides the strongest VMs of the data centre.
 const MAX_OTHER_SOURCES: usize = 12;
-/// Minimum interval between two answers to first requests of one VM. A requester retries before the answer can have arrived,
-/// and duplicate answers would delay those to other VMs.
+/// Minimum interval between two answers to first requests of one VM. A requester retries before the answer can have
+/// arrived, and duplicate answers would delay those to other VMs.
 const MIN_ANSWER_INTERVAL: Duration = Duration::from_millis(120);
 /// Minimum interval between two encodings of the state for first requests.
 const ENCODE_INTERVAL: Duration = Duration::from_millis(200);
@@ -83,8 +83,8 @@
     chunks: Vec<Chunk>,
 }
 
-/// Fetches the store's state from another VM. Returns without it if there is no source or no source answers in time; this VM
-/// then has to read the store itself.
+/// Fetches the store's state from another VM. Returns without it if there is no source or no source answers in time;
+/// this VM then has to read the store itself.
 pub(crate) async fn fetch_state<S>(node: &Node, store: &S, socket: &UdpSocket)
 where
     S: PlatformStore,
@@ -210,8 +210,8 @@
     }
 }
 
-/// Receives a chunk of another VM's state and returns the request for the next chunks. The last missing chunk applies the
-/// state, with `confirmed_at` as its freshness confirmation.
+/// Receives a chunk of another VM's state and returns the request for the next chunks. The last missing chunk applies
+/// the state, with `confirmed_at` as its freshness confirmation.
 pub(crate) fn receive_chunk(
     node: &Node,
     chunk: Chunk,
--- a/crates/quincevalve_node/src/store/state_copy/tests.rs
+++ b/crates/quincevalve_node/src/store/state_copy/tests.rs
@@ -83,8 +83,8 @@
     chunks_for(node, "vm-new#1", clock::now()).into_iter().map(|(_, chunk)| chunk).collect()
 }
 
-// After a power loss the store would have to send the whole list to each VM, and every caller would be rejected for most of
-// a second. A starting VM gets the state from another VM instead, including servers that leave.
+// After a power loss the store would have to send the whole list to each VM, and every caller would be rejected for
+// most of a second. A starting VM gets the state from another VM instead, including servers that leave.
 #[test]
 fn a_starting_vm_copies_the_state_of_another() {
     run(|| {
@@ -111,8 +111,8 @@
     });
 }
 
-// Requests would reach a server that left if the copied state were older than its freshness confirmation says. A VM serves
-// no state without a recent confirmation, nor while it lacks a configuration that other VMs have.
+// Requests would reach a server that left if the copied state were older than its freshness confirmation says. A VM
+// serves no state without a recent confirmation, nor while it lacks a configuration that other VMs have.
 #[test]
 fn does_not_serve_state_without_a_recent_confirmation() {
     run(|| {
@@ -126,8 +126,8 @@
     });
 }
 
-// After a lost chunk, the next answer may be another version of the state or come from another VM. Chunks of two versions
-// must not be assembled into one state.
+// After a lost chunk, the next answer may be another version of the state or come from another VM. Chunks of two
+// versions must not be assembled into one state.
 #[test]
 fn does_not_assemble_chunks_of_two_answers() {
     run(|| {
@@ -178,8 +178,8 @@
     });
 }
 
-// When hundreds of VMs start, a few have the state. If these sent it to all at once, no VM would receive all of it in time,
-// and each would read the store.
+// When hundreds of VMs start, a few have the state. If these sent it to all at once, no VM would receive all of it in
+// time, and each would read the store.
 #[test]
 fn redirects_requests_while_its_link_is_busy() {
     run(|| {
--- a/crates/quincevalve_node/src/store/sync.rs
+++ b/crates/quincevalve_node/src/store/sync.rs
@@ -27,8 +27,8 @@
 const INITIAL_READ_TIMEOUT: Duration = Duration::from_millis(400);
 /// Delay before a VM reads the store at the first start of the whole system.
 ///
-/// Hundreds of VMs start at once while the store holds no configuration and no VM yet, and each would poll it until it does.
-/// After the delay the VMs know of each other and a few read the store for all, in time for the first callers.
+/// Hundreds of VMs start at once while the store holds no configuration and no VM yet, and each would poll it until it
+/// does. After the delay the VMs know of each other and a few read the store for all, in time for the first callers.
 const FIRST_START_DELAY: Duration = Duration::from_millis(2_500);
 /// Interval at which completion of the first read is polled.
 const INITIAL_READ_POLL_INTERVAL: Duration = Duration::from_millis(20);
@@ -39,8 +39,8 @@
 const MAX_CHANGES_WAIT: Duration = Duration::from_millis(250);
 /// Interval at which a VM checks whether the reports of other VMs are new enough.
 const FRESHNESS_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Lifetime of this VM's entry: three renewal intervals, so that a slow store or a short outage doesn't remove it. Until the
-/// entry of a stopped VM expires, the others count that VM and its share of the quotas is unused.
+/// Lifetime of this VM's entry: three renewal intervals, so that a slow store or a short outage doesn't remove it.
+/// Until the entry of a stopped VM expires, the others count that VM and its share of the quotas is unused.
 const ENTRY_TTL: Duration = Duration::from_secs(12);
 /// Interval between two renewals of this VM's entry.
 const ENTRY_RENEWAL_INTERVAL: Duration = Duration::from_secs(4);
@@ -100,30 +100,31 @@
     }
 }
 
-/// Resets the number of failures and logs that they ended: the store answers again, or the reports of other VMs are enough.
+/// Resets the number of failures and logs that they ended: the store answers again, or the reports of other VMs are
+/// enough.
 fn log_regained(failures: &mut u32) {
     if std::mem::take(failures) > 0 {
         log::info!("store-regained");
     }
 }
 
-/// Begins a store outage if the store has answered neither this VM nor any VM in contact with it for so long that entries
-/// expire.
+/// Begins a store outage if the store has answered neither this VM nor any VM in contact with it for so long that
+/// entries expire.
 pub(crate) fn begin_outage_if_unreachable(node: &Node) {
     let Some(since) = node.store_contact.get().unreachable_since(clock::now()) else { return };
     node.servers.borrow_mut().begin_store_outage(since);
 }
 
-/// Records a span in which the store answered this VM or one in contact with it. Must be called before the content of the
-/// answer is applied: whether a removal may be an expiry depends on the span.
+/// Records a span in which the store answered this VM or one in contact with it. Must be called before the content of
+/// the answer is applied: whether a removal may be an expiry depends on the span.
 pub(crate) fn record_store_contact(node: &Node, span: ContactSpan) {
     let mut contact = node.store_contact.get();
     let update = contact.record(span);
     node.store_contact.set(contact);
     let now = clock::now();
     let mut servers = node.servers.borrow_mut();
-    // A VM that was cut off and began an outage may then learn of answers without a gap, which are no change of the contact.
-    // Without this check the outage would never end.
+    // A VM that was cut off and began an outage may then learn of answers without a gap, which are no change of the
+    // contact. Without this check the outage would never end.
     let is_reachable = contact.unreachable_since(now).is_none();
     match update {
         StoreUpdate::Unchanged if is_reachable && servers.is_store_unreachable() => {
@@ -154,8 +155,8 @@
 
 /// Reads the store and returns how recent the data is.
 ///
-/// The first full read may return data that is seconds old: that costs a tenth of a consistent read, and all VMs may start
-/// together. The changes since are requested at once, and only their answer confirms freshness.
+/// The first full read may return data that is seconds old: that costs a tenth of a consistent read, and all VMs may
+/// start together. The changes since are requested at once, and only their answer confirms freshness.
 async fn read_store<S>(
     node: &Node,
     store: &S,
@@ -170,8 +171,8 @@
         let wait = if node.was_proved() { MAX_CHANGES_WAIT } else { Duration::ZERO };
         let changes = store.changes(after, wait).await?;
         record_store_contact(node, ContactSpan::at(requested_at));
-        // When thousands of servers change at once, the answer holds only the first changes. Treated as the newest state,
-        // it would hide a configuration among the later changes, whose routes would be answered 404.
+        // When thousands of servers change at once, the answer holds only the first changes. Treated as the newest
+        // state, it would hide a configuration among the later changes, whose routes would be answered 404.
         let age = if changes.may_be_cut { ReadAge::MayBeOld } else { ReadAge::Newest };
         apply_changes(node, changes);
         return Ok(age);
@@ -211,8 +212,8 @@
     }
 }
 
-/// Records a freshness confirmation: the answer to a request sent at `requested_at` contained nothing newer than this VM's
-/// view.
+/// Records a freshness confirmation: the answer to a request sent at `requested_at` contained nothing newer than this
+/// VM's view.
 ///
 /// Does nothing if other VMs have a newer configuration, since relayed changes may have advanced the view past it.
 pub(crate) fn confirm_freshness(node: &Node, requested_at: TimePoint) {
@@ -247,8 +248,8 @@
     }
 }
 
-/// Waits for the first read of the store, up to a timeout, and returns the lease of the entry that the previous start of
-/// this VM left.
+/// Waits for the first read of the store, up to a timeout, and returns the lease of the entry that the previous start
+/// of this VM left.
 ///
 /// After a power loss all VMs may be back before their entries expire. Writing the same entry again takes two calls; a
 /// renewal of the existing lease costs a tenth of one.
--- a/crates/quincevalve_node/src/store/sync/tests.rs
+++ b/crates/quincevalve_node/src/store/sync/tests.rs
@@ -10,9 +10,9 @@
     TimePoint(clock::now().as_micros() - millis * 1_000)
 }
 
-// A VM that was cut off for a while assumes a store outage. The answers it then learns of leave no gap, so they don't count
-// as a return of the store. If the outage didn't end, requests would reach servers that left, and streams on these servers
-// wouldn't be migrated.
+// A VM that was cut off for a while assumes a store outage. The answers it then learns of leave no gap, so they don't
+// count as a return of the store. If the outage didn't end, requests would reach servers that left, and streams on
+// these servers wouldn't be migrated.
 #[test]
 fn cancels_the_outage_when_the_store_answered_other_vms() {
     run(|| {
@@ -40,8 +40,8 @@
     });
 }
 
-// When the VMs that read the store for the others stop, a follower reads it itself once its freshness confirmation is too
-// old, and not before.
+// When the VMs that read the store for the others stop, a follower reads it itself once its freshness confirmation is
+// too old, and not before.
 #[test]
 fn a_follower_reads_the_store_when_its_confirmation_is_too_old() {
     run(|| {
--- a/crates/quincevalve_node/src/store/view.rs
+++ b/crates/quincevalve_node/src/store/view.rs
@@ -23,7 +23,8 @@
     rollouts::{self, ROLLOUT_KEYS},
 };
 
-/// Prefix of the keys of entry VMs. The rest of a key is the data centre and the VM's name; the value is its descriptor.
+/// Prefix of the keys of entry VMs. The rest of a key is the data centre and the VM's name; the value is its
+/// descriptor.
 const PEER_KEYS: &str = "peers/";
 /// The key that the holder of the duties keeps under its lease; its value is the holder's name.
 pub(crate) const HOLDER_KEY: &str = "duty/holder";
@@ -123,8 +124,8 @@
         self.log.upto() > 0
     }
 
-    /// Returns the changes after `revision`, in at most `max_bytes`; `None` if the log doesn't hold them or the view isn't
-    /// complete.
+    /// Returns the changes after `revision`, in at most `max_bytes`; `None` if the log doesn't hold them or the view
+    /// isn't complete.
     pub(crate) fn changes_since(
         &self,
         revision: StoreRevision,
@@ -200,9 +201,10 @@
 /// Returns the differences between a snapshot and this VM's view as changes for other VMs; `None` before the first full
 /// read, and if the changes don't fit in a datagram.
 ///
-/// When the store drops its history, the VMs that read it for the others read all of it. If they had no changes to relay,
-/// each of hundreds of VMs would read the whole store, for longer than keys may be used without a freshness confirmation,
-/// and all callers would be rejected. With the differences, the other VMs continue from the revision they have.
+/// When the store drops its history, the VMs that read it for the others read all of it. If they had no changes to
+/// relay, each of hundreds of VMs would read the whole store, for longer than keys may be used without a freshness
+/// confirmation, and all callers would be rejected. With the differences, the other VMs continue from the revision they
+/// have.
 fn differences(node: &Node, snapshot: &Snapshot) -> Option<Vec<RelayedChange>> {
     let view = node.store_view.borrow();
     if !view.was_ever_read() || snapshot.at.0 < view.log.upto() {
@@ -373,8 +375,8 @@
 /// relay newer changes, and the older answer would bring back a removed server.
 ///
 /// Changes up to the newest item of the last full read are logged even if they change nothing here. A full read takes
-/// several pages, and a later page may contain changes made after the first page was read. If these weren't relayed, other
-/// VMs would look up to date and use a server that leaves.
+/// several pages, and a later page may contain changes made after the first page was read. If these weren't relayed,
+/// other VMs would look up to date and use a server that leaves.
 fn apply_relayed(node: &Node, relayed: Vec<(u64, RelayedChange)>, upto: StoreRevision) {
     let reached = node.store_view.borrow().reached().map_or(0, |it| it.0);
     let full_read_upto = node.store_view.borrow().full_read_upto.0;
--- a/crates/quincevalve_node/src/store/view/tests.rs
+++ b/crates/quincevalve_node/src/store/view/tests.rs
@@ -25,8 +25,8 @@
     RelayedChange::Own { key: key.to_owned(), value: vec![0; bytes] }
 }
 
-// All VMs would learn late of servers that leave if the counts that the holder of the duties stores for its successor filled
-// the datagrams.
+// All VMs would learn late of servers that leave if the counts that the holder of the duties stores for its successor
+// filled the datagrams.
 #[test]
 fn relays_only_keys_that_other_vms_need() {
     assert!(own("peers/vm-1", 100).is_needed_by_peers());
@@ -52,9 +52,9 @@
     }
 }
 
-// The VM that reads the store for others reads it in pages, and a server begins to leave between two pages, so that a later
-// page contains the change. The change is then not new to the reader; if it weren't relayed, VMs that look up to date would
-// keep sending requests to the server.
+// The VM that reads the store for others reads it in pages, and a server begins to leave between two pages, so that a
+// later page contains the change. The change is then not new to the reader; if it weren't relayed, VMs that look up to
+// date would keep sending requests to the server.
 #[test]
 fn relays_changes_made_during_a_full_read() {
     run(|| {
@@ -94,8 +94,8 @@
     Snapshot { own: vec![item], at: StoreRevision(7), ..Snapshot::default() }
 }
 
-// After a power loss all VMs are back at once, and each would write an entry that still exists. A VM renews the lease of its
-// entry instead, unless the entry differs, for instance in the address.
+// After a power loss all VMs are back at once, and each would write an entry that still exists. A VM renews the lease
+// of its entry instead, unless the entry differs, for instance in the address.
 #[test]
 fn keeps_the_lease_of_an_equal_entry_after_a_restart() {
     run(|| {
@@ -154,8 +154,8 @@
     node
 }
 
-// Each change by which a VM that reads the store can learn that a server leaves, alone. If one were lost, requests would
-// keep reaching the server.
+// Each change by which a VM that reads the store can learn that a server leaves, alone. If one were lost, requests
+// would keep reaching the server.
 #[test]
 fn a_leaving_server_is_unusable_after_each_kind_of_change() {
     run(|| {
@@ -190,10 +190,7 @@
 fn a_leaving_server_is_unusable_after_a_full_read() {
     let snapshots = [
         Snapshot { servers: vec![("i-1".into(), draining())], ..Snapshot::default() },
-        Snapshot {
-            unreadable: vec![("i-1".into(), "spoiled".to_owned())],
-            ..Snapshot::default()
-        },
+        Snapshot { unreadable: vec![("i-1".into(), "spoiled".to_owned())], ..Snapshot::default() },
         Snapshot::default(),
     ];
     for snapshot in snapshots {
@@ -224,8 +221,8 @@
     });
 }
 
-// A VM that starts after the store has dropped its history, when no other VM knows of a quarantine, can learn of it only
-// from the full read.
+// A VM that starts after the store has dropped its history, when no other VM knows of a quarantine, can learn of it
+// only from the full read.
 #[test]
 fn a_full_read_applies_a_quarantine() {
     run(|| {
@@ -257,8 +254,8 @@
     OwnItem { key: peer_key(&descriptor), value, revision: StoreRevision(110), lease: None }
 }
 
-// When the store drops its history, the VMs that read it for the others do a full read. Without the differences to relay,
-// each of 1,000 VMs would read the whole store, for 8 s, and all callers would be rejected.
+// When the store drops its history, the VMs that read it for the others do a full read. Without the differences to
+// relay, each of 1,000 VMs would read the whole store, for 8 s, and all callers would be rejected.
 #[test]
 fn other_vms_continue_from_their_revision_after_the_history_is_dropped() {
     run(|| {
--- a/crates/quincevalve_node/tests/old_copy.rs
+++ b/crates/quincevalve_node/tests/old_copy.rs
@@ -1,4 +1,4 @@
-//! A VM that starts from a copy of the store that is old.
+//! A VM that starts from a stale read of the store.
 
 mod support;
 
@@ -7,16 +7,16 @@
 use support::{Arrival, Reply, Vm, World, exchange, get, metric, request, run, sealed};
 use tokio::time::sleep;
 
-/// Pause between two looks at a condition.
-const LOOK: Duration = Duration::from_millis(5);
-/// Requests that two idle servers share: that one of them gets none by chance happens once in half a million times.
+/// Interval at which a condition is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Number of requests. If two idle servers shared them, one would get none with a probability of 1 in 500,000.
 const REQUESTS: usize = 20;
 
-// Requests reach a server that left: a VM starts while the store is slow, and the copy that it reads first still lists the
-// server. Until the store has told what changed since, the VM says that it isn't ready and refuses what comes all the
-// same, with the word that it has not run; afterwards it uses the other server only.
+// A VM starts while the store is slow, and its first, stale read still lists a server that left. Until the store has
+// returned the changes since, the VM isn't ready and rejects requests, with the statement that they haven't run;
+// afterwards it uses only the other server.
 #[test]
-fn a_vm_serves_nothing_before_it_knows_what_changed_since() {
+fn a_vm_serves_nothing_before_it_has_the_changes_since_its_first_read() {
     run(async {
         let script = |_, it: &Arrival| Reply::Send(sealed(it, "200 OK", "done"));
         let mut world = World::start(2, script).await;
@@ -24,7 +24,7 @@
         world.store.hold_changes(true);
         let vm = Vm::begin("vm-2", world.store.for_another_vm()).await;
         while vm.metric("quincevalve_servers").await != Some(2) {
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
         for path in ["/once/7", "/safe/7", "/open/7"] {
             let answer = exchange(vm.front, &request(path, "id-early", "")).await;
@@ -32,13 +32,13 @@
             assert!(answer.contains("retry-after: "), "{answer}");
         }
         assert!(get(vm.ready, "/readyz").await.starts_with("HTTP/1.1 503"));
-        assert!(world.arrived().is_empty(), "it has not run");
+        assert!(world.arrived().is_empty(), "no request has run");
         world.store.hold_changes(false);
         while metric(vm.metrics, "quincevalve_servers").await != Some(1) {
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
         while !get(vm.ready, "/readyz").await.starts_with("HTTP/1.1 200") {
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
         for at in 0..REQUESTS {
             let answer = exchange(vm.front, &request("/once/7", &format!("id-{at}"), "")).await;
@@ -46,6 +46,6 @@
         }
         let arrivals = world.arrived();
         assert_eq!(arrivals.len(), REQUESTS);
-        assert!(arrivals.iter().all(|it| it.server == 0), "it has left");
+        assert!(arrivals.iter().all(|it| it.server == 0), "a request reached the server that left");
     });
 }
--- a/crates/quincevalve_node/tests/start_together.rs
+++ b/crates/quincevalve_node/tests/start_together.rs
@@ -1,4 +1,4 @@
-//! VMs that start where many others are.
+//! VMs that start in a data centre with many other VMs.
 
 mod support;
 
@@ -7,13 +7,13 @@
 use support::{Arrival, FakeStore, Reply, Vm, World, exchange, request, run, sealed};
 use tokio::time::sleep;
 
-/// From so many VMs in a data centre on, those that start ask others.
-const MANY: usize = 12;
+/// Minimum number of VMs in a data centre with which starting VMs copy the state from others.
+const MIN_VMS_FOR_STATE_COPY: usize = 12;
 
-/// VMs of a data centre that read the store for those that start.
-const READERS: usize = 3;
-/// Pause between two looks at a condition.
-const LOOK: Duration = Duration::from_millis(20);
+/// Maximum number of VMs of a data centre that read the store for those that start.
+const MAX_READERS: usize = 3;
+/// Interval at which a condition is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 async fn serves(vm: &Vm, id: &str) -> bool {
     let answer = exchange(vm.front, &request("/once/7", id, "")).await;
@@ -25,20 +25,20 @@
     (Vm::start(name, store.clone()).await, store)
 }
 
-// All callers are refused for most of a second: all VMs were killed, start together, and the store's link carries the whole
-// list once for each of them. Those that start where many are known read nothing but the names of their data centre, and
-// serve by what the others know.
+// When all VMs were killed and start together, the store's link would carry the whole list once for each of them, and
+// all callers would be rejected for most of a second. VMs that start where many are known read only the entries of
+// their data centre and copy the state from other VMs.
 #[test]
 fn a_vm_among_many_starts_without_reading_the_whole_store() {
     run(async {
         let script = |_, it: &Arrival| Reply::Send(sealed(it, "200 OK", "done"));
         let world = World::start(2, script).await;
         let mut others = Vec::new();
-        for at in 2..=MANY {
+        for at in 2..=MIN_VMS_FOR_STATE_COPY {
             others.push(start(&world, &format!("vm-{at}")).await);
         }
         let read = others.iter().map(|(_, store)| store.whole_readings()).sum::<usize>();
-        assert_eq!(read, MANY - 1, "few are known yet");
+        assert_eq!(read, MIN_VMS_FOR_STATE_COPY - 1, "few are known yet");
         for at in 0..3 {
             let (vm, store) = start(&world, &format!("late-{at}")).await;
             assert!(serves(&vm, &format!("id-{at}")).await);
@@ -48,26 +48,27 @@
     });
 }
 
-// The same where the strongest VMs, which would be asked, are gone and their entries still stand: the VM gets it from another.
+// The strongest VMs, which are the first sources, are gone while their entries remain. The VM copies the state from
+// another.
 #[test]
-fn a_vm_whose_elders_are_gone_asks_another() {
+fn copies_the_state_from_another_vm_when_the_strongest_are_gone() {
     run(async {
         let script = |_, it: &Arrival| Reply::Send(sealed(it, "200 OK", "done"));
         let world = World::start(2, script).await;
-        world.store.list_dead_vms(MANY as u16);
+        world.store.list_dead_vms(MIN_VMS_FOR_STATE_COPY as u16);
         let (vm, store) = start(&world, "vm-2").await;
         assert!(serves(&vm, "id-1").await);
         assert_eq!(store.whole_readings(), 0);
     });
 }
 
-// The same where all are gone: the VM reads the store itself rather than wait for them.
+// All sources are gone while their entries remain. The VM reads the store itself instead of waiting for them.
 #[test]
-fn a_vm_whose_elders_are_gone_reads_the_store_itself() {
+fn reads_the_store_when_all_sources_are_gone() {
     run(async {
         let script = |_, it: &Arrival| Reply::Send(sealed(it, "200 OK", "done"));
         let world = World::start(2, script).await;
-        world.store.list_dead_vms(MANY as u16);
+        world.store.list_dead_vms(MIN_VMS_FOR_STATE_COPY as u16);
         world.store.remove_vm("vm-1");
         let (vm, store) = start(&world, "vm-2").await;
         assert!(serves(&vm, "id-1").await);
@@ -75,23 +76,25 @@
     });
 }
 
-// Hundreds of VMs start for the first time, and each asks the store until it holds a configuration and the others' entries.
+// Hundreds of VMs start for the first time. Each would poll the store until it holds a configuration and the entries of
+// the other VMs.
 #[test]
-fn a_first_start_of_many_reads_the_store_a_few_times() {
+fn a_first_start_of_many_vms_reads_the_store_a_few_times() {
     run(async {
         let script = |_, it: &Arrival| Reply::Send(sealed(it, "200 OK", "done"));
         let world = World::start(2, script).await;
-        let stores: Vec<_> = (0..=MANY).map(|_| world.store.for_another_vm()).collect();
+        let stores: Vec<_> =
+            (0..=MIN_VMS_FOR_STATE_COPY).map(|_| world.store.for_another_vm()).collect();
         let mut vms = Vec::new();
         for (at, store) in stores.iter().enumerate() {
             vms.push(Vm::begin_first(&format!("first-{at}"), store.clone()).await);
         }
         for (at, vm) in vms.iter().enumerate() {
             while !serves(vm, &format!("id-{at}")).await {
-                sleep(LOOK).await;
+                sleep(POLL_INTERVAL).await;
             }
         }
         let read: usize = stores.iter().map(FakeStore::whole_readings).sum();
-        assert!(read <= READERS, "{read} of {}", stores.len());
+        assert!(read <= MAX_READERS, "{read} of {}", stores.len());
     });
 }
