--- a/crates/quincevalve_node/src/peers/send/tests.rs
+++ b/crates/quincevalve_node/src/peers/send/tests.rs
@@ -27,7 +27,7 @@
 
 fn partial_sum(servers: impl Iterator<Item = u64>) -> PartialSum {
     let server_work = servers.map(|it| (hash_text(&it.to_string()), work(1))).collect();
-    PartialSum { vms: 1, server_work: server_work, ..PartialSum::default() }
+    PartialSum { vms: 1, server_work, ..PartialSum::default() }
 }
 
 /// Returns the periods, of twenty, in which a member sends its partial sum.
--- a/crates/quincevalve_node/src/store/sync.rs
+++ b/crates/quincevalve_node/src/store/sync.rs
@@ -149,8 +149,8 @@
     let has_full_state = node.store_view.borrow().reached().is_some() && node.config().is_some();
     let role = node.reading_part();
     let max_age = role.max_confirmation_age(node.settings.bounds.change_in_force);
-    let is_following = node.freshness.get().is_within(max_age, clock::now());
-    !has_full_state || role == StoreReadRole::Reader || !is_following
+    let is_fresh = node.freshness.get().is_within(max_age, clock::now());
+    !has_full_state || role == StoreReadRole::Reader || !is_fresh
 }
 
 /// Reads the store and returns how recent the data is.
--- a/crates/quincevalve_node/src/store/view.rs
+++ b/crates/quincevalve_node/src/store/view.rs
@@ -46,6 +46,7 @@
     ServerRemoved(BackendServerName),
     /// The value under the server's key can't be decoded.
     ServerUnreadable(BackendServerName),
+    /// A value under one of the system's own keys.
     Own {
         key: String,
         value: Vec<u8>,
@@ -264,7 +265,8 @@
     changed.chain(removed).filter(RelayedChange::is_needed_by_peers).collect()
 }
 
-/// Replaces this VM's view by a state of the whole store, unless the view is as new. Returns whether it was replaced.
+/// Replaces this VM's view by a state of the whole store, unless the view is as new. Returns whether it was replaced. A
+/// newer configuration is applied in either case.
 pub(crate) fn apply_state(node: &Node, state: StoreState) -> bool {
     let now = clock::now();
     if let Some(config) = state.config {
