--- a/crates/quincevalve_node/src/peers/receive/tests.rs
+++ b/crates/quincevalve_node/src/peers/receive/tests.rs
@@ -15,7 +15,7 @@
         sync::begin_outage_if_unreachable,
         view::{RelayedChange, StoreState, apply_state},
     },
-    test_node::{any, config, node as bare_node},
+    test_node::{any_address, config, node as bare_node},
 };
 
 const REVISION: u64 = 50;
@@ -36,7 +36,7 @@
     ServerEntry {
         start: ServerStart(1),
         service: "model".into(),
-        address: any(),
+        address: any_address(),
         data_centre: "a".into(),
         version: "v1".into(),
         slots: 16,
@@ -79,7 +79,7 @@
     Datagram {
         from: VmDescriptor {
             name: "vm-2".into(),
-            address: any(),
+            address: any_address(),
             data_centre: "a".into(),
             cpu: 250,
         },
@@ -230,7 +230,7 @@
         handle_datagram(&node, &socket, store_report_from(&node, "vm-3", REVISION + 3, later));
         assert_eq!(usable(&node), ["i-1", "i-2"], "changes after a gap aren't applied");
         assert_eq!(node.store_view.borrow().reached().map(|it| it.0), Some(REVISION));
-        assert!(!node.was_proved());
+        assert!(!node.was_confirmed_fresh());
     });
 }
 
@@ -242,6 +242,6 @@
         node.apply_config(config(1));
         let leaves = vec![(REVISION + 1, RelayedChange::ServerRemoved("i-2".into()))];
         handle_datagram(&node, &socket, store_report_from(&node, "vm-3", REVISION, leaves));
-        assert!(node.was_proved());
+        assert!(node.was_confirmed_fresh());
     });
 }
--- a/crates/quincevalve_node/src/store/config_copy/tests.rs
+++ b/crates/quincevalve_node/src/store/config_copy/tests.rs
@@ -6,7 +6,7 @@
 use super::*;
 use crate::{
     clock,
-    test_node::{any, node as bare_node, run},
+    test_node::{any_address, node as bare_node, run},
 };
 
 /// Returns a VM that has the configuration of that version.
@@ -40,7 +40,7 @@
         let (stale, current) = (node(1), node(2));
         let now = clock::now();
         assert!(!should_request(&stale, now), "no VM has a newer one");
-        stale.told_version.set(2);
+        stale.reported_config_version.set(2);
         assert!(!should_request(&stale, now), "the store is read first");
         let later = now + PEER_REQUEST_DELAY;
         assert!(should_request(&stale, later));
@@ -51,12 +51,12 @@
         let chunks = chunks_newer_than(&current, 1);
         assert!(chunks.len() > 1, "the configuration takes several datagrams");
         for chunk in chunks.iter().skip(1) {
-            receive_chunk(&stale, chunk.clone(), any());
+            receive_chunk(&stale, chunk.clone(), any_address());
         }
         assert_eq!(stale.config().map(|it| it.version), Some(1));
         assert!(should_request(&stale, later + REQUEST_INTERVAL));
         for chunk in chunks {
-            receive_chunk(&stale, chunk, any());
+            receive_chunk(&stale, chunk, any_address());
         }
         assert_eq!(stale.config().as_deref(), Some(&config(2)));
         assert!(!should_request(&stale, later + REQUEST_INTERVAL * 2));
@@ -70,7 +70,7 @@
         let (newer, older) = (node(3), node(2));
         assert!(chunks_newer_than(&older, 3).is_empty(), "it has no newer configuration");
         for chunk in chunks_newer_than(&older, 1) {
-            receive_chunk(&newer, chunk, any());
+            receive_chunk(&newer, chunk, any_address());
         }
         assert_eq!(newer.config().map(|it| it.version), Some(3));
     });
--- a/crates/quincevalve_node/src/store/state_copy.rs
+++ b/crates/quincevalve_node/src/store/state_copy.rs
@@ -89,7 +89,7 @@
 where
     S: PlatformStore,
 {
-    let own = match store.own_items(&peer_key_prefix(&node.settings.data_centre)).await {
+    let own = match store.system_items(&peer_key_prefix(&node.settings.data_centre)).await {
         Ok(own) => own,
         Err(error) => {
             log::debug!(error:% = error; "centre-not-read");
@@ -152,7 +152,7 @@
     if request.version.is_none() && !is_confirmed_newest(node, now) {
         return StateAnswer::Redirect { serves_others: false };
     }
-    if !copy.serve_slots.admit(sender, node.settings.link, now) {
+    if !copy.serve_slots.admit(sender, node.settings.link_bytes_per_second, now) {
         return StateAnswer::Redirect { serves_others: true };
     }
     let Some(version) = request.version else {
@@ -173,7 +173,7 @@
     let max_age = StoreReadRole::Standby.max_confirmation_age(node.settings.bounds.change_in_force);
     let is_confirmed = node.freshness.get().age(now).is_some_and(|it| it <= max_age);
     // The confirmation doesn't cover a newer configuration that this VM lacks.
-    is_confirmed && node.config().is_some_and(|it| it.version >= node.told_version.get())
+    is_confirmed && node.config().is_some_and(|it| it.version >= node.reported_config_version.get())
 }
 
 /// Encodes this VM's view of the store; `None` without a freshness confirmation or a complete view.
--- a/crates/quincevalve_node/src/store/state_copy/tests.rs
+++ b/crates/quincevalve_node/src/store/state_copy/tests.rs
@@ -11,7 +11,7 @@
 use super::*;
 use crate::{
     clock,
-    test_node::{any, config, node as bare_node, run},
+    test_node::{any_address, config, node as bare_node, run},
 };
 
 const SERVERS: u16 = 900;
@@ -62,7 +62,7 @@
 /// Returns a VM that fetches the state while it starts.
 fn starting() -> Node {
     let node = bare_node("vm-new");
-    let sources = vec![any(), elsewhere()];
+    let sources = vec![any_address(), elsewhere()];
     let fetch = ChunkFetch::new(sources, Duration::from_secs(1), clock::now());
     node.state_copy.borrow_mut().fetch = Some(fetch);
     node
@@ -94,7 +94,7 @@
         assert!(chunks.len() > 1, "the state takes several datagrams");
         for chunk in chunks {
             assert!(starting_vm.config().is_none());
-            receive_chunk(&starting_vm, chunk, Some(now), any());
+            receive_chunk(&starting_vm, chunk, Some(now), any_address());
         }
         assert_eq!(starting_vm.config().map(|it| it.version), Some(3));
         let quarantined: Vec<_> =
@@ -105,9 +105,9 @@
         assert_eq!(servers.all().count(), usize::from(SERVERS));
         let usable = servers.usable(&"model".into(), now).count();
         assert_eq!(usable, usize::from(SERVERS) - 1, "one leaves");
-        assert_eq!(starting_vm.vms(), 301, "300, which include the source, and itself");
+        assert_eq!(starting_vm.vm_count(), 301, "300, which include the source, and itself");
         assert_eq!(starting_vm.peers.borrow().holder(), Some("vm-9"));
-        assert!(starting_vm.was_proved());
+        assert!(starting_vm.was_confirmed_fresh());
     });
 }
 
@@ -121,7 +121,7 @@
         let node = informed("vm-1");
         let later = clock::now() + Duration::from_secs(3);
         assert!(chunks_for(&node, "vm-new#1", later).is_empty(), "its confirmation is old");
-        node.told_version.set(4);
+        node.reported_config_version.set(4);
         assert!(chunks(&node).is_empty(), "others have a newer configuration");
     });
 }
@@ -134,19 +134,19 @@
         let (source, other, starting_vm) = (informed("vm-1"), informed("vm-2"), starting());
         let first = chunks(&source);
         for chunk in first.iter().skip(1) {
-            receive_chunk(&starting_vm, chunk.clone(), None, any());
+            receive_chunk(&starting_vm, chunk.clone(), None, any_address());
         }
         let second = chunks(&other);
         receive_chunk(&starting_vm, second[0].clone(), None, elsewhere());
         assert!(starting_vm.config().is_none());
-        handle_redirect(&starting_vm, any(), true);
+        handle_redirect(&starting_vm, any_address(), true);
         receive_chunk(&starting_vm, second[0].clone(), None, elsewhere());
         assert!(starting_vm.config().is_none());
         for chunk in second.iter().skip(1) {
             receive_chunk(&starting_vm, chunk.clone(), None, elsewhere());
         }
         assert_eq!(starting_vm.config().map(|it| it.version), Some(3));
-        assert!(!starting_vm.was_proved(), "the chunks carried no confirmation");
+        assert!(!starting_vm.was_confirmed_fresh(), "the chunks carried no confirmation");
     });
 }
 
@@ -171,10 +171,10 @@
     run(|| {
         let (source, other) = (informed("vm-1"), bare_node("vm-2"));
         for chunk in chunks(&source) {
-            receive_chunk(&other, chunk, Some(clock::now()), any());
+            receive_chunk(&other, chunk, Some(clock::now()), any_address());
         }
         assert!(other.config().is_none());
-        assert!(!other.was_proved());
+        assert!(!other.was_confirmed_fresh());
     });
 }
 
--- a/crates/quincevalve_node/src/store/sync.rs
+++ b/crates/quincevalve_node/src/store/sync.rs
@@ -15,7 +15,7 @@
 use crate::{
     clock,
     node::Node,
-    ports::{Commit, LeaseId, PlatformStore, ReadAge, StoreError},
+    ports::{Commit, LeaseId, PlatformStore, ReadConsistency, StoreError},
     store::{
         state_copy::fetch_state,
         view::{apply_changes, apply_snapshot, peer_key},
@@ -75,11 +75,11 @@
         }
         let requested_at = clock::now();
         let pause = match read_store(&node, &store, requested_at).await {
-            Ok(ReadAge::MayBeOld) => Duration::ZERO,
-            Ok(ReadAge::Newest) => {
+            Ok(ReadConsistency::MayBeStale) => Duration::ZERO,
+            Ok(ReadConsistency::Latest) => {
                 confirm_freshness(&node, requested_at);
                 log_regained(&mut failures);
-                node.reading_part().pause_after_answer()
+                node.store_read_role().pause_after_answer()
             }
             Err(StoreError::HistoryGone) => {
                 log::info!("store-history-gone");
@@ -93,7 +93,7 @@
                 }
                 failures += 1;
                 let is_small = node.peers.borrow().table.is_small();
-                node.reading_part().pause_after_failures(failures, is_small)
+                node.store_read_role().pause_after_failures(failures, is_small)
             }
         };
         sleep(pause).await;
@@ -147,7 +147,7 @@
 /// Returns whether this VM has to read the store itself.
 fn must_read_store(node: &Node) -> bool {
     let has_full_state = node.store_view.borrow().reached().is_some() && node.config().is_some();
-    let role = node.reading_part();
+    let role = node.store_read_role();
     let max_age = role.max_confirmation_age(node.settings.bounds.change_in_force);
     let is_fresh = node.freshness.get().is_within(max_age, clock::now());
     !has_full_state || role == StoreReadRole::Reader || !is_fresh
@@ -161,30 +161,34 @@
     node: &Node,
     store: &S,
     requested_at: TimePoint,
-) -> Result<ReadAge, StoreError>
+) -> Result<ReadConsistency, StoreError>
 where
     S: PlatformStore,
 {
     let reached = node.store_view.borrow().reached();
     if let Some(after) = reached {
         // A VM without any freshness confirmation serves no requests, so it doesn't wait for a change.
-        let wait = if node.was_proved() { MAX_CHANGES_WAIT } else { Duration::ZERO };
+        let wait = if node.was_confirmed_fresh() { MAX_CHANGES_WAIT } else { Duration::ZERO };
         let changes = store.changes(after, wait).await?;
         record_store_contact(node, ContactSpan::at(requested_at));
         // When thousands of servers change at once, the answer holds only the first changes. Treated as the newest
         // state, it would hide a configuration among the later changes, whose routes would be answered 404.
-        let age = if changes.may_be_cut { ReadAge::MayBeOld } else { ReadAge::Newest };
+        let age = if changes.may_be_truncated {
+            ReadConsistency::MayBeStale
+        } else {
+            ReadConsistency::Latest
+        };
         apply_changes(node, changes);
         return Ok(age);
     }
     if !node.store_view.borrow().was_ever_read() {
-        apply_snapshot(node, store.snapshot(ReadAge::MayBeOld).await?);
-        return Ok(ReadAge::MayBeOld);
+        apply_snapshot(node, store.snapshot(ReadConsistency::MayBeStale).await?);
+        return Ok(ReadConsistency::MayBeStale);
     }
-    let snapshot = store.snapshot(ReadAge::Newest).await?;
+    let snapshot = store.snapshot(ReadConsistency::Latest).await?;
     record_store_contact(node, ContactSpan::at(requested_at));
     apply_snapshot(node, snapshot);
-    Ok(ReadAge::Newest)
+    Ok(ReadConsistency::Latest)
 }
 
 /// Reads a configuration that other VMs have and this VM lacks, unless it is to be fetched from those VMs.
@@ -193,7 +197,7 @@
     S: PlatformStore,
 {
     let known = node.config().map_or(0, |it| it.version);
-    let newest = node.told_version.get();
+    let newest = node.reported_config_version.get();
     if newest <= known {
         *missing = None;
         return;
@@ -202,8 +206,8 @@
     let missing = missing.get_or_insert_with(|| MissingConfig::new(newest, now));
     let age = match missing.next_source(newest, node.settings.bounds.change_in_force, now) {
         ConfigSource::Peers => return,
-        ConfigSource::StaleRead => ReadAge::MayBeOld,
-        ConfigSource::ConsistentRead => ReadAge::Newest,
+        ConfigSource::StaleRead => ReadConsistency::MayBeStale,
+        ConfigSource::ConsistentRead => ReadConsistency::Latest,
     };
     match store.config(age).await {
         Ok(Some(config)) => node.apply_config(config),
@@ -217,7 +221,7 @@
 ///
 /// Does nothing if other VMs have a newer configuration, since relayed changes may have advanced the view past it.
 pub(crate) fn confirm_freshness(node: &Node, requested_at: TimePoint) {
-    if node.config().is_none_or(|it| it.version < node.told_version.get()) {
+    if node.config().is_none_or(|it| it.version < node.reported_config_version.get()) {
         return;
     }
     let mut freshness = node.freshness.get();
--- a/crates/quincevalve_node/src/store/sync/tests.rs
+++ b/crates/quincevalve_node/src/store/sync/tests.rs
@@ -58,7 +58,7 @@
         apply_state(&node, state);
         let max_age =
             StoreReadRole::Follower.max_confirmation_age(node.settings.bounds.change_in_force);
-        assert_eq!(node.reading_part(), StoreReadRole::Follower);
+        assert_eq!(node.store_read_role(), StoreReadRole::Follower);
         confirm_freshness(&node, ago(max_age.as_millis() as u64 + 50));
         assert!(must_read_store(&node));
         confirm_freshness(&node, ago(max_age.as_millis() as u64 - 300));
--- a/crates/quincevalve_node/tests/start_together.rs
+++ b/crates/quincevalve_node/tests/start_together.rs
@@ -37,12 +37,12 @@
         for at in 2..=MIN_VMS_FOR_STATE_COPY {
             others.push(start(&world, &format!("vm-{at}")).await);
         }
-        let read = others.iter().map(|(_, store)| store.whole_readings()).sum::<usize>();
+        let read = others.iter().map(|(_, store)| store.snapshot_reads()).sum::<usize>();
         assert_eq!(read, MIN_VMS_FOR_STATE_COPY - 1, "few are known yet");
         for at in 0..3 {
             let (vm, store) = start(&world, &format!("late-{at}")).await;
             assert!(serves(&vm, &format!("id-{at}")).await);
-            assert_eq!(store.whole_readings(), 0);
+            assert_eq!(store.snapshot_reads(), 0);
             others.push((vm, store));
         }
     });
@@ -58,7 +58,7 @@
         world.store.list_dead_vms(MIN_VMS_FOR_STATE_COPY as u16);
         let (vm, store) = start(&world, "vm-2").await;
         assert!(serves(&vm, "id-1").await);
-        assert_eq!(store.whole_readings(), 0);
+        assert_eq!(store.snapshot_reads(), 0);
     });
 }
 
@@ -72,7 +72,7 @@
         world.store.remove_vm("vm-1");
         let (vm, store) = start(&world, "vm-2").await;
         assert!(serves(&vm, "id-1").await);
-        assert_eq!(store.whole_readings(), 1);
+        assert_eq!(store.snapshot_reads(), 1);
     });
 }
 
@@ -87,14 +87,14 @@
             (0..=MIN_VMS_FOR_STATE_COPY).map(|_| world.store.for_another_vm()).collect();
         let mut vms = Vec::new();
         for (at, store) in stores.iter().enumerate() {
-            vms.push(Vm::begin_first(&format!("first-{at}"), store.clone()).await);
+            vms.push(Vm::spawn_first_start(&format!("first-{at}"), store.clone()).await);
         }
         for (at, vm) in vms.iter().enumerate() {
             while !serves(vm, &format!("id-{at}")).await {
                 sleep(POLL_INTERVAL).await;
             }
         }
-        let read: usize = stores.iter().map(FakeStore::whole_readings).sum();
+        let read: usize = stores.iter().map(FakeStore::snapshot_reads).sum();
         assert!(read <= MAX_READERS, "{read} of {}", stores.len());
     });
 }
