--- a/crates/quincevalve_node/src/node.rs
+++ b/crates/quincevalve_node/src/node.rs
@@ -40,7 +40,7 @@
     peers::Peers,
     ports::HeaderNames,
     quarantine::QuarantineStore,
-    request::{backends::Backends, mover::Mover},
+    request::{connection_pool::ConnectionPool, migration::MigrationClient},
     settings::NodeSettings,
     store::{config_copy::ConfigCopy, state_copy::StateCopy, view::StoreView},
 };
@@ -86,10 +86,10 @@
     pub(crate) demand: RefCell<IndexMap<ServiceName, WorkRate>>,
     /// Demand for services that are scaled by orders, as measured by this VM.
     pub(crate) measured_demand: RefCell<IndexMap<ServiceName, MeasuredDemand>>,
-    pub(crate) backends: Backends,
+    pub(crate) connections: ConnectionPool,
     pub(crate) rng: RefCell<Pcg64Mcg>,
     pub(crate) in_flight: Cell<usize>,
-    pub(crate) mover: Mover,
+    pub(crate) migrations: MigrationClient,
     /// Detects requests that make servers exit, and holds their quarantines.
     pub(crate) poison: RefCell<PoisonGuard>,
     pub(crate) quarantine: QuarantineStore,
@@ -119,7 +119,7 @@
     pub(crate) fn new(
         settings: NodeSettings,
         headers: HeaderNames,
-        mover: Mover,
+        migrations: MigrationClient,
         quarantine: QuarantineStore,
     ) -> Self {
         let seed = clock::now().as_micros() ^ quincevalve_names::hash_text(settings.name.as_str());
@@ -138,10 +138,10 @@
             peers: RefCell::new(Peers::new(descriptor(&settings), settings.link_bytes_per_second)),
             demand: RefCell::default(),
             measured_demand: RefCell::default(),
-            backends: Backends::new(settings.ip),
+            connections: ConnectionPool::new(settings.ip),
             rng: RefCell::new(Pcg64Mcg::seed_from_u64(seed)),
             in_flight: Cell::new(0),
-            mover,
+            migrations,
             poison: RefCell::new(PoisonGuard::new(settings.name.as_str())),
             quarantine,
             rollouts: RefCell::new(RolloutTable::new(settings.exposure)),
--- a/crates/quincevalve_node/src/quarantine.rs
+++ b/crates/quincevalve_node/src/quarantine.rs
@@ -18,14 +18,14 @@
 use crate::{
     clock,
     node::Node,
-    request::{identify::Identified, trace::note},
+    request::{identify::IdentifiedRequest, trace::log_request},
 };
 
 /// Retry delay for a caller whose trial wasn't granted by the store.
 const UNGRANTED_TRIAL_DELAY: Duration = Duration::from_secs(1);
 
 /// Admits a request to servers, or returns for how long it is quarantined, as far as this VM knows.
-pub(crate) async fn admit(node: &Node, req: &Identified) -> Result<(), Duration> {
+pub(crate) async fn admit(node: &Node, req: &IdentifiedRequest) -> Result<(), Duration> {
     let decision = send_decision(node, req);
     let retry_after = match decision {
         SendDecision::Allowed => return Ok(()),
@@ -39,16 +39,16 @@
             UNGRANTED_TRIAL_DELAY
         }
     };
-    note!(node, req, digest = req.digest(), hold_ms = retry_after.as_millis() as u64; "withheld");
+    log_request!(node, req, digest = req.digest(), hold_ms = retry_after.as_millis() as u64; "withheld");
     Err(retry_after)
 }
 
 /// Returns whether a request is quarantined at present.
-pub(crate) fn is_quarantined(node: &Node, req: &Identified) -> bool {
+pub(crate) fn is_quarantined(node: &Node, req: &IdentifiedRequest) -> bool {
     send_decision(node, req) != SendDecision::Allowed
 }
 
-fn send_decision(node: &Node, req: &Identified) -> SendDecision {
+fn send_decision(node: &Node, req: &IdentifiedRequest) -> SendDecision {
     let poison = node.poison.borrow();
     if !poison.has_quarantined() {
         return SendDecision::Allowed;
@@ -58,8 +58,8 @@
 }
 
 /// Records that a request completed, which shows that it doesn't make servers exit, and lifts its quarantine.
-pub(crate) fn record_completion(node: &Node, req: &Identified) {
-    let Some(digest) = req.cheap_digest() else { return };
+pub(crate) fn record_completion(node: &Node, req: &IdentifiedRequest) {
+    let Some(digest) = req.digest_if_cheap() else { return };
     if node.poison.borrow_mut().record_completion(digest, clock::now()) {
         node.quarantine.lift(digest);
     }
--- a/crates/quincevalve_node/src/request/body.rs
+++ b/crates/quincevalve_node/src/request/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers to callers.
+//! Bodies of responses to callers.
 
 use std::{
     pin::Pin,
@@ -10,17 +10,17 @@
 use snafu::Snafu;
 use tokio::sync::mpsc;
 
-/// An answer that ended before it was whole; the connection to the caller is cut, so that it doesn't look
-/// complete.
+/// The error of a response body that ends before it is complete. It closes the connection to the caller, so that the
+/// truncated response doesn't look complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
-#[snafu(display("the answer broke off"))]
-pub(crate) struct BrokenOff;
+#[snafu(display("the answer was aborted before it was complete"))]
+pub(crate) struct AnswerAborted;
 
-/// A body: whole from the start, or passed on as it comes.
+/// A response body, either complete from the start or streamed as it arrives.
 #[derive(Debug)]
 pub(crate) enum AnswerBody {
     Whole(Option<Bytes>),
-    Stream(mpsc::Receiver<Result<Bytes, BrokenOff>>),
+    Stream(mpsc::Receiver<Result<Bytes, AnswerAborted>>),
 }
 
 impl AnswerBody {
@@ -31,12 +31,12 @@
 
 impl Body for AnswerBody {
     type Data = Bytes;
-    type Error = BrokenOff;
+    type Error = AnswerAborted;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, AnswerAborted>>> {
         match self.get_mut() {
             Self::Whole(bytes) => Poll::Ready(bytes.take().map(|it| Ok(Frame::data(it)))),
             Self::Stream(rx) => rx.poll_recv(cx).map(|it| it.map(|it| it.map(Frame::data))),
--- /dev/null
+++ b/crates/quincevalve_node/src/request/migration.rs
@@ -0,0 +1,62 @@
+//! Migration of running requests from departing engines to other engines.
+
+use std::{net::SocketAddr, rc::Rc};
+
+use tokio::{
+    sync::{mpsc, oneshot},
+    task::spawn_local,
+};
+
+use crate::ports::{EngineApi, MigratedRequest, MigrationError};
+
+/// Maximum number of migrations waiting to be started: about as many requests of one VM run at a data centre's engines.
+const MAX_PENDING_MIGRATIONS: usize = 256;
+
+struct MigrationRequest {
+    from: SocketAddr,
+    to: SocketAddr,
+    attempt_id: Rc<str>,
+    reply: oneshot::Sender<Result<MigratedRequest, MigrationError>>,
+}
+
+/// Handle to the task that asks engines to migrate runs. It spares the rest of the process the engine's type parameter.
+#[derive(Clone, Debug)]
+pub(crate) struct MigrationClient {
+    requests: mpsc::Sender<MigrationRequest>,
+}
+
+impl MigrationClient {
+    /// Spawns the task and returns a handle to it.
+    pub(crate) fn start<E>(engines: E) -> Self
+    where
+        E: EngineApi,
+    {
+        let (requests, mut rx) = mpsc::channel::<MigrationRequest>(MAX_PENDING_MIGRATIONS);
+        spawn_local(async move {
+            while let Some(request) = rx.recv().await {
+                let engines = engines.clone();
+                spawn_local(async move {
+                    let migrated = engines
+                        .migrate_request(request.from, request.to, &request.attempt_id)
+                        .await;
+                    // The receiver may have been dropped meanwhile; the engine frees the copy after its own timeout.
+                    let _ = request.reply.send(migrated);
+                });
+            }
+        });
+        Self { requests }
+    }
+
+    /// Asks an engine to stop a run and copy its memory to another engine. Returns `None` if too many migrations are
+    /// waiting.
+    pub(crate) fn migrate(
+        &self,
+        from: SocketAddr,
+        to: SocketAddr,
+        attempt_id: &str,
+    ) -> Option<oneshot::Receiver<Result<MigratedRequest, MigrationError>>> {
+        let (reply, rx) = oneshot::channel();
+        let request = MigrationRequest { from, to, attempt_id: attempt_id.into(), reply };
+        self.requests.try_send(request).is_ok().then_some(rx)
+    }
+}
--- a/crates/quincevalve_node/src/rollouts.rs
+++ b/crates/quincevalve_node/src/rollouts.rs
@@ -18,7 +18,7 @@
 use quincevalve_names::ServiceName;
 use rand::RngExt;
 
-use crate::{clock, node::Node, ports::SystemItem, request::identify::Identified};
+use crate::{clock, node::Node, ports::SystemItem, request::identify::IdentifiedRequest};
 
 /// Prefix of the store keys of roll-outs; the service's name follows, and the value is a [`RolloutRecord`].
 pub(crate) const ROLLOUT_KEY_PREFIX: &str = "rollout/";
@@ -123,7 +123,7 @@
 }
 
 /// Returns which versions' servers a new request may be sent to.
-pub(crate) fn choose_versions(node: &Node, req: &Identified) -> VersionChoice {
+pub(crate) fn choose_versions(node: &Node, req: &IdentifiedRequest) -> VersionChoice {
     if node.rollouts.borrow().is_idle() {
         return VersionChoice::Any;
     }
@@ -147,7 +147,11 @@
 
 impl AttemptTracker {
     /// Starts tracking an attempt; returns `None` if no versions are compared.
-    pub(crate) fn start(node: &Rc<Node>, req: &Identified, place: &Placement) -> Option<Self> {
+    pub(crate) fn start(
+        node: &Rc<Node>,
+        req: &IdentifiedRequest,
+        place: &Placement,
+    ) -> Option<Self> {
         let mut rollouts = node.rollouts.borrow_mut();
         if rollouts.is_idle() {
             return None;
--- a/crates/quincevalve_node/src/test_node.rs
+++ b/crates/quincevalve_node/src/test_node.rs
@@ -16,7 +16,7 @@
     node::Node,
     ports::{DecodedSignals, EngineApi, HeaderNames, MigratedRequest, MigrationError},
     quarantine::QuarantineStore,
-    request::mover::Mover,
+    request::migration::MigrationClient,
     settings::{Bounds, Duties, NodeSettings},
 };
 
@@ -91,7 +91,7 @@
             lease: Duration::from_secs(3),
         },
     };
-    Node::new(settings, headers(), Mover::start(NoEngines), QuarantineStore::new().0)
+    Node::new(settings, headers(), MigrationClient::start(NoEngines), QuarantineStore::new().0)
 }
 
 /// Runs a test in a runtime that can spawn the node's local tasks.
