--- a/crates/quincevalve_node/src/quarantine/entries.rs
+++ b/crates/quincevalve_node/src/quarantine/entries.rs
@@ -1,46 +1,53 @@
-//! The entries of quarantined requests in the store, one for each, under its digest.
+//! Store entries of quarantined requests, one for each request, with its digest in the key.
 
 use quincevalve_forwarding::{poison::QuarantineEntry, request_digest::RequestDigest};
 
-use crate::ports::{Commit, OwnItem, PlatformStore, StoreError, StoreRevision};
+use crate::ports::{Commit, PlatformStore, StoreError, StoreRevision, SystemItem};
 
-/// Keys of quarantined requests, each with its [`QuarantineEntry`].
-pub(crate) const QUARANTINE_KEYS: &str = "quarantine/";
+/// Prefix of the store keys of quarantined requests; the digest follows, and the value is a [`QuarantineEntry`].
+pub(crate) const QUARANTINE_KEY_PREFIX: &str = "quarantine/";
 
-/// The requests that are kept from servers, as the store has them; what changed in the last seconds may be missing.
-pub async fn quarantined<S>(store: &S) -> Result<Vec<(RequestDigest, QuarantineEntry)>, StoreError>
+/// Reads the quarantined requests from the store. Changes of the last seconds may be missing.
+pub async fn list_quarantined<S>(
+    store: &S,
+) -> Result<Vec<(RequestDigest, QuarantineEntry)>, StoreError>
 where
     S: PlatformStore,
 {
-    let items = store.own_items(QUARANTINE_KEYS).await?;
-    Ok(items.iter().filter_map(|it| listed(&it.key, &it.value)).collect())
+    let items = store.system_items(QUARANTINE_KEY_PREFIX).await?;
+    Ok(items.iter().filter_map(|it| parse_entry(&it.key, &it.value)).collect())
 }
 
-/// Lets a request go to servers again, as if nothing had been held against it; `false` if it was not quarantined.
+/// Removes a request's quarantine entry together with its trial count; returns `false` if it wasn't quarantined.
 pub async fn lift_quarantine<S>(store: &S, digest: RequestDigest) -> Result<bool, StoreError>
 where
     S: PlatformStore,
 {
-    let Some(OwnItem { key, revision, .. }) = read(store, digest).await? else { return Ok(false) };
+    let Some(SystemItem { key, revision, .. }) = read(store, digest).await? else {
+        return Ok(false);
+    };
     let expected = vec![(key.clone(), revision)];
     store.commit(&Commit { expected, removes: vec![key], ..Commit::default() }).await?;
     Ok(true)
 }
 
-/// The newest entry of a request.
-pub(super) async fn read<S>(store: &S, digest: RequestDigest) -> Result<Option<OwnItem>, StoreError>
+/// Reads the newest entry of a request.
+pub(super) async fn read<S>(
+    store: &S,
+    digest: RequestDigest,
+) -> Result<Option<SystemItem>, StoreError>
 where
     S: PlatformStore,
 {
     store.get(&key_of(digest)).await
 }
 
-/// Writes an entry over the one of that revision.
+/// Writes an entry if the stored one is still at revision `expected_revision`.
 pub(super) async fn put<S>(
     store: &S,
     digest: RequestDigest,
     entry: QuarantineEntry,
-    over: StoreRevision,
+    expected_revision: StoreRevision,
 ) -> Result<(), StoreError>
 where
     S: PlatformStore,
@@ -48,23 +55,23 @@
     let value = serde_json::to_vec(&entry)
         .map_err(|error| StoreError::Unreadable { what: error.to_string() })?;
     let key = key_of(digest);
-    let expected = vec![(key.clone(), over)];
+    let expected = vec![(key.clone(), expected_revision)];
     let puts = vec![(key, value, None)];
     store.commit(&Commit { expected, puts, ..Commit::default() }).await?;
     Ok(())
 }
 
 fn key_of(digest: RequestDigest) -> String {
-    format!("{QUARANTINE_KEYS}{digest}")
+    format!("{QUARANTINE_KEY_PREFIX}{digest}")
 }
 
-/// The digest of a key; `None` for other keys.
+/// Parses the digest in a key; returns `None` for other keys.
 pub(crate) fn digest_of(key: &str) -> Option<RequestDigest> {
-    key.strip_prefix(QUARANTINE_KEYS).and_then(RequestDigest::parse)
+    key.strip_prefix(QUARANTINE_KEY_PREFIX).and_then(RequestDigest::parse)
 }
 
-/// The quarantined request of an item of the store; `None` for other items.
-pub(crate) fn listed(key: &str, value: &[u8]) -> Option<(RequestDigest, QuarantineEntry)> {
+/// Parses the quarantine entry of a store item; returns `None` for other items and unreadable entries.
+pub(crate) fn parse_entry(key: &str, value: &[u8]) -> Option<(RequestDigest, QuarantineEntry)> {
     let digest = digest_of(key)?;
     match serde_json::from_slice(value) {
         Ok(entry) => Some((digest, entry)),
--- a/crates/quincevalve_node/src/request/signals.rs
+++ b/crates/quincevalve_node/src/request/signals.rs
@@ -1,24 +1,24 @@
-//! What servers say of themselves in answers, as this VM takes it.
+//! Applies the signals that servers send in response headers.
 
 use http::{HeaderMap, StatusCode};
 use quincevalve_forwarding::{placement::Placement, signal_outbox::SignalSource};
 
 use crate::{clock, node::Node, signal_reports::publish_signals};
 
-/// Takes what an answer's headers say of the server that gave it.
-pub(super) fn take_signals(
+/// Applies the signals in a response's headers to the server that sent the response.
+pub(super) fn apply_signals(
     node: &Node,
     place: &Placement,
     status: StatusCode,
     headers: &HeaderMap,
 ) {
-    // Another server answered at the address.
+    // The response comes from another server at the same address.
     if status == StatusCode::MISDIRECTED_REQUEST {
         return;
     }
     let decoded = (node.headers.signals)(headers);
     for signal in decoded.unreadable {
-        if node.may_write_line() {
+        if node.may_log() {
             log::warn!(
                 server = place.server.as_str(), name:% = signal.name, value = signal.value;
                 "signal-unreadable"
@@ -31,7 +31,7 @@
     let Some(server) = servers.get_mut(&place.server, place.start) else { return };
     if let Some(rest) = signals.rest.filter(|_| status == StatusCode::SERVICE_UNAVAILABLE) {
         server.extend_rest(rest, now);
-        if node.may_write_line() {
+        if node.may_log() {
             let rest_ms = rest.as_millis() as u64;
             log::info!(server = place.server.as_str(), start = place.start.0, rest_ms; "server-rests");
         }
--- a/crates/quincevalve_node/src/store/view.rs
+++ b/crates/quincevalve_node/src/store/view.rs
@@ -18,12 +18,13 @@
     clock,
     node::Node,
     peers::encoding,
-    ports::{Change, Changes, LeaseId, OwnItem, Snapshot, StoreRevision},
-    quarantine::{QUARANTINE_KEYS, digest_of, listed},
-    rollouts::{self, ROLLOUT_KEYS},
+    ports::{Change, Changes, LeaseId, Snapshot, StoreRevision, SystemItem},
+    quarantine::{QUARANTINE_KEY_PREFIX, digest_of, parse_entry},
+    rollouts::{self, ROLLOUT_KEY_PREFIX},
 };
 
-/// Prefix of the keys of entry VMs. The rest of a key is the data centre and the VM's name; the value is its descriptor.
+/// Prefix of the keys of entry VMs. The rest of a key is the data centre and the VM's name; the value is its
+/// descriptor.
 const PEER_KEYS: &str = "peers/";
 /// The key that the holder of the duties keeps under its lease; its value is the holder's name.
 pub(crate) const HOLDER_KEY: &str = "duty/holder";
@@ -45,6 +46,7 @@
     ServerRemoved(BackendServerName),
     /// The value under the server's key can't be decoded.
     ServerUnreadable(BackendServerName),
+    /// A value under one of the system's own keys.
     Own {
         key: String,
         value: Vec<u8>,
@@ -82,7 +84,7 @@
         match self {
             Self::Own { key, .. } | Self::OwnRemoved(key) => {
                 key == HOLDER_KEY
-                    || [PEER_KEYS, QUARANTINE_KEYS, ROLLOUT_KEYS]
+                    || [PEER_KEYS, QUARANTINE_KEY_PREFIX, ROLLOUT_KEY_PREFIX]
                         .iter()
                         .any(|it| key.starts_with(it))
             }
@@ -123,8 +125,8 @@
         self.log.upto() > 0
     }
 
-    /// Returns the changes after `revision`, in at most `max_bytes`; `None` if the log doesn't hold them or the view isn't
-    /// complete.
+    /// Returns the changes after `revision`, in at most `max_bytes`; `None` if the log doesn't hold them or the view
+    /// isn't complete.
     pub(crate) fn changes_since(
         &self,
         revision: StoreRevision,
@@ -169,8 +171,8 @@
     for (name, what) in &snapshot.unreadable {
         log::error!(name = name.as_str(), what; "store-item-unreadable");
     }
-    record_previous_lease(node, &snapshot.own);
-    let holder = snapshot.own.iter().find(|it| it.key == HOLDER_KEY);
+    record_previous_lease(node, &snapshot.system_items);
+    let holder = snapshot.system_items.iter().find(|it| it.key == HOLDER_KEY);
     let holder = holder.map(|it| holder_name(&it.value));
     let (at, newest, servers) = (snapshot.at.0, snapshot.newest.0, snapshot.servers.len());
     let differences = differences(node, &snapshot);
@@ -180,10 +182,14 @@
         config: snapshot.config,
         servers: snapshot.servers,
         unreadable: snapshot.unreadable.into_iter().map(|(name, _)| name).collect(),
-        vms: parse_descriptors(&snapshot.own),
+        vms: parse_descriptors(&snapshot.system_items),
         holder,
-        quarantine: snapshot.own.iter().filter_map(|it| listed(&it.key, &it.value)).collect(),
-        rollouts: rollouts::records(&snapshot.own),
+        quarantine: snapshot
+            .system_items
+            .iter()
+            .filter_map(|it| parse_entry(&it.key, &it.value))
+            .collect(),
+        rollouts: rollouts::parse_records(&snapshot.system_items),
         rollout_orders: snapshot.rollouts,
     };
     let previous_log = node.store_view.borrow().log.clone();
@@ -200,9 +206,10 @@
 /// Returns the differences between a snapshot and this VM's view as changes for other VMs; `None` before the first full
 /// read, and if the changes don't fit in a datagram.
 ///
-/// When the store drops its history, the VMs that read it for the others read all of it. If they had no changes to relay,
-/// each of hundreds of VMs would read the whole store, for longer than keys may be used without a freshness confirmation,
-/// and all callers would be rejected. With the differences, the other VMs continue from the revision they have.
+/// When the store drops its history, the VMs that read it for the others read all of it. If they had no changes to
+/// relay, each of hundreds of VMs would read the whole store, for longer than keys may be used without a freshness
+/// confirmation, and all callers would be rejected. With the differences, the other VMs continue from the revision they
+/// have.
 fn differences(node: &Node, snapshot: &Snapshot) -> Option<Vec<RelayedChange>> {
     let view = node.store_view.borrow();
     if !view.was_ever_read() || snapshot.at.0 < view.log.upto() {
@@ -243,26 +250,27 @@
     let peers = node.peers.borrow();
     let listed: IndexMap<String, &VmDescriptor> =
         peers.table.listed_descriptors().map(|it| (peer_key(it), it)).collect();
-    let is_known = |it: &&OwnItem| {
+    let is_known = |it: &&SystemItem| {
         it.key.starts_with(PEER_KEYS)
             && parse_descriptor(&it.key, &it.value)
                 .is_some_and(|read| listed.get(&it.key) == Some(&&read))
     };
-    let changed = snapshot.own.iter().filter(|it| !is_known(it));
+    let changed = snapshot.system_items.iter().filter(|it| !is_known(it));
     let changed =
         changed.map(|it| RelayedChange::Own { key: it.key.clone(), value: it.value.clone() });
-    let read: IndexSet<&str> = snapshot.own.iter().map(|it| it.key.as_str()).collect();
+    let read: IndexSet<&str> = snapshot.system_items.iter().map(|it| it.key.as_str()).collect();
     let holder = peers.holder().map(|_| HOLDER_KEY.to_owned());
     let poison = node.poison.borrow();
     let quarantined =
-        poison.stored_entries().map(|(digest, _)| format!("{QUARANTINE_KEYS}{digest}"));
+        poison.stored_entries().map(|(digest, _)| format!("{QUARANTINE_KEY_PREFIX}{digest}"));
     let me = peer_key(peers.table.me());
     let known = listed.keys().filter(|it| **it != me).cloned().chain(holder).chain(quarantined);
     let removed = known.filter(|it| !read.contains(it.as_str())).map(RelayedChange::OwnRemoved);
     changed.chain(removed).filter(RelayedChange::is_needed_by_peers).collect()
 }
 
-/// Replaces this VM's view by a state of the whole store, unless the view is as new. Returns whether it was replaced.
+/// Replaces this VM's view by a state of the whole store, unless the view is as new. Returns whether it was replaced. A
+/// newer configuration is applied in either case.
 pub(crate) fn apply_state(node: &Node, state: StoreState) -> bool {
     let now = clock::now();
     if let Some(config) = state.config {
@@ -318,10 +326,10 @@
 }
 
 /// Records the lease of the entry that the previous start of this VM left, if an item equals this VM's descriptor.
-pub(crate) fn record_previous_lease(node: &Node, own: &[OwnItem]) {
+pub(crate) fn record_previous_lease(node: &Node, own: &[SystemItem]) {
     let peers = node.peers.borrow();
     let me = peers.table.me();
-    let is_mine = |it: &&OwnItem| parse_descriptor(&it.key, &it.value).as_ref() == Some(me);
+    let is_mine = |it: &&SystemItem| parse_descriptor(&it.key, &it.value).as_ref() == Some(me);
     let lease = own.iter().find(is_mine).and_then(|it| it.lease);
     node.store_view.borrow_mut().previous_lease = lease;
 }
@@ -348,10 +356,10 @@
             Change::RolloutOrderRemoved(service) => {
                 relayed.push((at.0, RelayedChange::RolloutOrder(service, None)));
             }
-            Change::Own(OwnItem { key, value, .. }) => {
+            Change::SystemItem(SystemItem { key, value, .. }) => {
                 relayed.push((at.0, RelayedChange::Own { key, value }));
             }
-            Change::OwnRemoved(key) => relayed.push((at.0, RelayedChange::OwnRemoved(key))),
+            Change::SystemItemRemoved(key) => relayed.push((at.0, RelayedChange::OwnRemoved(key))),
         }
     }
     apply_relayed(node, relayed, changes.at);
@@ -373,8 +381,8 @@
 /// relay newer changes, and the older answer would bring back a removed server.
 ///
 /// Changes up to the newest item of the last full read are logged even if they change nothing here. A full read takes
-/// several pages, and a later page may contain changes made after the first page was read. If these weren't relayed, other
-/// VMs would look up to date and use a server that leaves.
+/// several pages, and a later page may contain changes made after the first page was read. If these weren't relayed,
+/// other VMs would look up to date and use a server that leaves.
 fn apply_relayed(node: &Node, relayed: Vec<(u64, RelayedChange)>, upto: StoreRevision) {
     let reached = node.store_view.borrow().reached().map_or(0, |it| it.0);
     let full_read_upto = node.store_view.borrow().full_read_upto.0;
@@ -419,15 +427,15 @@
             node.peers.borrow_mut().set_holder(Some(holder_name(value)));
         }
         RelayedChange::RolloutOrder(service, order) => {
-            rollouts::take_order(node, service, order.clone());
+            rollouts::apply_order(node, service, order.clone());
         }
-        RelayedChange::Own { key, value } if key.starts_with(ROLLOUT_KEYS) => {
-            if let Some((service, record)) = rollouts::record(key, value) {
-                rollouts::take_record(node, &service, record);
+        RelayedChange::Own { key, value } if key.starts_with(ROLLOUT_KEY_PREFIX) => {
+            if let Some((service, record)) = rollouts::parse_record(key, value) {
+                rollouts::apply_record(node, &service, record);
             }
         }
-        RelayedChange::Own { key, value } if key.starts_with(QUARANTINE_KEYS) => {
-            if let Some((digest, entry)) = listed(key, value) {
+        RelayedChange::Own { key, value } if key.starts_with(QUARANTINE_KEY_PREFIX) => {
+            if let Some((digest, entry)) = parse_entry(key, value) {
                 node.poison.borrow_mut().apply_entry(digest, entry);
             }
         }
@@ -439,12 +447,12 @@
             }
         }
         RelayedChange::Config(version) => {
-            node.told_version.set(node.told_version.get().max(*version));
+            node.reported_config_version.set(node.reported_config_version.get().max(*version));
         }
         RelayedChange::OwnRemoved(key) if key == HOLDER_KEY => {
             node.peers.borrow_mut().set_holder(None)
         }
-        RelayedChange::OwnRemoved(key) if key.starts_with(QUARANTINE_KEYS) => {
+        RelayedChange::OwnRemoved(key) if key.starts_with(QUARANTINE_KEY_PREFIX) => {
             if let Some(digest) = digest_of(key) {
                 node.poison.borrow_mut().remove_entry(digest, now);
             }
@@ -470,7 +478,7 @@
 }
 
 /// Parses the VM descriptors among these items.
-pub(crate) fn parse_descriptors(own: &[OwnItem]) -> Vec<VmDescriptor> {
+pub(crate) fn parse_descriptors(own: &[SystemItem]) -> Vec<VmDescriptor> {
     own.iter().filter_map(|it| parse_descriptor(&it.key, &it.value)).collect()
 }
 
--- a/crates/quincevalve_node/src/store/view/tests.rs
+++ b/crates/quincevalve_node/src/store/view/tests.rs
@@ -25,8 +25,8 @@
     RelayedChange::Own { key: key.to_owned(), value: vec![0; bytes] }
 }
 
-// All VMs would learn late of servers that leave if the counts that the holder of the duties stores for its successor filled
-// the datagrams.
+// All VMs would learn late of servers that leave if the counts that the holder of the duties stores for its successor
+// filled the datagrams.
 #[test]
 fn relays_only_keys_that_other_vms_need() {
     assert!(own("peers/vm-1", 100).is_needed_by_peers());
@@ -52,9 +52,9 @@
     }
 }
 
-// The VM that reads the store for others reads it in pages, and a server begins to leave between two pages, so that a later
-// page contains the change. The change is then not new to the reader; if it weren't relayed, VMs that look up to date would
-// keep sending requests to the server.
+// The VM that reads the store for others reads it in pages, and a server begins to leave between two pages, so that a
+// later page contains the change. The change is then not new to the reader; if it weren't relayed, VMs that look up to
+// date would keep sending requests to the server.
 #[test]
 fn relays_changes_made_during_a_full_read() {
     run(|| {
@@ -70,12 +70,12 @@
         let change = (StoreRevision(103), Change::Server(name.clone(), draining()));
         apply_changes(
             &reader,
-            Changes { changes: vec![change], at: StoreRevision(104), may_be_cut: false },
+            Changes { changes: vec![change], at: StoreRevision(104), may_be_truncated: false },
         );
         let renewal = (StoreRevision(105), Change::Server(name.clone(), draining()));
         apply_changes(
             &reader,
-            Changes { changes: vec![renewal], at: StoreRevision(105), may_be_cut: false },
+            Changes { changes: vec![renewal], at: StoreRevision(105), may_be_truncated: false },
         );
         let batch = reader.store_view.borrow().changes_since(StoreRevision(100), usize::MAX);
         let batch = batch.expect("changes since the full read");
@@ -85,17 +85,17 @@
 }
 
 fn snapshot_with(descriptor: &VmDescriptor, lease: u64) -> Snapshot {
-    let item = OwnItem {
+    let item = SystemItem {
         key: peer_key(descriptor),
         value: serde_json::to_vec(descriptor).expect("a descriptor"),
         revision: StoreRevision(5),
         lease: Some(LeaseId(lease)),
     };
-    Snapshot { own: vec![item], at: StoreRevision(7), ..Snapshot::default() }
+    Snapshot { system_items: vec![item], at: StoreRevision(7), ..Snapshot::default() }
 }
 
-// After a power loss all VMs are back at once, and each would write an entry that still exists. A VM renews the lease of its
-// entry instead, unless the entry differs, for instance in the address.
+// After a power loss all VMs are back at once, and each would write an entry that still exists. A VM renews the lease
+// of its entry instead, unless the entry differs, for instance in the address.
 #[test]
 fn keeps_the_lease_of_an_equal_entry_after_a_restart() {
     run(|| {
@@ -154,8 +154,8 @@
     node
 }
 
-// Each change by which a VM that reads the store can learn that a server leaves, alone. If one were lost, requests would
-// keep reaching the server.
+// Each change by which a VM that reads the store can learn that a server leaves, alone. If one were lost, requests
+// would keep reaching the server.
 #[test]
 fn a_leaving_server_is_unusable_after_each_kind_of_change() {
     run(|| {
@@ -163,7 +163,7 @@
         let leaves = (StoreRevision(101), Change::Server("i-1".into(), draining()));
         apply_changes(
             &node,
-            Changes { changes: vec![leaves], at: StoreRevision(101), may_be_cut: false },
+            Changes { changes: vec![leaves], at: StoreRevision(101), may_be_truncated: false },
         );
         assert_eq!(usable(&node), 0);
     });
@@ -172,7 +172,7 @@
         let removal = (StoreRevision(101), Change::ServerRemoved("i-1".into()));
         apply_changes(
             &node,
-            Changes { changes: vec![removal], at: StoreRevision(101), may_be_cut: false },
+            Changes { changes: vec![removal], at: StoreRevision(101), may_be_truncated: false },
         );
         assert_eq!(usable(&node), 0);
     });
@@ -180,7 +180,7 @@
         let node = informed();
         let unreadable = Change::ServerUnreadable("i-1".into(), "spoiled".to_owned());
         let changes = vec![(StoreRevision(101), unreadable)];
-        apply_changes(&node, Changes { changes, at: StoreRevision(101), may_be_cut: false });
+        apply_changes(&node, Changes { changes, at: StoreRevision(101), may_be_truncated: false });
         assert_eq!(usable(&node), 0);
     });
 }
@@ -190,10 +190,7 @@
 fn a_leaving_server_is_unusable_after_a_full_read() {
     let snapshots = [
         Snapshot { servers: vec![("i-1".into(), draining())], ..Snapshot::default() },
-        Snapshot {
-            unreadable: vec![("i-1".into(), "spoiled".to_owned())],
-            ..Snapshot::default()
-        },
+        Snapshot { unreadable: vec![("i-1".into(), "spoiled".to_owned())], ..Snapshot::default() },
         Snapshot::default(),
     ];
     for snapshot in snapshots {
@@ -215,7 +212,7 @@
         let removal = (StoreRevision(101), Change::ServerRemoved("i-1".into()));
         apply_changes(
             &node,
-            Changes { changes: vec![removal], at: StoreRevision(101), may_be_cut: false },
+            Changes { changes: vec![removal], at: StoreRevision(101), may_be_truncated: false },
         );
         let at = StoreRevision(100);
         let servers = vec![("i-1".into(), ready())];
@@ -224,13 +221,13 @@
     });
 }
 
-// A VM that starts after the store has dropped its history, when no other VM knows of a quarantine, can learn of it only
-// from the full read.
+// A VM that starts after the store has dropped its history, when no other VM knows of a quarantine, can learn of it
+// only from the full read.
 #[test]
 fn a_full_read_applies_a_quarantine() {
     run(|| {
         let node = node("vm-1");
-        let item = OwnItem {
+        let item = SystemItem {
             key: "quarantine/00000000000000ab".to_owned(),
             value: br#"{"trials":0,"until_ms":1}"#.to_vec(),
             revision: StoreRevision(5),
@@ -238,27 +235,34 @@
         };
         apply_snapshot(
             &node,
-            Snapshot { own: vec![item], at: StoreRevision(7), ..Snapshot::default() },
+            Snapshot { system_items: vec![item], at: StoreRevision(7), ..Snapshot::default() },
         );
         assert_eq!(node.poison.borrow().stored_entries().count(), 1);
     });
 }
 
-fn read_all_again(node: &Node, servers: Vec<(BackendServerName, ServerEntry)>, own: Vec<OwnItem>) {
+fn read_all_again(
+    node: &Node,
+    servers: Vec<(BackendServerName, ServerEntry)>,
+    own: Vec<SystemItem>,
+) {
     node.store_view.borrow_mut().invalidate();
     let at = StoreRevision(120);
-    apply_snapshot(node, Snapshot { servers, own, at, newest: at, ..Snapshot::default() });
+    apply_snapshot(
+        node,
+        Snapshot { servers, system_items: own, at, newest: at, ..Snapshot::default() },
+    );
 }
 
-fn vm(name: &str) -> OwnItem {
+fn vm(name: &str) -> SystemItem {
     let descriptor =
         VmDescriptor { name: name.to_owned(), ..node("vm-0").peers.borrow().table.me().clone() };
     let value = serde_json::to_vec(&descriptor).expect("a descriptor");
-    OwnItem { key: peer_key(&descriptor), value, revision: StoreRevision(110), lease: None }
+    SystemItem { key: peer_key(&descriptor), value, revision: StoreRevision(110), lease: None }
 }
 
-// When the store drops its history, the VMs that read it for the others do a full read. Without the differences to relay,
-// each of 1,000 VMs would read the whole store, for 8 s, and all callers would be rejected.
+// When the store drops its history, the VMs that read it for the others do a full read. Without the differences to
+// relay, each of 1,000 VMs would read the whole store, for 8 s, and all callers would be rejected.
 #[test]
 fn other_vms_continue_from_their_revision_after_the_history_is_dropped() {
     run(|| {
@@ -274,7 +278,7 @@
         let usable = servers.usable(&service, clock::now());
         let usable: Vec<_> = usable.map(|(name, _)| name.as_str().to_owned()).collect();
         assert_eq!(usable, ["i-2", "i-3"]);
-        assert_eq!(member.vms(), 2);
+        assert_eq!(member.vm_count(), 2);
     });
 }
 
@@ -305,7 +309,10 @@
         reader.store_view.borrow_mut().invalidate();
         let at = StoreRevision(130);
         let own = names.iter().map(|it| vm(it)).collect();
-        apply_snapshot(&reader, Snapshot { servers, own, at, newest: at, ..Snapshot::default() });
+        apply_snapshot(
+            &reader,
+            Snapshot { servers, system_items: own, at, newest: at, ..Snapshot::default() },
+        );
         let batch = reader.store_view.borrow().changes_since(StoreRevision(120), MAX_BATCH_BYTES);
         let batch = batch.expect("no change is missing");
         assert_eq!((batch.upto, batch.changes.len()), (130, 0), "{:?}", batch.changes);
