--- a/crates/quincevalve_node/tests/rollout.rs
+++ b/crates/quincevalve_node/tests/rollout.rs
@@ -267,9 +267,7 @@
 
 /// Starts a roll-out, makes a concurrent write just before the first status is committed, and returns the states
 /// committed up to [`REPORT_DELAY`] later.
-async fn states_after_concurrent_write(
-    write: impl FnOnce(&FakeStore) + 'static,
-) -> Vec<RolloutState> {
+async fn states_after_write(write: impl FnOnce(&FakeStore) + 'static) -> Vec<RolloutState> {
     let world = World::start(2 * SERVERS_PER_VERSION, reply_with_success).await;
     world.store.before_next_status_commit(write);
     start_rollout(&world, 60);
@@ -283,10 +281,8 @@
 #[test]
 fn a_former_duty_holder_commits_no_status() {
     run(async {
-        let states = states_after_concurrent_write(|store| {
-            store.put_item("duty/holder", b"another".to_vec())
-        })
-        .await;
+        let states =
+            states_after_write(|store| store.put_item("duty/holder", b"another".to_vec())).await;
         assert_eq!(states, []);
     });
 }
@@ -295,7 +291,7 @@
 #[test]
 fn no_status_is_committed_over_a_record_that_changed_since_the_read() {
     run(async {
-        let states = states_after_concurrent_write(|store| {
+        let states = states_after_write(|store| {
             let order = store.rollout_order("engines").expect("an order");
             let phase = Phase::RolledBack(RollbackCause::Failures);
             let record = RolloutRecord { phase, ..RolloutRecord::first(&order, 0) };
@@ -309,8 +305,7 @@
 #[test]
 fn no_active_status_is_committed_for_an_order_removed_since_the_read() {
     run(async {
-        let states =
-            states_after_concurrent_write(|store| store.order_rollout("engines", None)).await;
+        let states = states_after_write(|store| store.order_rollout("engines", None)).await;
         assert!(!states.contains(&RolloutState::Active), "{states:?}");
     });
 }
