--- a/crates/quincevalve_node/tests/old_copy.rs
+++ b/crates/quincevalve_node/tests/old_copy.rs
@@ -9,7 +9,8 @@
 
 /// Interval at which a condition is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Number of requests. If two idle servers shared them, one would get none by chance with a probability of 1 in 500,000.
+/// Number of requests. If two idle servers shared them, one would get none by chance with a probability of 1 in
+/// 500,000.
 const REQUESTS: usize = 20;
 
 // A VM starts while the store is slow, and its first, stale read still lists a server that left. Until the store has
