--- a/crates/quincevalve_node/src/peers/receive.rs
+++ b/crates/quincevalve_node/src/peers/receive.rs
@@ -106,7 +106,7 @@
             }
         }
         Content::ConfigChunk(chunk) => {
-            config_copy::receive_chunk(node, chunk, datagram.from.address)
+            config_copy::receive_chunk(node, chunk, datagram.from.address);
         }
         Content::StateRequest(request) => {
             let to = datagram.from.address;
--- a/crates/quincevalve_node/src/store/view.rs
+++ b/crates/quincevalve_node/src/store/view.rs
@@ -450,7 +450,7 @@
             node.reported_config_version.set(node.reported_config_version.get().max(*version));
         }
         RelayedChange::OwnRemoved(key) if key == HOLDER_KEY => {
-            node.peers.borrow_mut().set_holder(None)
+            node.peers.borrow_mut().set_holder(None);
         }
         RelayedChange::OwnRemoved(key) if key.starts_with(QUARANTINE_KEY_PREFIX) => {
             if let Some(digest) = digest_of(key) {
