--- a/crates/quincevalve_node/src/duties/orders.rs
+++ b/crates/quincevalve_node/src/duties/orders.rs
@@ -48,7 +48,7 @@
             sleep(PLAN_INTERVAL).await;
             continue;
         };
-        let promised = expected_demand(&config);
+        let quota_demand = expected_demand(&config);
         for (name, service) in &config.services {
             let Some(scaling) = &service.scaling else { continue };
             let now = clock::now();
@@ -71,7 +71,7 @@
             let busy = planner.observe(
                 node.total_demand(name),
                 reachable_fraction,
-                promised,
+                quota_demand,
                 &present,
                 now,
             );
--- a/crates/quincevalve_node/src/duties/rollouts.rs
+++ b/crates/quincevalve_node/src/duties/rollouts.rs
@@ -26,13 +26,14 @@
 
 /// Interval between two evaluations of the roll-outs.
 const EVALUATION_INTERVAL: Duration = Duration::from_millis(100);
-/// Delay after a failed store call: each call counts towards the limit on store calls, rejected ones included.
+/// Delay after a failed call to the store, because every call counts as load on the store, also a rejected one.
 const STORE_FAILURE_DELAY: Duration = Duration::from_millis(400);
 /// Interval between two log lines about a roll-out's evidence.
 const EVIDENCE_LOG_INTERVAL: Duration = Duration::from_secs(1);
-/// Maximum utilization of the new version's servers when the version takes over.
+/// Maximum utilization of the new version's servers, as a fraction of their time, when the version takes over.
 const MAX_UTILIZATION: f64 = 0.8;
-/// Upper bound of the needed new servers as a fraction of the old ones; applies as it is where no demand is measured.
+/// Maximum number of new servers that must be present, as a fraction of the old ones. This number is required where no
+/// demand is measured.
 const MAX_NEEDED_FRACTION: f64 = 0.75;
 
 /// The stored record of a roll-out, if any, and its revision.
@@ -256,7 +257,9 @@
     }
 }
 
-/// Returns how many servers of the new version can replace `old` ones; `busy` is the measured demand in busy servers.
+/// Returns how many servers of the new version must be present to replace `old` ones.
+///
+/// `busy` is the measured demand in busy servers.
 fn needed_servers(old: usize, busy: Option<f64>) -> usize {
     let upper_bound = (old as f64 * MAX_NEEDED_FRACTION).ceil() as usize;
     let needed_for_demand = busy.map(|it| (it / MAX_UTILIZATION).ceil() as usize);
--- a/crates/quincevalve_node/src/node.rs
+++ b/crates/quincevalve_node/src/node.rs
@@ -57,7 +57,8 @@
     },
 }
 
-/// Minimum time that must remain to accept a stream while draining: the duration of a long answer.
+/// Minimum time that must remain to accept a stream while draining, unless its route's timeout is shorter: the duration
+/// of a long answer.
 const MIN_STREAM_TIME: Duration = Duration::from_millis(4_700);
 
 /// Maximum age of the freshness confirmation for rejecting unknown names, as a fraction of `Bounds::change_in_force`.
@@ -101,7 +102,7 @@
     pub(crate) refusal_log_budget: RefCell<LineBudget>,
     pub(crate) metrics: Metrics,
     pub(crate) store_view: RefCell<StoreView>,
-    /// When the store last answered this VM or a VM from which it receives.
+    /// When the store last answered this VM or a VM from which it receives reports.
     pub(crate) store_contact: Cell<StoreContact>,
     /// Newest version of the configuration that other VMs reported.
     pub(crate) reported_config_version: Cell<u64>,
@@ -178,8 +179,8 @@
 
     /// Returns whether this VM has had a freshness confirmation since the process started.
     ///
-    /// Until then it serves nothing. A starting VM may have read a copy of the store that is seconds old; it would serve
-    /// by an outdated configuration and use servers that have left.
+    /// Until then it serves nothing. A starting VM may have read a copy of the store that is seconds old; it would apply
+    /// an outdated configuration and use servers that have left.
     pub(crate) fn was_confirmed_fresh(&self) -> bool {
         self.freshness.get().age(clock::now()).is_some()
     }
@@ -254,10 +255,10 @@
 
     /// Takes one log line from the budget; a line that doesn't fit is counted as suppressed.
     pub(crate) fn may_log(&self) -> bool {
-        let mut lines = self.log_budget.borrow_mut();
-        let may = lines.take(clock::now());
+        let mut budget = self.log_budget.borrow_mut();
+        let may = budget.take(clock::now());
         if !may {
-            lines.record_suppressed(1);
+            budget.record_suppressed(1);
         }
         may
     }
--- a/crates/quincevalve_node/src/ports.rs
+++ b/crates/quincevalve_node/src/ports.rs
@@ -38,7 +38,7 @@
     pub unreadable: Vec<(BackendServerName, String)>,
     /// The operators' orders for roll-outs.
     pub rollouts: Vec<(ServiceName, RolloutOrder)>,
-    /// The system's own keys.
+    /// The system's own items.
     pub system_items: Vec<SystemItem>,
     /// Revision up to which all changes are included.
     pub at: StoreRevision,
@@ -70,9 +70,9 @@
     ServerRemoved(BackendServerName),
     /// A backend server's entry can't be read; the reason is logged.
     ServerUnreadable(BackendServerName, String),
-    /// An order to move a service to another version.
+    /// An order to roll out another version of a service.
     RolloutOrder(ServiceName, RolloutOrder),
-    /// An order to move a service to another version was removed.
+    /// An order to roll out another version of a service was removed.
     RolloutOrderRemoved(ServiceName),
     /// An item of the system itself was written.
     SystemItem(SystemItem),
