--- a/crates/quincevalve_node/src/metrics.rs
+++ b/crates/quincevalve_node/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters, gauges and latency histograms, served in the OpenMetrics text format.
+//! Counters, gauges and latency histograms, served in the `OpenMetrics` text format.
 
 use std::{convert::Infallible, rc::Rc, time::Duration};
 
