--- a/crates/quincevalve_distribution/src/distribution.rs
+++ b/crates/quincevalve_distribution/src/distribution.rs
@@ -6,15 +6,15 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// A peer that can be asked.
+/// The address of a peer from which content can be fetched.
 pub type Peer = SocketAddr;
 
-/// Settings of the core.
+/// Settings of the distribution core.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DistributionSettings {
-    /// Peers that are told of a new revision at once.
+    /// Number of peers to which a new revision is announced immediately.
     pub fan_out: usize,
-    /// How long one fetch may take before another peer is asked.
+    /// Time after which a fetch no longer prevents a fetch from another peer.
     pub fetch: Duration,
 }
 
@@ -24,41 +24,41 @@
     }
 }
 
-/// Where content came from.
+/// The source of received content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
     /// The platform's store.
     Store,
-    /// A peer.
+    /// The peer with this address.
     Peer(Peer),
 }
 
-/// What the node does next.
+/// An output of the distribution core.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DistributionAction {
     /// Fetch the newest content from a peer.
     Fetch(Peer),
-    /// Tell peers which revision is in force here.
+    /// Announce to peers which revision is in force at this node.
     Announce {
-        /// Whom.
+        /// The peers that receive the announcement.
         to: Vec<Peer>,
-        /// The revision.
+        /// The revision in force.
         revision: Revision,
     },
-    /// The content is in force from now on.
+    /// Put the content into force.
     Apply {
-        /// The revision.
+        /// The revision of the content.
         revision: Revision,
-        /// The content.
+        /// The content to apply.
         content: Arc<str>,
     },
 }
 
-/// The core.
+/// The distribution core of one node.
 ///
-/// Failure: a message is old, a peer was cut off, or the store answered from before. Symptom: a change
-/// that operators saw in force is gone again on some nodes. A revision is only ever applied over a lower
-/// one, wherever it comes from, so the order of messages doesn't matter.
+/// Old messages, peers that were partitioned and stale answers of the store may deliver an older revision. If it were
+/// applied, a change that operators saw in force would be reverted on some nodes. A revision is therefore applied only
+/// over a lower one, whatever its source, so the order of messages doesn't matter.
 ///
 /// # Examples
 ///
@@ -76,69 +76,72 @@
     settings: DistributionSettings,
     revision: Revision,
     content: Option<Arc<str>>,
-    heard: Option<(Revision, Peer)>,
+    /// The highest announced revision above the one in force, with the peer that has it.
+    announced: Option<(Revision, Peer)>,
+    /// The peer and the start of the fetch in flight.
     fetching: Option<(Peer, TimePoint)>,
     rng: Pcg64Mcg,
 }
 
 impl Distribution {
-    /// Makes the core of a node that has nothing yet.
+    /// Creates the core of a node without content.
     pub fn new(settings: DistributionSettings, seed: u64) -> Self {
         Self {
             settings,
             revision: Revision(0),
             content: None,
-            heard: None,
+            announced: None,
             fetching: None,
             rng: Pcg64Mcg::seed_from_u64(seed),
         }
     }
 
-    /// The revision in force here.
+    /// Returns the revision in force at this node.
     pub const fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// The content in force here, to hand to peers that ask.
+    /// Returns the content in force at this node with its revision, to serve it to peers.
     pub fn content(&self) -> Option<(Revision, Arc<str>)> {
         self.content.clone().map(|it| (self.revision, it))
     }
 
-    /// Hears of a revision at a peer.
+    /// Processes an announcement that a peer has a revision.
     pub fn hear(
         &mut self,
         now: TimePoint,
         peer: Peer,
         revision: Revision,
     ) -> Vec<DistributionAction> {
-        if revision <= self.revision || self.heard.is_some_and(|it| it.0 > revision) {
+        if revision <= self.revision || self.announced.is_some_and(|it| it.0 > revision) {
             return Vec::new();
         }
-        self.heard = Some((revision, peer));
+        self.announced = Some((revision, peer));
         self.fetch(now)
     }
 
     fn fetch(&mut self, now: TimePoint) -> Vec<DistributionAction> {
-        let Some((_, peer)) = self.heard else { return Vec::new() };
-        let is_busy = self.fetching.is_some_and(|it| now - it.1 < self.settings.fetch);
-        if is_busy {
+        let Some((_, peer)) = self.announced else { return Vec::new() };
+        let is_in_flight = self.fetching.is_some_and(|it| now - it.1 < self.settings.fetch);
+        if is_in_flight {
             return Vec::new();
         }
         self.fetching = Some((peer, now));
         vec![DistributionAction::Fetch(peer)]
     }
 
-    /// Notes that a fetch failed; the next piece of news starts another.
+    /// Processes a failed fetch; the next announcement starts another one.
     pub fn fetch_failed(&mut self, peer: Peer) {
         if self.fetching.is_some_and(|it| it.0 == peer) {
             self.fetching = None;
         }
-        if self.heard.is_some_and(|it| it.1 == peer) {
-            self.heard = None;
+        if self.announced.is_some_and(|it| it.1 == peer) {
+            self.announced = None;
         }
     }
 
-    /// Takes content. `peers` are those in reach; a few are told at once if it is new.
+    /// Processes received content. If its revision is new, it is announced to a few of the reachable `peers`
+    /// immediately.
     pub fn receive(
         &mut self,
         now: TimePoint,
@@ -155,9 +158,9 @@
         }
         self.revision = revision;
         self.content = Some(Arc::clone(&content));
-        self.heard = self.heard.filter(|it| it.0 > revision);
+        self.announced = self.announced.filter(|it| it.0 > revision);
         let mut actions = vec![DistributionAction::Apply { revision, content }];
-        let to = self.pick(peers);
+        let to = self.select_peers(peers);
         if !to.is_empty() {
             actions.push(DistributionAction::Announce { to, revision });
         }
@@ -165,9 +168,11 @@
         actions
     }
 
-    fn pick(&mut self, peers: &[Peer]) -> Vec<Peer> {
-        let mut left = peers.to_vec();
-        let count = self.settings.fan_out.min(left.len());
-        (0..count).map(|_| left.swap_remove(self.rng.random_range(0..left.len()))).collect()
+    fn select_peers(&mut self, peers: &[Peer]) -> Vec<Peer> {
+        let mut remaining = peers.to_vec();
+        let count = self.settings.fan_out.min(remaining.len());
+        (0..count)
+            .map(|_| remaining.swap_remove(self.rng.random_range(0..remaining.len())))
+            .collect()
     }
 }
--- a/crates/quincevalve_distribution/src/lib.rs
+++ b/crates/quincevalve_distribution/src/lib.rs
@@ -1,7 +1,7 @@
-//! Configuration in force everywhere within seconds, never reverting.
+//! Distribution of the configuration to all nodes within seconds, without ever reverting to an older revision.
 //!
-//! A few relays in each data centre watch the platform's store; everybody else gets revisions from peers.
-//! News of a revision spreads by gossip, its content is fetched from whoever has it.
+//! A few relays in each data centre watch the platform's store; all other nodes get revisions from peers.
+//! Announcements of a revision spread by gossip; its content is fetched from a peer that has it.
 
 mod distribution;
 
--- a/crates/quincevalve_ledger/src/claim.rs
+++ b/crates/quincevalve_ledger/src/claim.rs
@@ -1,20 +1,20 @@
-//! A claim and its verdict.
+//! Claims on idempotency keys and their verdicts.
 
 use std::fmt;
 
 use quincevalve_names::{ClientAccountName, IdempotencyKey, RequestId, hash_text, mix};
 use serde::{Deserialize, Serialize};
 
-/// What is claimed: a hash of the account and the caller's idempotency key.
+/// A 128-bit hash of the account and the caller's idempotency key.
 ///
-/// 128 bits: two keys that share a hash would make the second request look like a repeat of the first.
-/// Among a thousand million kept claims that has a chance of 1 in 10^21.
+/// If two keys had the same hash, the second request would be treated as a repeat of the first. Among 10^9
+/// stored claims, the probability that any two keys have the same hash is 1 in 10^21.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ClaimKey(pub u128);
 
 impl ClaimKey {
-    /// The key of an account's idempotency key.
+    /// Computes the claim key of an account's idempotency key.
     ///
     /// ```
     /// use quincevalve_ledger::ClaimKey;
@@ -28,7 +28,7 @@
         Self((u128::from(high) << 64) | u128::from(low))
     }
 
-    /// The slot that the key belongs to, of so many.
+    /// Returns the slot that the key belongs to, out of `slots` slots.
     pub const fn slot(self, slots: u32) -> u32 {
         (mix(self.0 as u64, (self.0 >> 64) as u64) % slots as u64) as u32
     }
@@ -40,35 +40,35 @@
     }
 }
 
-/// The wish to run a request.
+/// A request for the exclusive right to dispatch a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// What is claimed.
+    /// The key that is claimed.
     pub key: ClaimKey,
-    /// The request that claims it. It is the claim's identity: the same request may ask again.
+    /// The request that claims the key. It identifies the claim: the same request may repeat its claim.
     pub request: RequestId,
-    /// A hash of what is asked for, to tell a repeat from another request under the same key.
+    /// A hash of the request's content, which distinguishes a repeat from a different request with the same key.
     pub fingerprint: u64,
-    /// Seconds since 1970, for retention.
+    /// Time of the claim in seconds since 1970, used for retention.
     pub at: u64,
 }
 
-/// A claim's number within one process.
+/// The number of a claim, unique within one process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Ticket(pub u64);
 
-/// What came of a claim.
+/// The result of a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
-    /// The request may be dispatched, by the VM that asked, once.
+    /// The VM that made the claim may dispatch the request once.
     Granted,
-    /// Another request has the key. It ran, runs, or may have run.
+    /// Another request holds the key. That request is running, has run or may have run.
     Taken {
-        /// That request.
+        /// The request that holds the key.
         request: RequestId,
-        /// What that request asked for.
+        /// The fingerprint of the request that holds the key.
         fingerprint: u64,
     },
-    /// The store didn't settle the claim in time. The key may be taken, by this request or another.
+    /// The store didn't decide the claim before its deadline. This request or another one may hold the key.
     Unsettled,
 }
--- a/crates/quincevalve_ledger/src/desk.rs
+++ b/crates/quincevalve_ledger/src/claim_ledger.rs
@@ -1,4 +1,4 @@
-//! The slots of one process, each an actor between its core and the store.
+//! The slots of one process. Each slot is an actor that connects its core to the store.
 
 use std::{sync::Arc, time::Duration};
 
@@ -17,11 +17,11 @@
 /// Settings of the ledger. Every VM must use the same number of slots.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DeskSettings {
-    /// Slots.
+    /// Number of slots.
     pub slots: u32,
-    /// Each slot's settings.
+    /// Settings of each slot.
     pub slot: SlotSettings,
-    /// The longest time until a claim is answered.
+    /// Maximum time until a claim is answered.
     pub give_up: Duration,
 }
 
@@ -31,26 +31,26 @@
     }
 }
 
-/// The ledger can't take a claim.
+/// An error that prevents the ledger from processing a claim.
 #[derive(Debug, Snafu)]
 pub enum ClaimDeskError {
-    /// The slot's actor can't start.
-    #[snafu(display("claims: slot {slot}: {source}"))]
+    /// The slot's actor can't be started.
+    #[snafu(display("can't start the actor of ledger slot {slot}: {source}"))]
     Start {
-        /// The slot.
+        /// The number of the slot.
         slot: u32,
-        /// Why.
+        /// The error of the actor system.
         source: ractor::SpawnErr,
     },
-    /// The slot's actor has ended, with its process.
-    #[snafu(display("claims: slot {slot} has ended"))]
+    /// The slot's actor has stopped because its process is shutting down.
+    #[snafu(display("the actor of ledger slot {slot} has stopped"))]
     Ended {
-        /// The slot.
+        /// The number of the slot.
         slot: u32,
     },
 }
 
-/// The claims desk of one process; clones share the slots.
+/// The claims ledger of one process. Clones share the slots.
 #[derive(Clone)]
 pub struct ClaimDesk<S> {
     store: S,
@@ -64,17 +64,17 @@
 where
     S: Store,
 {
-    /// Makes a desk; slots start when they are first used.
+    /// Creates a ledger. A slot's actor starts when the slot is first used.
     pub fn new(store: S, timer: Timer, writer: &str, settings: DeskSettings) -> Self {
         Self { store, timer, writer: writer.into(), settings, slots: Arc::default() }
     }
 
-    /// The settings.
+    /// Returns the settings.
     pub const fn settings(&self) -> &DeskSettings {
         &self.settings
     }
 
-    /// Settles a claim.
+    /// Decides a claim.
     pub async fn claim(&self, claim: Claim) -> Result<Verdict, ClaimDeskError> {
         let slot = claim.key.slot(self.settings.slots);
         let actor = self.actor(slot).await?;
@@ -91,11 +91,11 @@
         }
         let state = SlotState {
             core: Slot::new(self.settings.slot, &self.writer),
-            name: slot,
+            slot,
             store: self.store.clone(),
             timer: self.timer.clone(),
             give_up: self.settings.give_up,
-            waiting: FxHashMap::default(),
+            reply_ports: FxHashMap::default(),
             next_ticket: 0,
         };
         let spawned = Actor::spawn(None, SlotActor::<S>::new(), state).await;
@@ -122,11 +122,11 @@
 
 struct SlotState<S> {
     core: Slot,
-    name: u32,
+    slot: u32,
     store: S,
     timer: Timer,
     give_up: Duration,
-    waiting: FxHashMap<Ticket, RpcReplyPort<Verdict>>,
+    reply_ports: FxHashMap<Ticket, RpcReplyPort<Verdict>>,
     next_ticket: u64,
 }
 
@@ -158,16 +158,16 @@
             SlotMessage::Claim(claim, reply) => {
                 state.next_ticket += 1;
                 let ticket = Ticket(state.next_ticket);
-                state.waiting.insert(ticket, reply);
+                state.reply_ports.insert(ticket, reply);
                 SlotEvent::Claim { ticket, claim, give_up_at: now + state.give_up }
             }
         };
         let mut actions = Vec::new();
         state.core.handle(now, event, &mut actions);
         for action in actions {
-            state.act(&myself, action);
+            state.perform(&myself, action);
         }
-        state.wait_for_tick(&myself);
+        state.schedule_tick(&myself);
         Ok(())
     }
 }
@@ -176,15 +176,15 @@
 where
     S: Store,
 {
-    fn act(&mut self, actor: &ActorRef<SlotMessage>, action: SlotAction) {
+    fn perform(&mut self, actor: &ActorRef<SlotMessage>, action: SlotAction) {
         if let SlotAction::Answer(ticket, verdict) = action {
-            if let Some(reply) = self.waiting.remove(&ticket) {
-                // A caller that stopped waiting has given the claim up as unsettled.
+            if let Some(reply) = self.reply_ports.remove(&ticket) {
+                // Sending fails if the caller has stopped waiting; it treats the claim as unsettled.
                 let _ = reply.send(verdict);
             }
             return;
         }
-        let call = StoreCall { store: self.store.clone(), slot: self.name };
+        let call = StoreCall { store: self.store.clone(), slot: self.slot };
         let actor = actor.clone();
         tokio::spawn(async move {
             if let Some(event) = call.run(action).await {
@@ -193,9 +193,9 @@
         });
     }
 
-    fn wait_for_tick(&self, actor: &ActorRef<SlotMessage>) {
+    fn schedule_tick(&self, actor: &ActorRef<SlotMessage>) {
         let Some(at) = self.core.wants_tick_at() else { return };
-        let delay = (at - self.timer.now()).max(MIN_TICK);
+        let delay = (at - self.timer.now()).max(MIN_TICK_DELAY);
         let wait = self.timer.after(delay);
         let actor = actor.clone();
         tokio::spawn(async move {
@@ -205,7 +205,8 @@
     }
 }
 
-const MIN_TICK: Duration = Duration::from_millis(1);
+/// Minimum delay before a tick.
+const MIN_TICK_DELAY: Duration = Duration::from_millis(1);
 
 struct StoreCall<S> {
     store: S,
@@ -233,7 +234,7 @@
                 Some(SlotEvent::HeadSwapped(self.swap(&head_key, expected, &head).await))
             }
             SlotAction::DropSegment(number) => {
-                self.drop_segment(&segment_key(number)).await;
+                self.delete_segment(&segment_key(number)).await;
                 None
             }
             SlotAction::Answer(..) => None,
@@ -244,19 +245,19 @@
     where
         T: DeserializeOwned,
     {
-        let found = match self.store.get(key).await {
+        let stored = match self.store.get(key).await {
             Ok(None) => return ReadOutcome::Found(None),
-            Ok(Some(found)) => found,
+            Ok(Some(stored)) => stored,
             Err(error) => {
-                log::debug!("claims: {key}: {error}");
+                log::debug!("claims ledger: can't read key {key} from the store: {error}");
                 return ReadOutcome::Failed;
             }
         };
-        match serde_json::from_str(&found.value) {
-            Ok(value) => ReadOutcome::Found(Some((found.version, value))),
-            // A value that can't be read must not be taken for an empty slot: nothing is granted.
+        match serde_json::from_str(&stored.value) {
+            Ok(value) => ReadOutcome::Found(Some((stored.version, value))),
+            // A value that can't be parsed must not be treated as an empty slot, so no claim is granted.
             Err(error) => {
-                log::error!("claims: the store's key {key} can't be read: {error}");
+                log::error!("claims ledger: can't parse the value of store key {key}: {error}");
                 ReadOutcome::Failed
             }
         }
@@ -277,17 +278,17 @@
         }
     }
 
-    async fn drop_segment(&self, key: &str) {
-        let Ok(Some(found)) = self.store.get(key).await else { return };
-        if let Err(error) = self.store.delete(key, found.version).await {
-            log::debug!("claims: {key}: {error}");
+    async fn delete_segment(&self, key: &str) {
+        let Ok(Some(stored)) = self.store.get(key).await else { return };
+        if let Err(error) = self.store.delete(key, stored.version).await {
+            log::debug!("claims ledger: can't delete segment {key} from the store: {error}");
         }
     }
 }
 
 fn without_version<T>(outcome: ReadOutcome<(KeyVersion, T)>) -> ReadOutcome<T> {
     match outcome {
-        ReadOutcome::Found(found) => ReadOutcome::Found(found.map(|it| it.1)),
+        ReadOutcome::Found(stored) => ReadOutcome::Found(stored.map(|it| it.1)),
         ReadOutcome::Failed => ReadOutcome::Failed,
     }
 }
--- a/crates/quincevalve_ledger/src/format.rs
+++ b/crates/quincevalve_ledger/src/format.rs
@@ -1,24 +1,24 @@
-//! What the store holds for a slot.
+//! The format in which the store keeps a slot.
 
 use quincevalve_names::RequestId;
 use serde::{Deserialize, Serialize};
 
 use crate::{Claim, ClaimKey};
 
-/// One claim as it is kept. The field names are short since each is written thousands of times.
+/// A stored claim. Serialized field names are short because each of them is written thousands of times.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Entry {
-    /// The key.
+    /// The claimed key.
     #[serde(rename = "k", with = "hexadecimal")]
     pub key: ClaimKey,
-    /// The request.
+    /// The request that holds the key.
     #[serde(rename = "r")]
     pub request: RequestId,
-    /// The fingerprint of what was asked.
+    /// The fingerprint of the request's content.
     #[serde(rename = "f")]
     pub fingerprint: u64,
-    /// Seconds since 1970.
+    /// Time of the claim in seconds since 1970.
     #[serde(rename = "t")]
     pub at: u64,
 }
@@ -30,29 +30,29 @@
     }
 }
 
-/// The head of a slot: the one key that is swapped.
+/// The head of a slot, the only key of the slot that is changed by compare-and-swap.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Head {
-    /// Who wrote it, for operators.
+    /// The VM that wrote this version; only for operators.
     pub writer: String,
-    /// The newest claims.
+    /// The newest claims, which aren't in a segment yet.
     pub open: Vec<Entry>,
-    /// The oldest kept segment.
+    /// The number of the oldest retained segment.
     pub first_segment: u64,
-    /// The segment that will be sealed next.
+    /// The number of the segment that is sealed next.
     pub next_segment: u64,
 }
 
-/// Older claims, written once.
+/// An immutable segment of older claims.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Segment {
-    /// The claims.
+    /// The claims, oldest first.
     pub entries: Vec<Entry>,
 }
 
-/// JSON has no 128-bit numbers that every reader keeps exact, so a key is text.
+/// Serializes a key as hexadecimal text, since many JSON readers don't keep 128-bit numbers exact.
 mod hexadecimal {
     use serde::{Deserialize, Deserializer, Serializer, de::Error};
 
--- a/crates/quincevalve_ledger/src/slot.rs
+++ b/crates/quincevalve_ledger/src/slot.rs
@@ -1,4 +1,4 @@
-//! One slot of the ledger: `(now, event) -> actions`.
+//! The core of one slot of the ledger: `(now, event) -> actions`.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -14,14 +14,14 @@
 /// Settings of a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SlotSettings {
-    /// The shortest time between two writes. It bounds the store's load, and it leaves a VM that takes a
-    /// slot over from a busy one the time to read and swap.
+    /// Minimum time between two writes. Limits the load on the store, and gives a VM that takes over a slot from a
+    /// busy VM enough time to read and swap.
     pub pace: Duration,
-    /// Claims in the head above which they are sealed into a segment.
+    /// Number of claims in the head from which they are sealed into a segment.
     pub segment_entries: usize,
-    /// Claims in one write.
+    /// Maximum number of claims in one write.
     pub batch: usize,
-    /// How long a claim is kept, in seconds.
+    /// Retention time of a claim, in seconds.
     pub retention_s: u64,
 }
 
@@ -36,54 +36,56 @@
     }
 }
 
-/// How a read ended.
+/// The outcome of a read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReadOutcome<T> {
-    /// The value, if the key exists.
+    /// The store answered, with the value if the key exists.
     Found(Option<T>),
-    /// The store didn't answer.
+    /// The store didn't answer, or its value can't be parsed.
     Failed,
 }
 
-/// How a swap ended.
+/// The outcome of a swap.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SwapOutcome {
-    /// It took effect; this is the new version.
+    /// The swap took effect; holds the new version.
     Written(KeyVersion),
-    /// Another writer was first; nothing was written.
+    /// Nothing was written, since another writer changed the key first.
     Conflict,
-    /// Nothing was written.
+    /// Nothing was written, for another reason than a conflict.
     NotWritten,
-    /// It may have taken effect.
+    /// The swap may have taken effect.
     Unknown,
 }
 
-/// What happens to a slot.
+/// An input of the slot's core.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SlotEvent {
-    /// A claim arrives; it is answered by `give_up_at` at the latest.
+    /// A claim arrives. It is answered by `give_up_at` at the latest.
     Claim {
-        /// Its number.
+        /// The number of the claim.
         ticket: Ticket,
         /// The claim.
         claim: Claim,
-        /// The latest time for an answer.
+        /// Time by which the claim is answered.
         give_up_at: TimePoint,
     },
-    /// [`SlotAction::ReadHead`] ended.
+    /// [`SlotAction::ReadHead`] has completed.
     HeadRead(ReadOutcome<(KeyVersion, Head)>),
-    /// [`SlotAction::ReadSegment`] ended.
+    /// [`SlotAction::ReadSegment`] has completed.
     SegmentRead(u64, ReadOutcome<Segment>),
-    /// [`SlotAction::WriteSegment`] ended.
+    /// [`SlotAction::WriteSegment`] has completed.
     SegmentWritten(SwapOutcome),
-    /// [`SlotAction::SwapHead`] ended.
+    /// [`SlotAction::SwapHead`] has completed.
     HeadSwapped(SwapOutcome),
-    /// Time passed.
+    /// Time has skipped.
     Tick,
 }
 
-/// What a slot wants done. At most one store call is under way at a time, but for segments, which never
-/// change and are read side by side.
+/// An output of the slot's core.
+///
+/// At most one store call is in flight at a time, except for reads of segments, which are immutable and are read
+/// concurrently.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SlotAction {
     /// Read the head.
@@ -94,12 +96,12 @@
     WriteSegment(u64, Segment),
     /// Swap the head.
     SwapHead {
-        /// The version that it must be at.
+        /// The version that the stored head must have.
         expected: KeyVersion,
         /// The new head.
         head: Head,
     },
-    /// Delete a segment that no head names any more; whether it succeeds doesn't matter.
+    /// Delete a segment that the head no longer lists. The outcome isn't reported back.
     DropSegment(u64),
     /// Answer a claim.
     Answer(Ticket, Verdict),
@@ -114,61 +116,61 @@
 
 #[derive(Clone, Debug)]
 enum Phase {
-    /// What the store holds isn't known; nothing is under way.
+    /// The stored state isn't known and no call is in flight.
     Unread,
     /// The head is being read.
     ReadingHead,
-    /// Segments are being read, several at a time; `asked` is the first that wasn't asked for yet.
-    ReadingSegments { version: KeyVersion, head: Head, asked: u64 },
-    /// Known, up to this version.
+    /// Segments are being read concurrently; `next_to_request` is the first one that hasn't been requested yet.
+    ReadingSegments { version: KeyVersion, head: Head, next_to_request: u64 },
+    /// All claims up to this version are known.
     Ready { version: KeyVersion },
-    /// A full head is being sealed into a segment.
+    /// The claims of a full head are being written into a segment.
     Sealing { version: KeyVersion, number: u64 },
-    /// Somebody sealed this number before; what they wrote is being read.
+    /// Another writer has sealed this number before; its segment is being read.
     CheckingSeal { version: KeyVersion, number: u64 },
     /// A batch is being written.
     Writing { head: Head, dropped: Vec<u64> },
 }
 
-/// The slot's core.
+/// The core of a slot.
 ///
-/// Failure: two VMs both believe that they own the slot, since one was paused past a change of owner, or
-/// they are cut off from each other. Symptom without a fence: both grant the same key, and a seat is
-/// booked twice. Here a claim is granted only after a swap that expected exactly the version whose claims
-/// this VM has read in full. The store lets one of two such swaps win; the loser reads the winner's
-/// claims before it tries again, and finds the key taken.
+/// Two VMs may both believe that they own the slot, because one was paused during a change of owner or because of a
+/// network partition. Without a fence, both would grant the same key and a non-idempotent request would run twice.
+/// Therefore a claim is granted only after a swap that expected exactly the version whose claims this VM has read in
+/// full. Of two such swaps, the store accepts one; the other VM reads the winner's claims before it retries, and
+/// finds the key taken.
 ///
-/// Failure: the answer to a swap is lost. Then the head is read back: a claim that is in it under the
-/// same request was granted. One that isn't is written again; should the lost write land late, it expects
-/// a version that is gone, or it lands first and is found by the next read.
+/// If the answer to a swap is lost, the head is read again. A claim that the head lists with the same request is
+/// granted. Other claims are written again. If the earlier swap takes effect late, either it fails, since the version
+/// that it expects has been replaced, or it takes effect first, and the next read finds its claims.
 #[derive(Clone, Debug)]
 pub struct Slot {
     settings: SlotSettings,
     writer: String,
     phase: Phase,
     head: Head,
-    known: FxHashMap<ClaimKey, Entry>,
-    segment_newest: FxHashMap<u64, u64>,
+    known_claims: FxHashMap<ClaimKey, Entry>,
+    newest_claim_at: FxHashMap<u64, u64>,
     pending: VecDeque<Pending>,
     next_write_at: TimePoint,
 }
 
 impl Slot {
-    /// Makes a slot that has read nothing yet.
+    /// Creates a slot that hasn't read anything yet.
     pub fn new(settings: SlotSettings, writer: &str) -> Self {
         Self {
             settings,
             writer: writer.to_owned(),
             phase: Phase::Unread,
             head: Head::default(),
-            known: FxHashMap::default(),
-            segment_newest: FxHashMap::default(),
+            known_claims: FxHashMap::default(),
+            newest_claim_at: FxHashMap::default(),
             pending: VecDeque::new(),
             next_write_at: TimePoint::ZERO,
         }
     }
 
-    /// Takes an event and appends what has to be done.
+    /// Processes an event and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: TimePoint, event: SlotEvent, actions: &mut Vec<SlotAction>) {
         match event {
             SlotEvent::Claim { ticket, claim, give_up_at } => {
@@ -182,31 +184,31 @@
             SlotEvent::HeadSwapped(outcome) => self.head_swapped(now, outcome, actions),
             SlotEvent::Tick => {}
         }
-        self.give_up(now, actions);
-        self.go_on(now, actions);
+        self.expire_claims(now, actions);
+        self.start_next_call(now, actions);
     }
 
-    /// When the slot wants a [`SlotEvent::Tick`].
+    /// Returns when the slot needs a [`SlotEvent::Tick`].
     pub fn wants_tick_at(&self) -> Option<TimePoint> {
-        let give_up = self.pending.iter().map(|it| it.give_up_at).min()?;
+        let deadline = self.pending.iter().map(|it| it.give_up_at).min()?;
         Some(match self.phase {
-            Phase::Ready { .. } | Phase::Unread => give_up.min(self.next_write_at),
-            _ => give_up,
+            Phase::Ready { .. } | Phase::Unread => deadline.min(self.next_write_at),
+            _ => deadline,
         })
     }
 
-    /// Claims known to be taken.
+    /// Returns the number of known claims.
     pub fn len(&self) -> usize {
-        self.known.len()
+        self.known_claims.len()
     }
 
-    /// Whether no claim is known.
+    /// Returns whether no claim is known.
     pub fn is_empty(&self) -> bool {
-        self.known.is_empty()
+        self.known_claims.is_empty()
     }
 
-    /// Starts the next store call, if none is under way and there is a reason for one.
-    fn go_on(&mut self, now: TimePoint, actions: &mut Vec<SlotAction>) {
+    /// Starts the next store call if a claim is pending, no call is in flight and the next write is due.
+    fn start_next_call(&mut self, now: TimePoint, actions: &mut Vec<SlotAction>) {
         if self.pending.is_empty() || now < self.next_write_at {
             return;
         }
@@ -238,10 +240,10 @@
         actions.push(SlotAction::WriteSegment(number, segment));
     }
 
-    /// Answers the claims whose key is known, one way or the other.
+    /// Answers the pending claims whose key is known, granted or taken.
     fn answer_known(&mut self, actions: &mut Vec<SlotAction>) {
-        let known = &self.known;
-        self.pending.retain(|it| match known.get(&it.claim.key) {
+        let known_claims = &self.known_claims;
+        self.pending.retain(|it| match known_claims.get(&it.claim.key) {
             Some(entry) => {
                 actions.push(SlotAction::Answer(it.ticket, verdict_of(entry, &it.claim)));
                 false
@@ -251,51 +253,58 @@
     }
 
     fn swap(&mut self, version: KeyVersion, mut head: Head, actions: &mut Vec<SlotAction>) {
-        // A claim can have arrived while the head was being sealed, and its key can be known. Written
-        // again, it would stand in the store beside the first one, and both would be granted.
+        // A claim whose key is known may have arrived while the head was being sealed. If it were written too, the
+        // store would hold two claims of the same key, and both would be granted.
         self.answer_known(actions);
         let mut batch: FxHashSet<ClaimKey> = FxHashSet::default();
         for pending in &self.pending {
-            // Of two claims of one key in a batch the first is written; the other finds it.
+            // Of several claims of one key, only the first is written; the others are answered from it.
             let is_new = batch.insert(pending.claim.key);
             if is_new && batch.len() <= self.settings.batch {
                 head.open.push(Entry::from(&pending.claim));
             }
         }
         head.writer.clone_from(&self.writer);
-        let dropped = self.pass_old_segments(&mut head);
+        let dropped = self.skip_expired_segments(&mut head);
         self.phase = Phase::Writing { head: head.clone(), dropped };
         actions.push(SlotAction::SwapHead { expected: version, head });
     }
 
-    /// Moves the head past segments whose newest claim is older than the retention.
-    fn pass_old_segments(&self, head: &mut Head) -> Vec<u64> {
-        let oldest_kept = self.oldest_kept(head);
-        let mut passed = Vec::new();
+    /// Advances the head past segments whose newest claim is older than the retention time, and returns their
+    /// numbers.
+    fn skip_expired_segments(&self, head: &mut Head) -> Vec<u64> {
+        let retention_cutoff = self.retention_cutoff(head);
+        let mut skipped = Vec::new();
         while head.first_segment < head.next_segment
-            && self.segment_newest.get(&head.first_segment).is_some_and(|it| *it < oldest_kept)
+            && self
+                .newest_claim_at
+                .get(&head.first_segment)
+                .is_some_and(|it| *it < retention_cutoff)
         {
-            passed.push(head.first_segment);
+            skipped.push(head.first_segment);
             head.first_segment += 1;
         }
-        passed
+        skipped
     }
 
-    fn oldest_kept(&self, head: &Head) -> u64 {
+    /// Returns the time of the oldest claim that is retained, in seconds since 1970.
+    fn retention_cutoff(&self, head: &Head) -> u64 {
         let newest = head.open.last().map_or(0, |it| it.at);
         newest.saturating_sub(self.settings.retention_s)
     }
 
-    /// Drops the segments that the head has passed: only now, since until the swap is known to be
-    /// written another VM may still need them.
-    fn drop_segments(&mut self, head: &Head, passed: &[u64], actions: &mut Vec<SlotAction>) {
-        if passed.is_empty() {
+    /// Deletes the segments that the head no longer lists.
+    ///
+    /// They are deleted only after the swap is known to have taken effect, since until then another VM may still
+    /// need them.
+    fn delete_segments(&mut self, head: &Head, skipped: &[u64], actions: &mut Vec<SlotAction>) {
+        if skipped.is_empty() {
             return;
         }
-        let oldest_kept = self.oldest_kept(head);
-        self.known.retain(|_, it| it.at >= oldest_kept);
-        for number in passed {
-            self.segment_newest.remove(number);
+        let retention_cutoff = self.retention_cutoff(head);
+        self.known_claims.retain(|_, it| it.at >= retention_cutoff);
+        for number in skipped {
+            self.newest_claim_at.remove(number);
             actions.push(SlotAction::DropSegment(*number));
         }
     }
@@ -310,7 +319,7 @@
             return;
         }
         match outcome {
-            // In an outage the store isn't asked faster than at any other time.
+            // During an outage, the store isn't called more often than at other times.
             ReadOutcome::Failed => {
                 self.phase = Phase::Unread;
                 self.next_write_at = now + self.settings.pace;
@@ -322,41 +331,41 @@
         }
     }
 
-    /// Reads the segments that aren't known yet; segments never change, so known ones needn't be read.
+    /// Reads the segments that aren't known yet; known ones are immutable and needn't be read again.
     ///
-    /// Failure: a slot with hundreds of segments is taken over, and they are read one after the other.
-    /// Symptom: claims wait for seconds and are refused as unsettled. Side by side it takes a tenth.
+    /// If a VM that takes over a slot with hundreds of segments read them one after the other, claims would wait for
+    /// seconds and be answered as unsettled. Concurrent reads take a tenth of the time.
     fn read_segments(&mut self, version: KeyVersion, head: Head, actions: &mut Vec<SlotAction>) {
-        let mut asked = head.first_segment;
-        let mut under_way = 0;
-        while asked < head.next_segment && under_way < SEGMENTS_AT_ONCE {
-            if !self.segment_newest.contains_key(&asked) {
-                actions.push(SlotAction::ReadSegment(asked));
-                under_way += 1;
+        let mut next_to_request = head.first_segment;
+        let mut in_flight = 0;
+        while next_to_request < head.next_segment && in_flight < MAX_CONCURRENT_SEGMENT_READS {
+            if !self.newest_claim_at.contains_key(&next_to_request) {
+                actions.push(SlotAction::ReadSegment(next_to_request));
+                in_flight += 1;
             }
-            asked += 1;
+            next_to_request += 1;
         }
-        if under_way == 0 {
+        if in_flight == 0 {
             return self.become_ready(version, head, actions);
         }
-        self.phase = Phase::ReadingSegments { version, head, asked };
+        self.phase = Phase::ReadingSegments { version, head, next_to_request };
     }
 
-    /// Asks for the next segment, or finishes when the last one has come.
+    /// Requests the next unknown segment, or becomes ready once all segments have been read.
     fn read_next_segment(
         &mut self,
         version: KeyVersion,
         head: Head,
-        asked: u64,
+        next_to_request: u64,
         actions: &mut Vec<SlotAction>,
     ) {
-        let unknown = |it: &u64| !self.segment_newest.contains_key(it);
-        if let Some(next) = (asked..head.next_segment).find(unknown) {
+        let unknown = |it: &u64| !self.newest_claim_at.contains_key(it);
+        if let Some(next) = (next_to_request..head.next_segment).find(unknown) {
             actions.push(SlotAction::ReadSegment(next));
-            self.phase = Phase::ReadingSegments { version, head, asked: next + 1 };
+            self.phase = Phase::ReadingSegments { version, head, next_to_request: next + 1 };
         } else if (head.first_segment..head.next_segment).any(|it| unknown(&it)) {
-            let asked = head.next_segment;
-            self.phase = Phase::ReadingSegments { version, head, asked };
+            let next_to_request = head.next_segment;
+            self.phase = Phase::ReadingSegments { version, head, next_to_request };
         } else {
             self.become_ready(version, head, actions);
         }
@@ -370,21 +379,21 @@
         actions: &mut Vec<SlotAction>,
     ) {
         let phase = std::mem::replace(&mut self.phase, Phase::Unread);
-        // A missing segment was dropped by a newer head, so that newer head has to be read; the phase
-        // is `Unread` for that.
+        // A missing segment was deleted after a newer head no longer listed it, so the newer head must be read: the
+        // phase becomes `Unread`.
         match (phase, outcome) {
             (
-                Phase::ReadingSegments { version, head, asked },
+                Phase::ReadingSegments { version, head, next_to_request },
                 ReadOutcome::Found(Some(segment)),
             ) => {
-                self.learn_segment(number, &segment.entries);
-                self.read_next_segment(version, head, asked, actions);
+                self.add_segment(number, &segment.entries);
+                self.read_next_segment(version, head, next_to_request, actions);
             }
             (
                 Phase::CheckingSeal { version, number: sealed },
                 ReadOutcome::Found(Some(segment)),
             ) if sealed == number => {
-                self.seal_checked(version, number, &segment, actions);
+                self.compare_sealed(version, number, &segment, actions);
             }
             (Phase::ReadingSegments { .. }, _) => {
                 self.next_write_at = now + self.settings.pace;
@@ -392,17 +401,17 @@
             (Phase::CheckingSeal { number: sealed, .. }, _) if sealed == number => {
                 self.next_write_at = now + self.settings.pace;
             }
-            // A read that was asked for before something else went wrong.
+            // A read that was started in an earlier phase, which ended because of a failure.
             (phase, _) => self.phase = phase,
         }
     }
 
-    /// Takes what somebody else sealed under the number.
+    /// Compares the segment that another writer sealed under the number with the open claims.
     ///
-    /// Failure: two versions of the program seal at different lengths. Symptom: a head is emptied though
-    /// the segment holds only a part of it, and a claim is lost. So the contents are compared; a
-    /// segment with other contents stays in the list, and the next number is tried.
-    fn seal_checked(
+    /// Versions of the program may seal segments of different lengths. If the head were emptied although the segment
+    /// holds only some of its claims, the other claims would be lost. A segment with different contents therefore
+    /// stays listed, and the open claims are sealed under the next number.
+    fn compare_sealed(
         &mut self,
         version: KeyVersion,
         number: u64,
@@ -412,25 +421,25 @@
         if segment.entries == self.head.open {
             return self.sealed(version, number, actions);
         }
-        self.learn_segment(number, &segment.entries);
+        self.add_segment(number, &segment.entries);
         self.seal(version, number + 1, actions);
     }
 
     fn sealed(&mut self, version: KeyVersion, number: u64, actions: &mut Vec<SlotAction>) {
         let entries = std::mem::take(&mut self.head.open);
-        self.learn_segment(number, &entries);
+        self.add_segment(number, &entries);
         let head = Head { next_segment: number + 1, ..self.head.clone() };
         self.swap(version, head, actions);
     }
 
-    fn learn_segment(&mut self, number: u64, entries: &[Entry]) {
+    fn add_segment(&mut self, number: u64, entries: &[Entry]) {
         let newest = entries.iter().map(|it| it.at).max().unwrap_or(0);
-        self.segment_newest.insert(number, newest);
-        self.known.extend(entries.iter().map(|it| (it.key, *it)));
+        self.newest_claim_at.insert(number, newest);
+        self.known_claims.extend(entries.iter().map(|it| (it.key, *it)));
     }
 
     fn become_ready(&mut self, version: KeyVersion, head: Head, actions: &mut Vec<SlotAction>) {
-        self.known.extend(head.open.iter().map(|it| (it.key, *it)));
+        self.known_claims.extend(head.open.iter().map(|it| (it.key, *it)));
         self.head = head;
         self.phase = Phase::Ready { version };
         self.answer_known(actions);
@@ -470,31 +479,32 @@
         self.next_write_at = now + self.settings.pace;
         match outcome {
             SwapOutcome::Written(version) => {
-                self.drop_segments(&head, &dropped, actions);
+                self.delete_segments(&head, &dropped, actions);
                 self.become_ready(version, head, actions);
             }
-            // Somebody else's claims have to be read before anything is granted; at once, since a
-            // reader that waits its pace again and again could lose to a busy writer forever.
+            // Another writer's claims must be read before anything is granted. The read starts immediately: a VM
+            // that waited for `pace` each time could lose every swap to a busy writer.
             SwapOutcome::Conflict | SwapOutcome::Unknown => {
-                self.forget_open();
+                self.discard_head();
                 self.phase = Phase::ReadingHead;
                 self.next_write_at = now;
                 actions.push(SlotAction::ReadHead);
             }
-            SwapOutcome::NotWritten => self.forget_open(),
+            SwapOutcome::NotWritten => self.discard_head(),
         }
     }
 
-    /// Forgets what was only planned. Claims in `known` are in the store, and claims are never undone,
-    /// so those stay.
-    fn forget_open(&mut self) {
+    /// Discards the head, which may differ from the stored one. Claims in `known_claims` stay: they are in the store,
+    /// and claims are never undone.
+    fn discard_head(&mut self) {
         self.head = Head::default();
-        let Some(last) = self.segment_newest.keys().max().copied() else { return };
-        // The segment that was sealed last may not be named by any head yet; reading it again is cheap.
-        self.segment_newest.remove(&last);
+        let Some(last) = self.newest_claim_at.keys().max().copied() else { return };
+        // The last sealed segment may not be listed by any stored head yet, so it is read again if needed.
+        self.newest_claim_at.remove(&last);
     }
 
-    fn give_up(&mut self, now: TimePoint, actions: &mut Vec<SlotAction>) {
+    /// Answers pending claims past their deadline as unsettled.
+    fn expire_claims(&mut self, now: TimePoint, actions: &mut Vec<SlotAction>) {
         self.pending.retain(|it| {
             let keep = it.give_up_at > now;
             if !keep {
@@ -505,8 +515,8 @@
     }
 }
 
-/// Segments that are read at the same time.
-const SEGMENTS_AT_ONCE: u32 = 16;
+/// Maximum number of segments that are read concurrently.
+const MAX_CONCURRENT_SEGMENT_READS: u32 = 16;
 
 fn verdict_of(entry: &Entry, claim: &Claim) -> Verdict {
     if entry.request == claim.request {
--- a/crates/quincevalve_ledger/tests/interleavings.rs
+++ b/crates/quincevalve_ledger/tests/interleavings.rs
@@ -1,8 +1,8 @@
-//! At most once, over random interleavings of writers, pauses, outages and lost answers.
+//! Tests at-most-once execution over random interleavings of writers, pauses, outages and lost answers.
 //!
-//! The caller sees two requests under one idempotency key, sent to different entry VMs. The VMs' slots
-//! read and swap the same store key while calls are late, lost or landed after their answer was given
-//! up. At most one request may ever be granted, since a granted one is dispatched.
+//! Two requests with one idempotency key are sent to different entry VMs. The VMs' slots read and swap the same store
+//! key while calls are delayed, lost or take effect after their outcome was reported as unknown. At most one request
+//! may be granted, since a granted request is dispatched.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -23,37 +23,41 @@
 const KEYS: u64 = 6;
 const STEPS: u32 = 400;
 
-/// How a run is troubled, in hundredths.
+/// Probabilities of the injected faults, in percent.
 #[derive(Clone, Copy, Debug)]
-struct Trouble {
-    lost_answer: u32,
-    not_taken: u32,
-    late_landing: u32,
+struct FaultRates {
+    /// A write takes effect, but its answer is lost.
+    answer_lost: u32,
+    /// The store rejects a call, without effect.
+    rejected: u32,
+    /// A write takes effect after its outcome was reported as unknown.
+    delayed_write: u32,
+    /// No call completes in a step.
     pause: u32,
 }
 
-/// A store call on its way: it lands once, and its answer arrives once or never.
+/// A store call in flight. It takes effect at most once, and its answer arrives once.
 #[derive(Clone, Debug)]
 struct Call {
     vm: usize,
     action: SlotAction,
 }
 
-/// A write whose sender was told that the outcome is unknown, and that may land at any later time.
-type Stray = SlotAction;
+/// A write whose outcome was reported as unknown and that may take effect at any later time.
+type DelayedWrite = SlotAction;
 
 struct Run {
     rng: Pcg64Mcg,
-    trouble: Trouble,
+    faults: FaultRates,
     now: TimePoint,
     store: StoreModel,
     slots: Vec<Slot>,
     calls: Vec<Call>,
-    strays: Vec<Stray>,
+    delayed_writes: Vec<DelayedWrite>,
     claims: HashMap<(usize, Ticket), Claim>,
     granted: HashMap<ClaimKey, RequestId>,
     answered: u32,
-    asked: u32,
+    submitted: u32,
 }
 
 fn settings() -> SlotSettings {
@@ -66,32 +70,32 @@
 }
 
 impl Run {
-    fn new(seed: u64, trouble: Trouble) -> Self {
+    fn new(seed: u64, faults: FaultRates) -> Self {
         Self {
             rng: Pcg64Mcg::seed_from_u64(seed),
-            trouble,
+            faults,
             now: TimePoint::ZERO,
             store: StoreModel::default(),
             slots: (0..VMS).map(|it| Slot::new(settings(), &format!("vm-{it}"))).collect(),
             calls: Vec::new(),
-            strays: Vec::new(),
+            delayed_writes: Vec::new(),
             claims: HashMap::new(),
             granted: HashMap::new(),
             answered: 0,
-            asked: 0,
+            submitted: 0,
         }
     }
 
-    fn chance(&mut self, hundredths: u32) -> bool {
-        self.rng.random_range(0..100) < hundredths
+    fn chance(&mut self, percent: u32) -> bool {
+        self.rng.random_range(0..100) < percent
     }
 
     fn step(&mut self) {
         self.now = self.now + Duration::from_millis(1);
         match self.rng.random_range(0..4) {
-            0 => self.ask(),
-            1 if !self.strays.is_empty() => self.land_stray(),
-            2 if !self.calls.is_empty() && !self.chance(self.trouble.pause) => self.land_call(),
+            0 => self.submit_claim(),
+            1 if !self.delayed_writes.is_empty() => self.apply_delayed_write(),
+            2 if !self.calls.is_empty() && !self.chance(self.faults.pause) => self.complete_call(),
             _ => {
                 let vm = self.rng.random_range(0..VMS);
                 self.deliver(vm, SlotEvent::Tick);
@@ -99,17 +103,17 @@
         }
     }
 
-    fn ask(&mut self) {
-        self.asked += 1;
+    fn submit_claim(&mut self) {
+        self.submitted += 1;
         let vm = self.rng.random_range(0..VMS);
-        let ticket = Ticket(u64::from(self.asked));
+        let ticket = Ticket(u64::from(self.submitted));
         let claim = Claim {
             key: ClaimKey(u128::from(
-                self.rng.random_range(0..KEYS) + u64::from(self.asked / 20) * KEYS,
+                self.rng.random_range(0..KEYS) + u64::from(self.submitted / 20) * KEYS,
             )),
-            request: RequestId::new(HomeTag(vm as u32), u128::from(self.asked)),
+            request: RequestId::new(HomeTag(vm as u32), u128::from(self.submitted)),
             fingerprint: 0,
-            at: u64::from(self.asked),
+            at: u64::from(self.submitted),
         };
         self.claims.insert((vm, ticket), claim);
         let give_up_at = self.now + Duration::from_millis(self.rng.random_range(5..200));
@@ -121,28 +125,28 @@
         self.slots[vm].handle(self.now, event, &mut actions);
         for action in actions {
             match action {
-                SlotAction::Answer(ticket, verdict) => self.answered(vm, ticket, verdict),
+                SlotAction::Answer(ticket, verdict) => self.record_answer(vm, ticket, verdict),
                 action => self.calls.push(Call { vm, action }),
             }
         }
     }
 
-    fn answered(&mut self, vm: usize, ticket: Ticket, verdict: Verdict) {
+    fn record_answer(&mut self, vm: usize, ticket: Ticket, verdict: Verdict) {
         self.answered += 1;
         let claim = self.claims[&(vm, ticket)];
         if verdict == Verdict::Granted {
             let first = *self.granted.entry(claim.key).or_insert(claim.request);
-            assert_eq!(first, claim.request, "two requests were granted {:?}", claim.key);
+            assert_eq!(first, claim.request, "two requests were granted key {:?}", claim.key);
         }
     }
 
-    fn land_stray(&mut self) {
-        let at = self.rng.random_range(0..self.strays.len());
-        let stray = self.strays.swap_remove(at);
-        self.write(&stray);
+    fn apply_delayed_write(&mut self) {
+        let at = self.rng.random_range(0..self.delayed_writes.len());
+        let delayed = self.delayed_writes.swap_remove(at);
+        self.write(&delayed);
     }
 
-    fn land_call(&mut self) {
+    fn complete_call(&mut self) {
         let at = self.rng.random_range(0..self.calls.len());
         let Call { vm, action } = self.calls.swap_remove(at);
         let event = match &action {
@@ -155,8 +159,10 @@
                 };
                 SlotEvent::SegmentRead(*number, outcome)
             }
-            SlotAction::WriteSegment(..) => SlotEvent::SegmentWritten(self.troubled_write(&action)),
-            SlotAction::SwapHead { .. } => SlotEvent::HeadSwapped(self.troubled_write(&action)),
+            SlotAction::WriteSegment(..) => {
+                SlotEvent::SegmentWritten(self.write_with_faults(&action))
+            }
+            SlotAction::SwapHead { .. } => SlotEvent::HeadSwapped(self.write_with_faults(&action)),
             SlotAction::DropSegment(number) => {
                 let key = format!("segment-{number}");
                 if let Some(found) = self.store.get(&key) {
@@ -173,23 +179,23 @@
     where
         T: serde::de::DeserializeOwned,
     {
-        if self.chance(self.trouble.not_taken) {
+        if self.chance(self.faults.rejected) {
             return ReadOutcome::Failed;
         }
         let found = self.store.get(key);
         ReadOutcome::Found(found.map(|it| (it.version, serde_json::from_str(&it.value).unwrap())))
     }
 
-    fn troubled_write(&mut self, action: &SlotAction) -> SwapOutcome {
-        if self.chance(self.trouble.not_taken) {
+    fn write_with_faults(&mut self, action: &SlotAction) -> SwapOutcome {
+        if self.chance(self.faults.rejected) {
             return SwapOutcome::NotWritten;
         }
-        if self.chance(self.trouble.late_landing) {
-            self.strays.push(action.clone());
+        if self.chance(self.faults.delayed_write) {
+            self.delayed_writes.push(action.clone());
             return SwapOutcome::Unknown;
         }
         let outcome = self.write(action);
-        if self.chance(self.trouble.lost_answer) { SwapOutcome::Unknown } else { outcome }
+        if self.chance(self.faults.answer_lost) { SwapOutcome::Unknown } else { outcome }
     }
 
     fn write(&mut self, action: &SlotAction) -> SwapOutcome {
@@ -202,14 +208,14 @@
                 let value = serde_json::to_string(head).unwrap();
                 self.store.swap("head", *expected, &value)
             }
-            _ => unreachable!("only writes land here"),
+            _ => unreachable!("not a write action"),
         };
         written.map_or(SwapOutcome::Conflict, SwapOutcome::Written)
     }
 
-    /// Lets everything that is under way end, without trouble.
+    /// Completes all calls in flight and pending claims without faults.
     fn settle(&mut self) {
-        self.trouble = Trouble { lost_answer: 0, not_taken: 0, late_landing: 0, pause: 0 };
+        self.faults = FaultRates { answer_lost: 0, rejected: 0, delayed_write: 0, pause: 0 };
         for _ in 0..4_000 {
             self.now = self.now + Duration::from_millis(1);
             if self.calls.is_empty() {
@@ -217,15 +223,15 @@
                     self.deliver(vm, SlotEvent::Tick);
                 }
             } else {
-                self.land_call();
+                self.complete_call();
             }
-            if self.answered == self.asked && self.calls.is_empty() {
+            if self.answered == self.submitted && self.calls.is_empty() {
                 return;
             }
         }
     }
 
-    /// Every claim in the store: head and segments.
+    /// Returns all claims in the store, from the head and the segments.
     fn stored(&mut self) -> HashMap<ClaimKey, RequestId> {
         let ReadOutcome::Found(head) = self.read::<Head>("head") else { unreachable!() };
         let head = head.map(|it| it.1).unwrap_or_default();
@@ -233,7 +239,7 @@
         for number in head.first_segment..head.next_segment {
             let key = format!("segment-{number}");
             let ReadOutcome::Found(Some((_, segment))) = self.read::<Segment>(&key) else {
-                panic!("the head names segment {number}, and the store has none");
+                panic!("the head lists segment {number}, which is missing from the store");
             };
             entries.extend(segment.entries);
         }
@@ -241,25 +247,25 @@
     }
 }
 
-fn check(seed: u64, trouble: Trouble) {
-    let mut run = Run::new(seed, trouble);
+fn check(seed: u64, faults: FaultRates) {
+    let mut run = Run::new(seed, faults);
     for _ in 0..STEPS {
         run.step();
     }
     run.settle();
-    assert_eq!(run.answered, run.asked, "a claim was never answered");
+    assert_eq!(run.answered, run.submitted, "a claim was never answered");
     let stored = run.stored();
     for (key, request) in run.granted.clone() {
         assert_eq!(stored.get(&key), Some(&request), "a granted claim is not in the store");
     }
 }
 
-fn trouble() -> impl Strategy<Value = Trouble> {
+fn faults() -> impl Strategy<Value = FaultRates> {
     (0..50_u32, 0..40_u32, 0..40_u32, 0..60_u32).prop_map(
-        |(lost_answer, not_taken, late_landing, pause)| Trouble {
-            lost_answer,
-            not_taken,
-            late_landing,
+        |(answer_lost, rejected, delayed_write, pause)| FaultRates {
+            answer_lost,
+            rejected,
+            delayed_write,
             pause,
         },
     )
@@ -278,8 +284,8 @@
     #![proptest_config(config(400))]
 
     #[test]
-    fn one_request_per_key_is_granted(seed in any::<u64>(), trouble in trouble()) {
-        check(seed, trouble);
+    fn grants_at_most_one_request_per_key(seed in any::<u64>(), faults in faults()) {
+        check(seed, faults);
     }
 }
 
@@ -288,7 +294,7 @@
 
     #[test]
     #[ignore = "the long run: cargo test --release -p quincevalve_ledger -- --ignored"]
-    fn one_request_per_key_is_granted_long(seed in any::<u64>(), trouble in trouble()) {
-        check(seed, trouble);
+    fn grants_at_most_one_request_per_key_long(seed in any::<u64>(), faults in faults()) {
+        check(seed, faults);
     }
 }
--- a/crates/quincevalve_membership/src/lib.rs
+++ b/crates/quincevalve_membership/src/lib.rs
@@ -1,13 +1,13 @@
-//! Membership without a store: who is there, who leaves, who is gone.
+//! Group membership without a store: which nodes are alive, leaving or dead.
 //!
-//! Each node probes few peers a period, whatever the number of nodes, and passes news on with its probes.
-//! Inside a data centre everybody knows everybody; across data centres a summary is exchanged.
+//! In each period, a node probes a fixed number of peers, independent of the number of nodes, and disseminates updates
+//! with its probes. Within a data centre, every node knows all members; data centres exchange summaries.
 
 mod member;
 mod membership;
 mod message;
-mod news;
 mod summary;
+mod update_queue;
 
 pub use crate::{
     member::{Load, Member, MemberState},
--- a/crates/quincevalve_membership/src/member.rs
+++ b/crates/quincevalve_membership/src/member.rs
@@ -1,70 +1,70 @@
-//! One member as others see it.
+//! The description of a member that nodes exchange.
 
 use std::net::SocketAddr;
 
 use quincevalve_names::{DataCentreName, EntryVmName, Incarnation, Revision, hash_text};
 use serde::{Deserialize, Serialize};
 
-/// A member's state. Of two states of one incarnation the later variant stands.
+/// A member's state. Of two states of the same incarnation, the later variant takes precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum MemberState {
-    /// It answers.
+    /// The member answers probes.
     Alive,
-    /// It didn't answer; it may refute that with a higher incarnation.
+    /// The member didn't answer probes. It may refute the suspicion with a higher incarnation.
     Suspect,
-    /// It is being stopped or taken back. Sticky: no news of the same incarnation brings it back.
+    /// The member is being stopped or reclaimed. No update of the same incarnation makes it alive again.
     Leaving,
-    /// It is gone.
+    /// The member is unreachable or has left.
     Dead,
 }
 
-/// What a member says of its own work.
+/// The load that a member reports about itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// Requests running and waiting.
+    /// Number of running and waiting requests.
     pub demand: u32,
-    /// The configuration in force.
+    /// The revision of the configuration in force.
     pub revision: Revision,
-    /// Higher with each change, so that the newest stands.
+    /// Increases with each change, so that the newest load takes precedence.
     pub version: u32,
 }
 
-/// A member.
+/// A member of the group as known to a node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Its name.
+    /// The name of its VM.
     pub name: EntryVmName,
-    /// Where it stands.
+    /// The data centre of its VM.
     pub data_centre: DataCentreName,
-    /// Where its control process answers peers.
+    /// The address at which its control process serves peers.
     pub control: SocketAddr,
-    /// Where its entry process answers peers.
+    /// The address at which its entry process serves peers.
     pub entry: SocketAddr,
-    /// Its incarnation: a restart has a higher one.
+    /// Its incarnation; it increases with each restart.
     pub incarnation: Incarnation,
-    /// Its state.
+    /// Its latest known state.
     pub state: MemberState,
-    /// Its work.
+    /// Its latest known load.
     pub load: Load,
 }
 
 impl Member {
-    /// Whether it can be asked for anything.
+    /// Returns whether the member can be contacted.
     pub const fn is_reachable(&self) -> bool {
         matches!(self.state, MemberState::Alive | MemberState::Suspect | MemberState::Leaving)
     }
 
-    /// Whether it may get new work or be relied on for a while.
+    /// Returns whether the member may be assigned new work.
     pub const fn takes_work(&self) -> bool {
         matches!(self.state, MemberState::Alive | MemberState::Suspect)
     }
 
-    /// A hash of its name, for rendezvous.
+    /// Returns a hash of the member's name, for rendezvous hashing.
     pub fn hash(&self) -> u64 {
         hash_text(self.name.as_str())
     }
 
-    /// Whether `self` is newer than what is known.
+    /// Returns whether the incarnation and state of `self` take precedence over those of `known`.
     pub(crate) fn overrides(&self, known: &Self) -> bool {
         (self.incarnation, self.state) > (known.incarnation, known.state)
     }
--- a/crates/quincevalve_membership/src/membership.rs
+++ b/crates/quincevalve_membership/src/membership.rs
@@ -13,26 +13,26 @@
 use crate::{
     member::{Load, Member, MemberState},
     message::Message,
-    news::News,
     summary::{Contact, Summary},
+    update_queue::UpdateQueue,
 };
 
 /// Settings of the core.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MembershipSettings {
-    /// Time between two rounds of probes.
+    /// Interval between two rounds of probes.
     pub period: Duration,
-    /// Peers of the own data centre probed in a round.
+    /// Number of peers of the own data centre that are probed in a round.
     pub probes: usize,
-    /// Pieces of news in one message.
+    /// Maximum number of updates in one message, without reminders.
     pub news: usize,
-    /// How long a suspect may refute before it counts as dead.
+    /// Time that a suspect has to refute the suspicion before it is considered dead.
     pub suspicion: Duration,
-    /// How long the dead are remembered, so that old news can't bring them back.
+    /// Time for which dead members are remembered, so that old updates can't make them alive again.
     pub burial: Duration,
-    /// Members that speak for their data centre with others.
+    /// Number of members of a data centre that exchange summaries with other data centres.
     pub delegates: usize,
-    /// Contacts in a summary.
+    /// Maximum number of contacts in a summary.
     pub contacts: usize,
 }
 
@@ -50,37 +50,37 @@
     }
 }
 
-/// What the node does next.
+/// An output of the membership core.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipAction {
-    /// Send a probe; the answer goes to [`Membership::receive`], a failure to
-    /// [`Membership::probe_failed`].
+    /// Send a probe. Its answer is passed to [`Membership::receive`], a failure to [`Membership::probe_failed`].
     Probe {
-        /// The peer, if its name is known.
+        /// The name of the peer, if known.
         name: Option<EntryVmName>,
-        /// Its address.
+        /// The address of the peer.
         to: SocketAddr,
-        /// The message.
+        /// The message to send.
         message: Message,
     },
-    /// Ask `via` to probe `target`, since the own probe failed.
+    /// Ask `via` to probe `target`, since this node's probe failed.
     ProbeVia {
-        /// Who is asked.
+        /// The address of the helper.
         via: SocketAddr,
-        /// The silent member.
+        /// The name of the unresponsive member.
         name: EntryVmName,
-        /// Its address.
+        /// The address of the unresponsive member.
         target: SocketAddr,
     },
 }
 
 #[derive(Clone, Debug)]
-struct Known {
+struct MemberEntry {
     member: Member,
+    /// Start of the current state; while suspected, also the last message from the member itself.
     since: TimePoint,
 }
 
-/// The core.
+/// The membership core of one node.
 ///
 /// # Examples
 ///
@@ -109,21 +109,21 @@
 pub struct Membership {
     settings: MembershipSettings,
     own: Member,
-    others: IndexMap<EntryVmName, Known, FxBuildHasher>,
+    others: IndexMap<EntryVmName, MemberEntry, FxBuildHasher>,
     summaries: IndexMap<DataCentreName, Summary, FxBuildHasher>,
     near_seeds: Vec<SocketAddr>,
     far_seeds: Vec<SocketAddr>,
-    news: News,
-    order: Vec<EntryVmName>,
-    /// The member that was named last as a reminder.
-    reminded: usize,
-    /// The summary that the next message begins with.
-    summary_turn: usize,
+    update_queue: UpdateQueue,
+    probe_order: Vec<EntryVmName>,
+    /// Index of the member that was included last as a reminder.
+    last_reminder: usize,
+    /// Position in the rotation of the summary that the next message starts with.
+    summary_cursor: usize,
     rng: Pcg64Mcg,
 }
 
 impl Membership {
-    /// Makes the core of a node that knows only itself.
+    /// Creates the core of a node that knows only itself.
     pub fn new(own: Member, settings: MembershipSettings, seed: u64) -> Self {
         Self {
             settings,
@@ -132,37 +132,38 @@
             summaries: IndexMap::default(),
             near_seeds: Vec::new(),
             far_seeds: Vec::new(),
-            news: News::default(),
-            order: Vec::new(),
-            reminded: 0,
-            summary_turn: 0,
+            update_queue: UpdateQueue::default(),
+            probe_order: Vec::new(),
+            last_reminder: 0,
+            summary_cursor: 0,
             rng: Pcg64Mcg::seed_from_u64(seed),
         }
     }
 
-    /// Takes addresses from the platform's list: of the own data centre, and of others. The list lags,
-    /// so they are only places to ask.
+    /// Sets the addresses from the platform's list: `near` in the own data centre, `far` in others.
+    ///
+    /// The list lags behind the actual members, so its addresses are only used as targets of probes.
     pub fn seed(&mut self, near: &[SocketAddr], far: &[SocketAddr]) {
         self.near_seeds = near.to_vec();
         self.far_seeds = far.to_vec();
     }
 
-    /// This node as it sees itself.
+    /// Returns this node's own description.
     pub const fn own(&self) -> &Member {
         &self.own
     }
 
-    /// Everybody known in the data centre, this node first; the dead among them.
+    /// Returns all known members of the data centre including dead ones, starting with this node.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         std::iter::once(&self.own).chain(self.others.values().map(|it| &it.member))
     }
 
-    /// What is known of other data centres.
+    /// Returns the known summaries of data centres.
     pub fn summaries(&self) -> impl Iterator<Item = &Summary> {
         self.summaries.values()
     }
 
-    /// Notes the own load; it travels with the next messages.
+    /// Sets the own load, which is sent with the next messages.
     pub fn set_load(&mut self, demand: u32, revision: Revision) {
         let load = &mut self.own.load;
         if load.demand == demand && load.revision == revision {
@@ -171,19 +172,19 @@
         *load = Load { demand, revision, version: load.version + 1 };
     }
 
-    /// Notes that this node is being stopped or taken back.
+    /// Marks this node as leaving, since it is being stopped or reclaimed.
     pub fn leave(&mut self) {
         self.own.state = self.own.state.max(MemberState::Leaving);
     }
 
-    /// The message that a node introduces itself with.
+    /// Returns the message with which a node introduces itself.
     pub fn hello(&self) -> Message {
         Message { sender: self.own.clone(), updates: Vec::new(), summaries: Vec::new() }
     }
 
-    /// One round: probes, and the passing of time for suspects and the dead.
+    /// Runs one round: expires suspects and dead members, and returns the probes to send.
     pub fn tick(&mut self, now: TimePoint) -> Vec<MembershipAction> {
-        self.age(now);
+        self.expire_members(now);
         let mut actions = Vec::new();
         for _ in 0..self.settings.probes {
             if let Some(name) = self.next_target() {
@@ -198,7 +199,8 @@
         actions
     }
 
-    fn age(&mut self, now: TimePoint) {
+    /// Declares suspects dead whose timeout has passed, and removes members that were dead for long enough.
+    fn expire_members(&mut self, now: TimePoint) {
         let MembershipSettings { suspicion, burial, .. } = self.settings;
         let mut dead = Vec::new();
         for known in self.others.values_mut() {
@@ -209,34 +211,36 @@
             }
         }
         for name in &dead {
-            self.news.add(name);
+            self.update_queue.push(name);
         }
         self.others.retain(|_, it| it.member.state != MemberState::Dead || now - it.since < burial);
     }
 
-    /// Targets come in a shuffled order, each once before any comes again, so that the time until a
-    /// silent member is noticed is bounded.
+    /// Returns the next member to probe.
+    ///
+    /// Members are probed in a shuffled order, each once before any is probed again, which bounds the time until an
+    /// unresponsive member is detected.
     fn next_target(&mut self) -> Option<EntryVmName> {
         loop {
-            if self.order.is_empty() {
+            if self.probe_order.is_empty() {
                 let reachable = self.others.values().filter(|it| it.member.is_reachable());
-                self.order = reachable.map(|it| it.member.name.clone()).collect();
-                self.shuffle_order();
-                if self.order.is_empty() {
+                self.probe_order = reachable.map(|it| it.member.name.clone()).collect();
+                self.shuffle_probe_order();
+                if self.probe_order.is_empty() {
                     return None;
                 }
             }
-            let name = self.order.pop()?;
+            let name = self.probe_order.pop()?;
             if self.others.get(&name).is_some_and(|it| it.member.is_reachable()) {
                 return Some(name);
             }
         }
     }
 
-    fn shuffle_order(&mut self) {
-        for at in (1..self.order.len()).rev() {
+    fn shuffle_probe_order(&mut self) {
+        for at in (1..self.probe_order.len()).rev() {
             let other = self.rng.random_range(0..=at);
-            self.order.swap(at, other);
+            self.probe_order.swap(at, other);
         }
     }
 
@@ -244,18 +248,18 @@
         let target = self.others.get(name)?.member.clone();
         let to = target.control;
         let mut message = self.message();
-        // A suspect must hear of the suspicion, or it can't refute it.
+        // A suspect can refute the suspicion only if it receives it.
         if target.state == MemberState::Suspect && !message.updates.contains(&target) {
             message.updates.push(target);
         }
         Some(MembershipAction::Probe { name: Some(name.clone()), to, message })
     }
 
-    /// Asks one listed place of the data centre where no known member is.
+    /// Probes one listed address of the data centre at which no member is known.
     ///
-    /// Failure: nodes that start together find a few others each, and form islands whose members know
-    /// only each other. Symptom: each island plans and serves as if it were the whole data centre. As
-    /// long as the list shows a place that nobody known has, somebody is asked there in each round.
+    /// Nodes that start at the same time may each find only a few others and form disjoint groups, each of which would
+    /// plan and serve as if it were the whole data centre. Therefore one such address is probed in each round, as long
+    /// as there is any.
     fn probe_unknown(&mut self) -> Option<MembershipAction> {
         let known = |it: &SocketAddr| {
             *it == self.own.control || self.others.values().any(|other| other.member.control == *it)
@@ -266,24 +270,24 @@
     }
 
     fn message(&mut self) -> Message {
-        let mut names = self.news.take(self.settings.news, self.others.len() + 1);
+        let mut names = self.update_queue.take(self.settings.news, self.others.len() + 1);
         self.add_reminders(&mut names);
         let updates = names.iter().filter_map(|it| self.others.get(it)).map(|it| it.member.clone());
         let updates = updates.collect();
-        let summaries = self.some_summaries();
+        let summaries = self.select_summaries();
         Message { sender: self.own.clone(), updates, summaries }
     }
 
-    /// Adds members that are no news, in turn.
+    /// Adds members without queued updates, in rotation.
     ///
-    /// Failure: news is passed on a bounded number of times, and by bad luck doesn't reach somebody.
-    /// Symptom: that node never learns of a member, or never of its end. Reminders reach everybody in
-    /// the end, whatever was missed, at a cost that doesn't grow with the fleet.
+    /// An update is sent a limited number of times and may not reach every node. A node that misses it would never
+    /// learn of a new member, or of a member's death. Reminders eventually reach every node, at a cost per message that
+    /// doesn't grow with the fleet.
     fn add_reminders(&mut self, names: &mut Vec<EntryVmName>) {
         let count = self.others.len();
-        for _ in 0..REMINDERS.min(count) {
-            self.reminded = (self.reminded + 1) % count;
-            if let Some((name, _)) = self.others.get_index(self.reminded)
+        for _ in 0..MAX_REMINDERS.min(count) {
+            self.last_reminder = (self.last_reminder + 1) % count;
+            if let Some((name, _)) = self.others.get_index(self.last_reminder)
                 && !names.contains(name)
             {
                 names.push(name.clone());
@@ -291,19 +295,20 @@
         }
     }
 
-    /// The own summary and a few others, in turn.
-    fn some_summaries(&mut self) -> Vec<Summary> {
+    /// Returns a few of the known summaries, in rotation.
+    fn select_summaries(&mut self) -> Vec<Summary> {
         let count = self.summaries.len();
-        let chosen = SUMMARIES.min(count);
-        let first = self.summary_turn;
-        self.summary_turn = self.summary_turn.wrapping_add(chosen);
+        let chosen = MAX_SUMMARIES.min(count);
+        let first = self.summary_cursor;
+        self.summary_cursor = self.summary_cursor.wrapping_add(chosen);
         (0..chosen)
             .filter_map(|it| self.summaries.get_index((first + it) % count))
             .map(|it| it.1.clone())
             .collect()
     }
 
-    /// Whether this node speaks for its data centre: the first few in rendezvous order do.
+    /// Returns whether this node exchanges summaries on behalf of its data centre. The first `delegates` members in
+    /// rendezvous order do so.
     pub fn is_delegate(&self) -> bool {
         if !self.own.takes_work() {
             return false;
@@ -336,7 +341,7 @@
         let own = &self.own.data_centre;
         let others: Vec<_> =
             self.summaries.values().filter(|it| it.data_centre != *own).cloned().collect();
-        if others.is_empty() || self.rng.random_range(0..SEED_TURN) == 0 {
+        if others.is_empty() || self.rng.random_range(0..SEED_PROBE_PERIOD) == 0 {
             let to = pick(&mut self.rng, &self.far_seeds)?;
             return Some(MembershipAction::Probe { name: None, to, message: self.message() });
         }
@@ -348,12 +353,12 @@
         Some(MembershipAction::Probe { name: None, to, message: self.message() })
     }
 
-    /// Takes a probe and returns the answer.
+    /// Processes a probe and returns the answer.
     pub fn answer(&mut self, now: TimePoint, message: &Message) -> Message {
         self.receive(now, message);
         let mut answer = self.message();
         if message.sender.data_centre == self.own.data_centre {
-            // A newcomer learns everybody at once; so it can be probed and relied on right away.
+            // A new node receives all members at once, so that it can probe them and be used immediately.
             let is_new = message.updates.is_empty() && message.summaries.is_empty();
             if is_new {
                 answer.updates = self.others.values().map(|it| it.member.clone()).collect();
@@ -364,27 +369,27 @@
         answer
     }
 
-    /// Takes a message's news.
+    /// Processes the updates and summaries of a message.
     pub fn receive(&mut self, now: TimePoint, message: &Message) {
         if message.sender.data_centre == self.own.data_centre {
-            self.take_update(now, &message.sender, true);
+            self.apply_update(now, &message.sender, true);
             for update in &message.updates {
-                self.take_update(now, update, false);
+                self.apply_update(now, update, false);
             }
         }
         for summary in &message.summaries {
-            self.take_summary(summary);
+            self.apply_summary(summary);
         }
     }
 
-    fn take_summary(&mut self, summary: &Summary) {
+    fn apply_summary(&mut self, summary: &Summary) {
         let known = self.summaries.get(&summary.data_centre);
         if known.is_none_or(|it| it.made_at < summary.made_at) {
             self.summaries.insert(summary.data_centre.clone(), summary.clone());
         }
     }
 
-    fn take_update(&mut self, now: TimePoint, update: &Member, is_first_hand: bool) {
+    fn apply_update(&mut self, now: TimePoint, update: &Member, is_from_member_itself: bool) {
         if update.name == self.own.name {
             self.refute(update);
             return;
@@ -392,13 +397,15 @@
         if update.data_centre != self.own.data_centre {
             return;
         }
-        self.bury_former(now, update);
+        self.declare_former_members_dead(now, update);
         let Some(known) = self.others.get_mut(&update.name) else {
-            // News of an unknown dead member would only make everybody remember it again.
+            // Adding an unknown dead member would only make all nodes remember it again.
             if update.state != MemberState::Dead {
-                self.others
-                    .insert(update.name.clone(), Known { member: update.clone(), since: now });
-                self.news.add(&update.name);
+                self.others.insert(
+                    update.name.clone(),
+                    MemberEntry { member: update.clone(), since: now },
+                );
+                self.update_queue.push(&update.name);
             }
             return;
         };
@@ -407,19 +414,20 @@
             let load = if newer_load { update.load } else { known.member.load };
             known.member = Member { load, ..update.clone() };
             known.since = now;
-            self.news.add(&update.name);
+            self.update_queue.push(&update.name);
         } else if newer_load && update.incarnation == known.member.incarnation {
             known.member.load = update.load;
-            self.news.add(&update.name);
+            self.update_queue.push(&update.name);
         }
-        if is_first_hand {
-            self.hear(now, &update.name);
+        if is_from_member_itself {
+            self.extend_suspicion(now, &update.name);
         }
     }
 
-    /// A member that speaks is not silent, whatever others suspect; the suspicion itself is refuted by
-    /// the member's own higher incarnation.
-    fn hear(&mut self, now: TimePoint, name: &EntryVmName) {
+    /// Restarts the suspicion timeout of a member that has sent a message itself.
+    ///
+    /// The suspicion itself is refuted only by a higher incarnation of the member.
+    fn extend_suspicion(&mut self, now: TimePoint, name: &EntryVmName) {
         if let Some(known) = self.others.get_mut(name)
             && known.member.state == MemberState::Suspect
         {
@@ -427,10 +435,12 @@
         }
     }
 
-    /// Failure: a VM is replaced under the same address, and its former name is still listed. Symptom:
-    /// probes to the former name reach the new VM and keep the former one alive forever.
-    fn bury_former(&mut self, now: TimePoint, update: &Member) {
-        let formers: Vec<_> = self
+    /// Declares earlier members at the same address dead.
+    ///
+    /// If a VM is replaced by a new one at the same address, probes of the former member reach the new VM and would
+    /// keep the former member alive forever.
+    fn declare_former_members_dead(&mut self, now: TimePoint, update: &Member) {
+        let former_names: Vec<_> = self
             .others
             .values()
             .filter(|it| {
@@ -441,16 +451,16 @@
             })
             .map(|it| it.member.name.clone())
             .collect();
-        for name in formers {
+        for name in former_names {
             if let Some(known) = self.others.get_mut(&name) {
                 known.member.state = MemberState::Dead;
                 known.since = now;
             }
-            self.news.add(&name);
+            self.update_queue.push(&name);
         }
     }
 
-    /// Others believe something worse of this node than is true: a higher incarnation corrects them.
+    /// Refutes an update that gives this node a worse state than its own, by increasing the incarnation.
     fn refute(&mut self, update: &Member) {
         let is_worse = update.incarnation >= self.own.incarnation && update.state > self.own.state;
         if is_worse {
@@ -458,7 +468,7 @@
         }
     }
 
-    /// Notes that a probe got no answer: others are asked to try before anybody is suspected.
+    /// Processes a failed probe: another member is asked to probe the target before it is suspected.
     pub fn probe_failed(&mut self, name: &EntryVmName) -> Vec<MembershipAction> {
         let Some(target) = self.others.get(name).map(|it| it.member.control) else {
             return Vec::new();
@@ -476,21 +486,21 @@
         vec![MembershipAction::ProbeVia { via, name: name.clone(), target }]
     }
 
-    /// Notes that nobody reached a member.
+    /// Marks a member as suspect after direct and indirect probes have failed.
     pub fn suspect(&mut self, now: TimePoint, name: &EntryVmName) {
         let Some(known) = self.others.get_mut(name) else { return };
         let state = match known.member.state {
             MemberState::Alive => MemberState::Suspect,
-            // A leaving member that is silent has left.
+            // A leaving member that doesn't answer has left.
             MemberState::Leaving => MemberState::Dead,
             MemberState::Suspect | MemberState::Dead => return,
         };
         known.member.state = state;
         known.since = now;
-        self.news.add(name);
+        self.update_queue.push(name);
     }
 
-    /// The incarnation that this node has now.
+    /// Returns this node's current incarnation.
     pub const fn incarnation(&self) -> Incarnation {
         self.own.incarnation
     }
@@ -501,13 +511,14 @@
     addresses.get(at).copied()
 }
 
-/// One round in so many a delegate asks a listed place of another data centre and not one that a summary
-/// names, so that two halves that have lost sight of each other find together again.
-const SEED_TURN: u32 = 10;
+/// A delegate probes a listed address of another data centre, instead of a contact from a summary, in one of this many
+/// rounds on average. This reconnects groups that no longer know of each other after a partition.
+const SEED_PROBE_PERIOD: u32 = 10;
 
-/// Members in a message that are no news.
-const REMINDERS: usize = 3;
-/// Summaries in a message.
-const SUMMARIES: usize = 3;
+/// Maximum number of reminders in a message.
+const MAX_REMINDERS: usize = 3;
+/// Maximum number of summaries in a message.
+const MAX_SUMMARIES: usize = 3;
 
+/// Rendezvous key that orders the candidates for delegates: "delegate" in ASCII.
 const DELEGATE_KEY: u64 = 0x6465_6c65_6761_7465;
--- a/crates/quincevalve_membership/src/message.rs
+++ b/crates/quincevalve_membership/src/message.rs
@@ -1,18 +1,18 @@
-//! What members send each other.
+//! The messages that members exchange.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{Member, Summary};
 
-/// News of one member.
+/// An update about one member.
 pub type Update = Member;
 
-/// A probe or its answer: the sender itself, and news.
+/// A probe or its answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    /// The sender as it sees itself.
+    /// The sender's description of itself.
     pub sender: Member,
-    /// News of others in the sender's data centre; empty towards other data centres.
+    /// Updates about other members of the sender's data centre. Ignored by receivers in other data centres.
     pub updates: Vec<Update>,
     /// Summaries of data centres.
     pub summaries: Vec<Summary>,
--- a/crates/quincevalve_membership/src/summary.rs
+++ b/crates/quincevalve_membership/src/summary.rs
@@ -1,22 +1,22 @@
-//! What other data centres know of one.
+//! Summaries that data centres exchange.
 
 use std::net::SocketAddr;
 
 use quincevalve_names::{DataCentreName, EntryVmName, Revision};
 use serde::{Deserialize, Serialize};
 
-/// A data centre in short. Its size doesn't grow with the data centre.
+/// A summary of a data centre. Its size doesn't grow with the data centre.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Summary {
-    /// The data centre.
+    /// The summarized data centre.
     pub data_centre: DataCentreName,
-    /// When it was made, in milliseconds of its maker's clock; the newest stands.
+    /// Time of creation in milliseconds of the creator's clock; the newest summary takes precedence.
     pub made_at: u64,
-    /// Members that take work.
+    /// Number of members that take work.
     pub members: u32,
-    /// Their demand in all.
+    /// Total demand of these members, in requests.
     pub demand: u32,
-    /// The highest configuration in force there.
+    /// The highest revision of the configuration in force at these members.
     pub revision: Revision,
     /// A few members that take work.
     pub contacts: Vec<Contact>,
@@ -25,10 +25,10 @@
 /// A member of another data centre.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Contact {
-    /// Its name.
+    /// The name of its VM.
     pub name: EntryVmName,
-    /// Where its control process answers peers.
+    /// The address at which its control process serves peers.
     pub control: SocketAddr,
-    /// Where its entry process answers peers.
+    /// The address at which its entry process serves peers.
     pub entry: SocketAddr,
 }
--- a/crates/quincevalve_membership/tests/properties.rs
+++ b/crates/quincevalve_membership/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Members agree again after losses, restarts and stale news.
+//! Tests that members converge after message loss, restarts and stale updates.
 
 use std::{collections::HashMap, net::SocketAddr, time::Duration};
 
@@ -28,38 +28,38 @@
 
 struct Net {
     nodes: Vec<Option<Membership>>,
-    lives: u64,
+    starts: u64,
     now: TimePoint,
 }
 
 impl Net {
     fn new() -> Self {
         let mut net =
-            Self { nodes: (0..NODES).map(|_| None).collect(), lives: 0, now: TimePoint::ZERO };
+            Self { nodes: (0..NODES).map(|_| None).collect(), starts: 0, now: TimePoint::ZERO };
         (0..NODES).for_each(|it| net.start(it));
         net
     }
 
     fn start(&mut self, node: usize) {
-        self.lives += 1;
+        self.starts += 1;
         let settings = MembershipSettings::default();
-        let mut core = Membership::new(member(node, self.lives), settings, self.lives);
+        let mut core = Membership::new(member(node, self.starts), settings, self.starts);
         core.seed(&(0..NODES).map(address).collect::<Vec<_>>(), &[]);
         self.nodes[node] = Some(core);
     }
 
-    /// One round of every node; `lost` messages don't arrive.
+    /// Runs one round of every node. A message is lost if `lost` returns true.
     fn round(&mut self, mut lost: impl FnMut() -> bool) {
         self.now = self.now + Duration::from_secs(1);
         for node in 0..NODES {
             let Some(core) = &mut self.nodes[node] else { continue };
             for action in core.tick(self.now) {
-                self.act(node, action, &mut lost);
+                self.perform(node, action, &mut lost);
             }
         }
     }
 
-    fn act(&mut self, node: usize, action: MembershipAction, lost: &mut impl FnMut() -> bool) {
+    fn perform(&mut self, node: usize, action: MembershipAction, lost: &mut impl FnMut() -> bool) {
         match action {
             MembershipAction::Probe { name, to, message } => {
                 let target = (0..NODES).find(|it| address(*it) == to);
@@ -72,15 +72,16 @@
                     (Some(answer), _) => core.receive(self.now, &answer),
                     (None, Some(name)) => {
                         for action in core.probe_failed(&name) {
-                            self.act(node, action, lost);
+                            self.perform(node, action, lost);
                         }
                     }
                     (None, None) => {}
                 }
             }
             MembershipAction::ProbeVia { name, target, .. } => {
-                let lives = (0..NODES).any(|it| address(it) == target && self.nodes[it].is_some());
-                let reached = lives && !lost();
+                let is_running =
+                    (0..NODES).any(|it| address(it) == target && self.nodes[it].is_some());
+                let reached = is_running && !lost();
                 if !reached && let Some(core) = &mut self.nodes[node] {
                     core.suspect(self.now, &name);
                 }
@@ -102,10 +103,10 @@
         ..ProptestConfig::default()
     })]
 
-    // Some die, some restart under the same name and address, messages are lost. Once things are calm,
-    // every live node believes exactly the live ones to be there.
+    // Nodes stop, or restart with the same name and address, and messages are lost. After 40 rounds without faults,
+    // every live node must consider exactly the live nodes alive.
     #[test]
-    fn survivors_agree(
+    fn live_nodes_agree_on_members_after_faults_end(
         events in prop::collection::vec((0..NODES, 0..3_u8), 0..12),
         losses in prop::collection::vec(any::<bool>(), 64),
     ) {
@@ -130,27 +131,27 @@
         let mut expected = net.alive();
         expected.sort();
         for core in net.nodes.iter().flatten() {
-            let believed = core.members().filter(|it| it.takes_work());
-            let mut believed: Vec<_> = believed.map(|it| it.name.to_string()).collect();
-            believed.sort();
-            prop_assert_eq!(&believed, &expected, "{} believes otherwise", core.own().name);
+            let viewed = core.members().filter(|it| it.takes_work());
+            let mut viewed: Vec<_> = viewed.map(|it| it.name.to_string()).collect();
+            viewed.sort();
+            prop_assert_eq!(&viewed, &expected, "{} has a different view", core.own().name);
         }
     }
 
-    // A VM that is being taken back gets work again. Its peers heard that it leaves, and then old news of
-    // the same incarnation, which called it alive.
+    // Guards against new work for a VM that is being reclaimed: its peers receive that it is leaving, and then an older
+    // update of the same incarnation that states that it is alive.
     #[test]
-    fn leaving_is_sticky(order in prop::collection::vec(any::<bool>(), 1..20)) {
+    fn does_not_revive_a_leaving_member(order in prop::collection::vec(any::<bool>(), 1..20)) {
         let mut core = Membership::new(member(0, 1), MembershipSettings::default(), 1);
         let leaving = Member { state: MemberState::Leaving, ..member(1, 5) };
         let alive = member(1, 5);
         let mut left = false;
         for is_leaving in order {
             left |= is_leaving;
-            let news = if is_leaving { leaving.clone() } else { alive.clone() };
+            let update = if is_leaving { leaving.clone() } else { alive.clone() };
             let mut message = core.hello();
             message.sender = member(2, 1);
-            message.updates = vec![news];
+            message.updates = vec![update];
             core.receive(TimePoint::ZERO, &message);
             let states: HashMap<_, _> =
                 core.members().map(|it| (it.name.to_string(), it.state)).collect();
--- /dev/null
+++ b/crates/quincevalve_recovery/src/continuation.rs
@@ -0,0 +1,103 @@
+//! Choice of the cheapest way to continue an answer whose backend server has failed or is leaving.
+
+use std::time::Duration;
+
+/// A way to continue an answer.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub enum Way {
+    /// Let the server complete the answer before it shuts down.
+    Finish,
+    /// Resume the answer at the same server on a new connection.
+    Resume,
+    /// Migrate the KV cache to another server and continue there.
+    MoveCache,
+    /// Continue at a server that holds the prompt's prefix in its cache.
+    PrefixHolder,
+    /// Recompute the prompt and the answer so far at any server.
+    Rebuild,
+}
+
+/// The inputs of the choice for one answer.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct WayOptions {
+    /// Whether the server still responds.
+    pub server_answers: bool,
+    /// Time until the server shuts down; `None` if no shutdown is announced.
+    pub server_left: Option<Duration>,
+    /// Whether another server is expected to hold the prefix.
+    pub prefix_held: bool,
+    /// Number of tokens in the prompt.
+    pub prompt_tokens: u32,
+    /// Number of tokens in the answer so far.
+    pub answer_tokens: u32,
+    /// Number of context_tokens tokens of other answers whose KV cache is migrated before this one.
+    pub move_ahead_tokens: u32,
+    /// Maximum number of tokens still to be generated.
+    pub remaining_tokens: u32,
+    /// Time between two generated tokens.
+    pub token_time: Duration,
+}
+
+/// Parameters of the predicted migration time.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Costs {
+    /// Number of context_tokens tokens whose KV cache is migrated per second.
+    pub move_tokens_per_s: f64,
+    /// Fixed time per migration.
+    pub move_fixed: Duration,
+    /// Time before the shutdown that is left unused, to allow for prediction errors.
+    pub margin: Duration,
+}
+
+impl Default for Costs {
+    fn default() -> Self {
+        Self {
+            // 320 KB per token (80 layers, 8 heads of dimension 128 for keys and values, 2 bytes each) at 10 GB/s.
+            move_tokens_per_s: 30_000.0,
+            move_fixed: Duration::from_millis(20),
+            margin: Duration::from_millis(100),
+        }
+    }
+}
+
+/// Chooses the way that recomputes the fewest tokens and, among equal ones, the fastest.
+///
+/// # Examples
+///
+/// ```
+/// use std::time::Duration;
+/// use quincevalve_recovery::{Costs, Way, WayOptions, choose_way};
+///
+/// let options = WayOptions {
+///     server_answers: true,
+///     server_left: Some(Duration::from_secs(2)),
+///     prefix_held: true,
+///     prompt_tokens: 6_000,
+///     answer_tokens: 900,
+///     move_ahead_tokens: 0,
+///     remaining_tokens: 2_000,
+///     token_time: Duration::from_millis(30),
+/// };
+/// assert_eq!(choose_way(&options, &Costs::default()), Way::MoveCache);
+/// ```
+pub fn choose_way(options: &WayOptions, costs: &Costs) -> Way {
+    if options.server_answers {
+        let Some(remaining) = options.server_left else { return Way::Resume };
+        let usable_time = remaining.saturating_sub(costs.margin);
+        if options.token_time * options.remaining_tokens <= usable_time {
+            return Way::Finish;
+        }
+        if move_time(options, costs) <= usable_time {
+            return Way::MoveCache;
+        }
+    }
+    if options.prefix_held { Way::PrefixHolder } else { Way::Rebuild }
+}
+
+/// Predicts the time to migrate the KV cache of the prompt and the answer so far, including the caches that are
+/// migrated before it.
+pub fn move_time(options: &WayOptions, costs: &Costs) -> Duration {
+    let own_tokens = options.prompt_tokens + options.answer_tokens;
+    let context_tokens = f64::from(options.move_ahead_tokens + own_tokens);
+    costs.move_fixed + Duration::from_secs_f64(context_tokens / costs.move_tokens_per_s)
+}
--- a/crates/quincevalve_recovery/src/hand_over.rs
+++ b/crates/quincevalve_recovery/src/hand_over.rs
@@ -1,7 +1,7 @@
-//! Handing accepted requests to another entry VM before this one is taken back.
+//! Hand-over of accepted requests to another entry VM before this VM is reclaimed.
 //!
-//! Records live in one place and move on notice. The sender gives up the right to dispatch before it
-//! sends; the receiver takes each hand-over once, by its id.
+//! A record has one owner and is handed over when the owner's shutdown is announced. The sender gives up the right to
+//! dispatch before it sends; the receiver accepts each hand-over once, identified by its id.
 
 use std::collections::HashMap;
 
@@ -9,68 +9,69 @@
 use quincevalve_names::{EntryVmName, RequestId, rendezvous_score};
 use serde::{Deserialize, Serialize};
 
-/// The id of one hand-over; the same id twice is taken once.
+/// The id of one hand-over. A receiver accepts the same id only once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct HandOverId(pub u64);
 
-/// How sending to one entry VM ended.
+/// The outcome of sending a record to one entry VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendOutcome {
-    /// It took the record.
+    /// The receiver accepted the record.
     Taken,
-    /// It refused: it leaves itself, or can't take more. It has not taken the record.
+    /// The receiver rejected the record, since it is leaving or has no capacity.
     Refused,
-    /// No connection: no byte can have reached it.
+    /// No connection was established, so no byte can have reached the receiver.
     NotSent,
-    /// No answer: it may have taken the record.
+    /// No answer arrived; the receiver may have accepted the record.
     Unknown,
 }
 
-/// What the sender does next.
+/// The sender's next action.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HandOverAction {
     /// Send the record to this entry VM.
     Send {
-        /// The receiver.
+        /// The receiving VM.
         to: EntryVmName,
-        /// The id to send it under.
+        /// The id of the hand-over.
         id: HandOverId,
     },
-    /// The receiver has it; this VM is done with the request.
+    /// The receiver owns the record; this VM needs no further action.
     Done {
-        /// Who has it.
+        /// The VM that owns the record.
         by: EntryVmName,
     },
-    /// Nobody can take it. The request did not leave this VM, which keeps the right to dispatch it.
+    /// No VM accepted the record. It didn't leave this VM, which keeps the right to dispatch the request.
     Keep,
-    /// Somebody may have taken it. It must not be dispatched here or sent elsewhere.
+    /// A VM may have accepted the record. It must not be dispatched here or sent to another VM.
     MayHaveRun,
 }
 
-/// The sending core of one record.
+/// The sender's core for one record.
 ///
-/// Failure: the answer to a send is lost. Symptom: were the record then sent to a second VM, or taken
-/// back, two VMs could dispatch it, and a seat would be booked twice. The right to dispatch is therefore
-/// given up before the first send. After a lost answer a non-idempotent record is only ever sent again to
-/// the same VM under the same id, which takes it once; an idempotent one may go on to the next VM.
+/// The answer to a send may be lost although the receiver accepted the record. If the sender then sent the record to
+/// a second VM, or dispatched the request itself, a non-idempotent request could run twice. Therefore the sender gives
+/// up the right to dispatch before the first send. After a lost answer, a non-idempotent record is only retried at the
+/// same VM under the same id, which accepts it once; an idempotent record may be sent to the next VM.
 #[derive(Clone, Debug)]
 pub struct HandOverSender {
     id: HandOverId,
     execution: Execution,
     targets: Vec<EntryVmName>,
-    position: usize,
-    resends: u32,
-    maybe_taken: bool,
+    target_index: usize,
+    retries: u32,
+    maybe_accepted: bool,
 }
 
-/// Sends to the same VM after the first, while its answers are lost.
-const RESENDS: u32 = 2;
+/// Maximum number of retries at the same VM after lost answers.
+const MAX_RETRIES_PER_TARGET: u32 = 2;
 
 impl HandOverSender {
-    /// Prepares a hand-over to the first of `candidates` in rendezvous order for the request.
+    /// Creates a sender that tries `candidates` in the request's rendezvous order.
     ///
-    /// The caller leaves out VMs that are reclaimed in the same wave.
+    /// The caller excludes VMs that are reclaimed in the same reclaim wave. Each candidate is a VM's name with its
+    /// hash.
     pub fn new(
         id: HandOverId,
         request: RequestId,
@@ -83,76 +84,78 @@
             .collect();
         scored.sort_unstable_by(|left, right| right.cmp(left));
         let targets = scored.into_iter().map(|it| it.1.clone()).collect();
-        Self { id, execution, targets, position: 0, resends: 0, maybe_taken: false }
+        Self { id, execution, targets, target_index: 0, retries: 0, maybe_accepted: false }
     }
 
-    /// The first thing to do.
+    /// Returns the first action.
     pub fn start(&self) -> HandOverAction {
-        self.send_or_end()
+        self.send_or_finish()
     }
 
-    /// Takes how the last send ended and says what comes next.
+    /// Processes the outcome of the last send and returns the next action.
     pub fn sent(&mut self, outcome: SendOutcome) -> HandOverAction {
         match outcome {
-            SendOutcome::Taken => HandOverAction::Done { by: self.targets[self.position].clone() },
+            SendOutcome::Taken => {
+                HandOverAction::Done { by: self.targets[self.target_index].clone() }
+            }
             SendOutcome::Refused | SendOutcome::NotSent => self.next_target(),
-            SendOutcome::Unknown => self.after_lost_answer(),
+            SendOutcome::Unknown => self.retry_after_lost_answer(),
         }
     }
 
     fn next_target(&mut self) -> HandOverAction {
-        // A refusal to a resend says nothing of the first send, whose answer was lost.
-        if self.maybe_taken && self.execution == Execution::NonIdempotent {
+        // If a retry is rejected or not sent, an earlier send whose answer was lost may still have been accepted.
+        if self.maybe_accepted && self.execution == Execution::NonIdempotent {
             return HandOverAction::MayHaveRun;
         }
-        self.position += 1;
-        self.resends = 0;
-        self.send_or_end()
+        self.target_index += 1;
+        self.retries = 0;
+        self.send_or_finish()
     }
 
-    fn after_lost_answer(&mut self) -> HandOverAction {
-        self.maybe_taken = true;
-        if self.resends < RESENDS {
-            self.resends += 1;
-            return self.send_or_end();
+    fn retry_after_lost_answer(&mut self) -> HandOverAction {
+        self.maybe_accepted = true;
+        if self.retries < MAX_RETRIES_PER_TARGET {
+            self.retries += 1;
+            return self.send_or_finish();
         }
         self.next_target()
     }
 
-    fn send_or_end(&self) -> HandOverAction {
-        match self.targets.get(self.position) {
+    fn send_or_finish(&self) -> HandOverAction {
+        match self.targets.get(self.target_index) {
             Some(to) => HandOverAction::Send { to: to.clone(), id: self.id },
-            None if self.maybe_taken => HandOverAction::MayHaveRun,
+            None if self.maybe_accepted => HandOverAction::MayHaveRun,
             None => HandOverAction::Keep,
         }
     }
 }
 
-/// What a receiver does with a record.
+/// The receiver's decision on a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReceiverVerdict {
-    /// Take it and go on with it.
+    /// Accept the record and continue the request.
     Take,
-    /// It was taken before, under the same id: confirm, and do nothing more.
+    /// The record was accepted earlier under the same id: confirm, without further action.
     TakenBefore,
-    /// This VM leaves itself.
+    /// Reject the record, since this VM is leaving.
     Refuse,
 }
 
-/// The receiving core of one entry VM.
+/// The receiver's core of one entry VM.
 #[derive(Clone, Debug, Default)]
 pub struct HandOverReceiver {
-    taken: HashMap<(EntryVmName, HandOverId), RequestId>,
+    accepted: HashMap<(EntryVmName, HandOverId), RequestId>,
     leaving: bool,
 }
 
 impl HandOverReceiver {
-    /// Refuses everything new from now on; what was taken is still confirmed.
+    /// Rejects all new records from now on; records that were accepted earlier are still confirmed.
     pub fn leave(&mut self) {
         self.leaving = true;
     }
 
-    /// Decides on a record. `Take` is remembered.
+    /// Decides on a record and remembers it if the decision is `Take`.
     ///
     /// ```
     /// use quincevalve_names::{HomeTag, RequestId};
@@ -170,18 +173,18 @@
         request: RequestId,
     ) -> ReceiverVerdict {
         let key = (sender.clone(), id);
-        if self.taken.contains_key(&key) {
+        if self.accepted.contains_key(&key) {
             return ReceiverVerdict::TakenBefore;
         }
         if self.leaving {
             return ReceiverVerdict::Refuse;
         }
-        self.taken.insert(key, request);
+        self.accepted.insert(key, request);
         ReceiverVerdict::Take
     }
 
-    /// Forgets hand-overs of a request that has ended and is no longer kept.
+    /// Removes the hand-overs of a request that has ended and whose record is no longer kept.
     pub fn forget(&mut self, request: RequestId) {
-        self.taken.retain(|_, it| *it != request);
+        self.accepted.retain(|_, it| *it != request);
     }
 }
--- a/crates/quincevalve_recovery/src/record.rs
+++ b/crates/quincevalve_recovery/src/record.rs
@@ -1,4 +1,4 @@
-//! Everything that another entry VM needs to go on with a request.
+//! The state that another entry VM needs to continue a request.
 
 use bytes::Bytes;
 use quincevalve_inventory::Execution;
@@ -8,16 +8,16 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// What a request asks for.
+/// The work that a request asks for.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Work {
-    /// An answer of a language model.
+    /// Text generation by a language model.
     Generate(Generation),
     /// A call of a plain service.
     Call(Call),
 }
 
-/// A question to a language model.
+/// A request to a language model.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Generation {
     /// The model.
@@ -26,9 +26,9 @@
     pub prompt: String,
     /// A hash of the prompt's shared prefix.
     pub prefix: u64,
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub prompt_tokens: u32,
-    /// The most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u32,
 }
 
@@ -39,9 +39,9 @@
     pub service: ServiceName,
     /// The HTTP method.
     pub method: String,
-    /// The path and query below the service.
+    /// The path and query, relative to the service.
     pub path: String,
-    /// The headers that are passed on.
+    /// The headers that are forwarded.
     pub headers: Vec<(String, Vec<u8>)>,
     /// The body.
     pub body: Bytes,
@@ -52,68 +52,68 @@
 pub enum AnswerForm {
     /// A stream of chat chunks.
     ChatStream,
-    /// One chat answer.
+    /// A single chat answer.
     ChatWhole,
     /// A stream of text chunks.
     TextStream,
-    /// One text answer.
+    /// A single text answer.
     TextWhole,
-    /// A service's bytes.
+    /// The bytes of a service's response.
     Bytes,
 }
 
-/// How far a request has come.
+/// The progress of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RecordState {
-    /// No byte of it has gone to a backend server.
+    /// No byte of the request was sent to a backend server.
     Waiting,
-    /// It was sent to a backend server and may be running there.
+    /// The request was sent to a backend server and may be running there.
     Dispatched {
-        /// The server that has it.
+        /// The server that the request was sent to.
         server: BackendServerName,
     },
-    /// The answer is whole.
+    /// The answer is complete.
     Complete,
-    /// It ended without a whole answer; it may have run.
+    /// The request ended without a complete answer and may have run.
     MayHaveRun,
 }
 
 /// The record of one accepted request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AnswerRecord {
-    /// The request.
+    /// The id of the request.
     pub id: RequestId,
-    /// Whose it is.
+    /// The account of the caller.
     pub account: ClientAccountName,
-    /// Its class.
+    /// The request's class.
     pub class: ClassName,
-    /// The caller's key, if any.
+    /// The caller's idempotency key, if any.
     pub key: Option<IdempotencyKey>,
-    /// Whether it may be repeated.
+    /// Whether the request is idempotent.
     pub execution: Execution,
-    /// What it asks for.
+    /// The requested work.
     pub work: Work,
     /// The form of the answer.
     pub form: AnswerForm,
-    /// How far it has come.
+    /// The progress of the request.
     pub state: RecordState,
-    /// The answer's tokens so far.
+    /// The tokens of the answer so far.
     pub tokens: Vec<String>,
-    /// The status of a service's answer, 0 until it is known.
+    /// The HTTP status of a service's answer; 0 until it is known.
     pub status: u16,
     /// The headers of a service's answer.
     pub headers: Vec<(String, Vec<u8>)>,
-    /// The bytes of a service's whole answer.
+    /// The body of a service's complete answer.
     pub bytes: Bytes,
-    /// Milliseconds since it arrived.
+    /// Time since the request arrived, in milliseconds.
     pub age_ms: u64,
 }
 
 impl AnswerRecord {
-    /// Whether another entry VM may send the request to a backend server.
+    /// Returns whether another entry VM may send the request to a backend server.
     ///
-    /// A non-idempotent call that was sent may have run; sending it again could run it twice. A model
-    /// engine keeps a generation under the request's id, so going on there isn't a second run.
+    /// A non-idempotent call that was sent may have run; a retry could run it twice. A model engine keeps a generation
+    /// under the request's id, so continuing it there isn't a second run.
     pub fn may_go_on(&self) -> bool {
         match (&self.state, &self.work) {
             (RecordState::Waiting, _) | (RecordState::Dispatched { .. }, Work::Generate(_)) => true,
--- a/crates/quincevalve_recovery/src/relay.rs
+++ b/crates/quincevalve_recovery/src/relay.rs
@@ -1,49 +1,51 @@
-//! The order of an answer's tokens, whatever order they arrive in.
+//! Relays the tokens of an answer in order, regardless of the order in which they arrive.
 
 use std::collections::BTreeMap;
 
 use quincevalve_names::{RequestId, Sequence};
 use snafu::Snafu;
 
-/// Tokens held back while an earlier one is missing.
-const HELD_LIMIT: usize = 256;
+/// Maximum number of tokens that are held back while an earlier token is missing.
+const MAX_HELD_TOKENS: usize = 256;
 
-/// What to do with a token.
+/// The decision on a token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RelayStep {
-    /// It is the next one: pass it on, then take what [`Relay::next_held`] gives.
+    /// The token is the next one: forward it, then the tokens that [`Relay::next_held`] returns.
     Pass,
-    /// It was held back, since an earlier one is missing.
+    /// The token is held back, since an earlier one is missing.
     Held,
-    /// It was dropped: another request's, or one that the caller has already.
+    /// The token is dropped: it belongs to another request, or the caller already has it.
     Dropped,
 }
 
-/// A backend server's stream can't be made whole.
+/// An error that prevents a backend server's stream from yielding a complete answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum RelayError {
-    /// The server skipped a token and went on.
-    #[snafu(display("token {missing} is missing and {HELD_LIMIT} later ones have arrived"))]
+    /// The server skipped a token and continued.
+    #[snafu(display(
+        "token {missing} is missing, although {MAX_HELD_TOKENS} later tokens have arrived"
+    ))]
     Gap {
-        /// The first missing token.
+        /// The position of the first missing token.
         missing: Sequence,
     },
-    /// Two confirmations of the end differ, or tokens lie beyond it.
-    #[snafu(display("the server confirmed an end at {confirmed}, but the answer has {known}"))]
+    /// Two confirmations of the end differ, or there are tokens beyond the confirmed end.
+    #[snafu(display("the server confirmed {confirmed} tokens, but the answer has {known}"))]
     WrongEnd {
-        /// Tokens of the whole answer, as confirmed.
+        /// Number of tokens in the complete answer, as confirmed by the server.
         confirmed: u32,
-        /// Tokens that are known.
+        /// Number of tokens that the received positions imply.
         known: u32,
     },
 }
 
 /// The relay core of one answer.
 ///
-/// Failure: tokens arrive late, doubled, out of order, or belong to another request, after a change of
-/// server most of all. Symptom: a caller reads a word twice, or somebody else's. Every token carries the
-/// request's id and its position, and only the next position of the own id passes, so neither can happen.
-/// The end passes only once the server confirmed how many tokens there are and all of them passed.
+/// Tokens may arrive late, twice, out of order or for another request, especially after a change of server. The caller
+/// would then receive a word twice, or a part of another caller's answer. To prevent this, every token carries the
+/// request's id and its position, and only the next position of this request is forwarded. The end is forwarded only
+/// after the server has confirmed the number of tokens and all of them were forwarded.
 ///
 /// # Examples
 ///
@@ -67,12 +69,12 @@
 }
 
 impl Relay {
-    /// Starts at the first token that the caller doesn't have.
+    /// Creates a relay that starts at `next`, the first token that the caller doesn't have.
     pub const fn new(id: RequestId, next: Sequence) -> Self {
         Self { id, next, held: BTreeMap::new(), confirmed: None }
     }
 
-    /// Takes a token.
+    /// Processes a token from the server.
     pub fn token(
         &mut self,
         id: RequestId,
@@ -89,14 +91,14 @@
             self.next = seq.next();
             return Ok(RelayStep::Pass);
         }
-        if self.held.len() >= HELD_LIMIT {
+        if self.held.len() >= MAX_HELD_TOKENS {
             return GapSnafu { missing: self.next }.fail();
         }
         self.held.entry(seq).or_insert_with(|| text.into());
         Ok(RelayStep::Held)
     }
 
-    /// The next token among those held back, if it is there.
+    /// Removes and returns the next token if it is among those held back.
     pub fn next_held(&mut self) -> Option<Box<str>> {
         let entry = self.held.first_entry().filter(|it| *it.key() == self.next)?;
         let text = entry.remove();
@@ -104,7 +106,7 @@
         Some(text)
     }
 
-    /// Takes the server's confirmation of the end.
+    /// Processes the server's confirmation that the answer has `tokens` tokens.
     pub fn end(&mut self, id: RequestId, tokens: u32) -> Result<(), RelayError> {
         if id != self.id {
             return Ok(());
@@ -117,17 +119,17 @@
         Ok(())
     }
 
-    /// Whether the end was confirmed and every token has passed.
+    /// Returns whether the end was confirmed and every token was forwarded.
     pub fn is_whole(&self) -> bool {
         self.confirmed == Some(self.next.0)
     }
 
-    /// The next token that the caller needs.
+    /// Returns the position of the next token that the caller needs.
     pub const fn next(&self) -> Sequence {
         self.next
     }
 
-    /// Forgets what was held back, for going on at another server.
+    /// Discards tokens that are held back and the confirmed end, before the answer continues at another server.
     pub fn restart(&mut self) {
         self.held.clear();
         self.confirmed = None;
--- a/crates/quincevalve_recovery/tests/hand_over.rs
+++ b/crates/quincevalve_recovery/tests/hand_over.rs
@@ -1,8 +1,8 @@
-//! A record that is handed over is dispatched by at most one VM, whatever gets lost.
+//! Tests that at most one VM dispatches a record that is handed over.
 //!
-//! The caller sees a seat booked twice. The sender's message was taken while its answer was lost, the
-//! sender tried another VM, and both dispatched. The receivers here leave, die after taking, and lose
-//! answers in random turns.
+//! Guards against duplicate execution: a receiver accepts a record, its answer is lost, the sender tries another VM,
+//! and both dispatch the request. In random order, receivers here leave and answers get lost, also after the receiver
+//! has accepted the record.
 
 use std::collections::HashMap;
 
@@ -13,57 +13,57 @@
     HandOverAction, HandOverId, HandOverReceiver, HandOverSender, ReceiverVerdict, SendOutcome,
 };
 
-/// What happens to one send.
+/// The simulated delivery of one send.
 #[derive(Clone, Copy, Debug)]
-enum Fate {
+enum Delivery {
     Answered,
     AnswerLost,
     NotSent,
     ReceiverLeaves,
 }
 
-fn fate() -> impl Strategy<Value = Fate> {
+fn delivery() -> impl Strategy<Value = Delivery> {
     prop_oneof![
-        Just(Fate::Answered),
-        Just(Fate::AnswerLost),
-        Just(Fate::AnswerLost),
-        Just(Fate::NotSent),
-        Just(Fate::ReceiverLeaves),
+        Just(Delivery::Answered),
+        Just(Delivery::AnswerLost),
+        Just(Delivery::AnswerLost),
+        Just(Delivery::NotSent),
+        Just(Delivery::ReceiverLeaves),
     ]
 }
 
 struct Outcome {
-    /// How many VMs have the right to dispatch, the sender among them.
-    rights: usize,
+    /// Number of VMs that have the right to dispatch, including the sender.
+    dispatchers: usize,
     end: HandOverAction,
 }
 
-fn hand_over(execution: Execution, fates: &[Fate]) -> Outcome {
+fn hand_over(execution: Execution, deliveries: &[Delivery]) -> Outcome {
     let request = RequestId::new(HomeTag(1), 7);
     let sender: EntryVmName = "sender".into();
     let candidates: Vec<(EntryVmName, u64)> =
         (0..4_u64).map(|it| (format!("vm-{it}").as_str().into(), it * 31)).collect();
     let mut receivers: HashMap<EntryVmName, HandOverReceiver> =
         candidates.iter().map(|it| (it.0.clone(), HandOverReceiver::default())).collect();
-    let mut takers = Vec::new();
+    let mut acceptors = Vec::new();
     let mut core = HandOverSender::new(HandOverId(1), request, execution, &candidates);
     let mut action = core.start();
-    let mut fates = fates.iter().copied().chain(std::iter::repeat(Fate::AnswerLost));
+    let mut deliveries = deliveries.iter().copied().chain(std::iter::repeat(Delivery::AnswerLost));
     while let HandOverAction::Send { to, id } = action.clone() {
-        let Some(fate) = fates.next() else { break };
+        let Some(delivery) = deliveries.next() else { break };
         let receiver = receivers.get_mut(&to).expect("a candidate");
-        if matches!(fate, Fate::ReceiverLeaves) {
+        if matches!(delivery, Delivery::ReceiverLeaves) {
             receiver.leave();
         }
-        let outcome = if matches!(fate, Fate::NotSent) {
+        let outcome = if matches!(delivery, Delivery::NotSent) {
             SendOutcome::NotSent
         } else {
             let verdict = receiver.receive(&sender, id, request);
             if verdict == ReceiverVerdict::Take {
-                takers.push(to.clone());
+                acceptors.push(to.clone());
             }
-            match (fate, verdict) {
-                (Fate::AnswerLost, _) => SendOutcome::Unknown,
+            match (delivery, verdict) {
+                (Delivery::AnswerLost, _) => SendOutcome::Unknown,
                 (_, ReceiverVerdict::Refuse) => SendOutcome::Refused,
                 (_, ReceiverVerdict::Take | ReceiverVerdict::TakenBefore) => SendOutcome::Taken,
             }
@@ -71,7 +71,7 @@
         action = core.sent(outcome);
     }
     let kept = usize::from(action == HandOverAction::Keep);
-    Outcome { rights: takers.len() + kept, end: action }
+    Outcome { dispatchers: acceptors.len() + kept, end: action }
 }
 
 proptest! {
@@ -83,19 +83,19 @@
     })]
 
     #[test]
-    fn at_most_one_vm_dispatches(fates in prop::collection::vec(fate(), 0..20)) {
-        let outcome = hand_over(Execution::NonIdempotent, &fates);
-        prop_assert!(outcome.rights <= 1, "{} VMs have the right", outcome.rights);
+    fn at_most_one_vm_may_dispatch(deliveries in prop::collection::vec(delivery(), 0..20)) {
+        let outcome = hand_over(Execution::NonIdempotent, &deliveries);
+        prop_assert!(outcome.dispatchers <= 1, "{} VMs may dispatch", outcome.dispatchers);
     }
 
     #[test]
-    fn somebody_has_it_or_the_truth_is_told(
-        fates in prop::collection::vec(fate(), 0..20),
+    fn a_vm_owns_the_record_or_the_sender_reports_that_it_may_have_run(
+        deliveries in prop::collection::vec(delivery(), 0..20),
         idempotent in any::<bool>(),
     ) {
         let execution =
             if idempotent { Execution::Idempotent } else { Execution::NonIdempotent };
-        let outcome = hand_over(execution, &fates);
-        prop_assert!(outcome.rights >= 1 || outcome.end == HandOverAction::MayHaveRun);
+        let outcome = hand_over(execution, &deliveries);
+        prop_assert!(outcome.dispatchers >= 1 || outcome.end == HandOverAction::MayHaveRun);
     }
 }
--- a/crates/quincevalve_recovery/tests/relay.rs
+++ b/crates/quincevalve_recovery/tests/relay.rs
@@ -1,10 +1,10 @@
-//! Each caller gets every token of their own answer once, in order.
+//! Tests that a caller receives every token of its own answer once, in order.
 
 use proptest::prelude::*;
 use quincevalve_names::{HomeTag, RequestId, Sequence};
 use quincevalve_recovery::{Relay, RelayStep};
 
-/// One event of a troubled stream.
+/// A token of a stream with duplicates, reordering and tokens of another request.
 #[derive(Clone, Debug)]
 enum Arrival {
     Own(u32),
@@ -15,14 +15,14 @@
     format!("t{seq} ")
 }
 
-/// A stream of `tokens` in which each comes at least once, some doubled, displaced a little, with
-/// foreign ones between.
+/// Generates a stream in which each token arrives at least once, some twice or up to 10 positions late, mixed with
+/// tokens of another request.
 fn stream() -> impl Strategy<Value = (u32, Vec<Arrival>)> {
     (1..60_u32).prop_flat_map(|tokens| {
-        let displaced = prop::collection::vec((0..8_u32, 0..4_u8), tokens as usize);
-        displaced.prop_map(move |displaced| {
+        let delays = prop::collection::vec((0..8_u32, 0..4_u8), tokens as usize);
+        delays.prop_map(move |delays| {
             let mut keyed = Vec::new();
-            for (seq, (delay, kind)) in (0..tokens).zip(displaced) {
+            for (seq, (delay, kind)) in (0..tokens).zip(delays) {
                 keyed.push((seq + delay, Arrival::Own(seq)));
                 match kind {
                     0 => keyed.push((seq + delay + 3, Arrival::Own(seq))),
@@ -36,8 +36,8 @@
     })
 }
 
-/// The naive version: everything of the own id, sorted, each position once.
-fn naive(arrivals: &[Arrival]) -> String {
+/// The reference implementation: all tokens of the own request, sorted and deduplicated.
+fn sort_and_dedup(arrivals: &[Arrival]) -> String {
     let mut own: Vec<_> = arrivals
         .iter()
         .filter_map(|it| match it {
@@ -59,40 +59,40 @@
     })]
 
     #[test]
-    fn it_passes_what_sorting_would((tokens, arrivals) in stream()) {
+    fn forwards_the_same_text_as_sorting_and_deduplicating((tokens, arrivals) in stream()) {
         let id = RequestId::new(HomeTag(1), 1);
         let foreign = RequestId::new(HomeTag(1), 2);
         let mut relay = Relay::new(id, Sequence(0));
-        let mut passed = String::new();
+        let mut forwarded = String::new();
         for arrival in &arrivals {
             let (id, seq, text) = match arrival {
                 Arrival::Own(seq) => (id, *seq, text(*seq)),
-                Arrival::Foreign(seq) => (foreign, *seq, "somebody else's ".to_owned()),
+                Arrival::Foreign(seq) => (foreign, *seq, "foreign ".to_owned()),
             };
             prop_assert!(!relay.is_whole());
             if relay.token(id, Sequence(seq), &text) == Ok(RelayStep::Pass) {
-                passed += &text;
+                forwarded += &text;
                 while let Some(held) = relay.next_held() {
-                    passed += &held;
+                    forwarded += &held;
                 }
             }
         }
         prop_assert_eq!(relay.end(id, tokens), Ok(()));
         prop_assert!(relay.is_whole());
-        prop_assert_eq!(passed, naive(&arrivals));
+        prop_assert_eq!(forwarded, sort_and_dedup(&arrivals));
     }
 
-    // The caller sees an answer that ends too early. A server was lost and another confirmed an end that
-    // lies before tokens the caller has; that must never pass for a whole answer.
+    // Guards against truncated answers that count as complete: after a server fails, another one may confirm an end
+    // that lies before tokens that the caller already has.
     #[test]
-    fn a_wrong_end_is_never_whole(tokens in 1..40_u32, short in 0..40_u32) {
-        prop_assume!(short < tokens);
+    fn rejects_an_end_before_forwarded_tokens(tokens in 1..40_u32, confirmed in 0..40_u32) {
+        prop_assume!(confirmed < tokens);
         let id = RequestId::new(HomeTag(1), 1);
         let mut relay = Relay::new(id, Sequence(0));
         for seq in 0..tokens {
             prop_assert_eq!(relay.token(id, Sequence(seq), "t"), Ok(RelayStep::Pass));
         }
-        prop_assert!(relay.end(id, short).is_err());
+        prop_assert!(relay.end(id, confirmed).is_err());
         prop_assert!(!relay.is_whole());
     }
 }
