--- a/crates/quincevalve_control/src/change/tests.rs
+++ b/crates/quincevalve_control/src/change/tests.rs
@@ -205,7 +205,7 @@
             }
             3 => {
                 let heard = Revision(rng.random_range(0..=newest.0));
-                drop(nodes[node].hear(now, address(peer), heard));
+                drop(nodes[node].handle_announcement(now, address(peer), heard));
             }
             4 => nodes[node].fetch_failed(address(peer)),
             _ => {
--- a/crates/quincevalve_control/src/config_actor.rs
+++ b/crates/quincevalve_control/src/config_actor.rs
@@ -50,7 +50,9 @@
     ) -> Result<(), ActorProcessingErr> {
         let now = state.shared.clock.now();
         let actions = match message {
-            ConfigMessage::Heard(peer, revision) => state.core.hear(now, peer, revision),
+            ConfigMessage::Heard(peer, revision) => {
+                state.core.handle_announcement(now, peer, revision)
+            }
             ConfigMessage::Fetched(source, blob) => {
                 let peers = state.peers();
                 state.core.receive(now, source, blob.revision, blob.content.into(), &peers)
--- a/crates/quincevalve_control/src/settings.rs
+++ b/crates/quincevalve_control/src/settings.rs
@@ -141,8 +141,8 @@
 
     pub(crate) fn membership(&self) -> MembershipSettings {
         MembershipSettings {
-            period: self.period(),
-            suspicion: Duration::from_millis(self.suspicion_ms),
+            probe_interval: self.period(),
+            suspicion_timeout: Duration::from_millis(self.suspicion_ms),
             ..MembershipSettings::default()
         }
     }
--- a/crates/quincevalve_distribution/src/distribution.rs
+++ b/crates/quincevalve_distribution/src/distribution.rs
@@ -15,12 +15,12 @@
     /// Number of peers to which a new revision is announced immediately.
     pub fan_out: usize,
     /// Time after which a fetch no longer prevents a fetch from another peer.
-    pub fetch: Duration,
+    pub fetch_timeout: Duration,
 }
 
 impl Default for DistributionSettings {
     fn default() -> Self {
-        Self { fan_out: 3, fetch: Duration::from_millis(500) }
+        Self { fan_out: 3, fetch_timeout: Duration::from_millis(500) }
     }
 }
 
@@ -107,7 +107,7 @@
     }
 
     /// Processes an announcement that a peer has a revision.
-    pub fn hear(
+    pub fn handle_announcement(
         &mut self,
         now: TimePoint,
         peer: Peer,
@@ -122,7 +122,7 @@
 
     fn fetch(&mut self, now: TimePoint) -> Vec<DistributionAction> {
         let Some((_, peer)) = self.announced else { return Vec::new() };
-        let is_in_flight = self.fetching.is_some_and(|it| now - it.1 < self.settings.fetch);
+        let is_in_flight = self.fetching.is_some_and(|it| now - it.1 < self.settings.fetch_timeout);
         if is_in_flight {
             return Vec::new();
         }
--- a/crates/quincevalve_entry/src/filters/claim.rs
+++ b/crates/quincevalve_entry/src/filters/claim.rs
@@ -93,7 +93,7 @@
         let slot = claim.key.slot(shared.claims.settings().slots);
         let peers = shared.peers();
         if let Some(owner) = peers.slot_owner(slot, &shared.settings.name) {
-            let limit = shared.claims.settings().give_up;
+            let limit = shared.claims.settings().claim_timeout;
             let call = shared.callers.call(owner.address, limit, |client, cx| async move {
                 client.claim(cx, claim).await
             });
--- a/crates/quincevalve_entry/src/filters/relay.rs
+++ b/crates/quincevalve_entry/src/filters/relay.rs
@@ -10,7 +10,9 @@
     Event, EventBuffer,
     engine::{END_EVENT, EndEvent, TokenEvent},
 };
-use quincevalve_recovery::{Costs, RelayStep, Way, WayOptions, Work, choose_way};
+use quincevalve_recovery::{
+    Continuation, ContinuationOptions, MigrationCosts, RelayStep, Work, choose_continuation,
+};
 
 use crate::{
     answer::ServiceHead,
@@ -193,7 +195,9 @@
         let announced = self.shared.departures.gone_at(sent.name.as_str()).is_some();
         attempt.relay.restart();
         let may_resume = cause != Cause::Unsound && attempt.resumes < MAX_RESUMES;
-        if choose_way(&options, &Costs::default()) == Way::Resume && may_resume {
+        if choose_continuation(&options, &MigrationCosts::default()) == Continuation::Resume
+            && may_resume
+        {
             attempt.resume_on = Some(sent.server);
             attempt.resumes += 1;
             return Failed::may_have_run(attempt, cause).announced().resumable();
@@ -211,7 +215,7 @@
         sent: &Sent,
         server_answers: bool,
         server_left: Option<Duration>,
-    ) -> WayOptions {
+    ) -> ContinuationOptions {
         let router = self.shared.router();
         let now = self.shared.timer.now();
         let holder = router.prefix_holder(now, attempt.request.prefix());
@@ -222,10 +226,10 @@
         let answer_tokens = attempt.relay.next().0;
         // The others on the server move at the same time; on average half of them are ahead.
         let others = router.outstanding(sent.server).saturating_sub(1);
-        WayOptions {
-            move_ahead_tokens: others * (prompt_tokens + answer_tokens) / 2,
+        ContinuationOptions {
+            queued_migration_tokens: others * (prompt_tokens + answer_tokens) / 2,
             server_answers,
-            server_left,
+            time_until_shutdown: server_left,
             prefix_held: holder.is_some_and(|it| it != sent.server),
             prompt_tokens,
             answer_tokens,
@@ -248,10 +252,10 @@
             return None;
         }
         let options = self.way_options(attempt, sent, true, Some(left));
-        let way = choose_way(&options, &Costs::default());
+        let way = choose_continuation(&options, &MigrationCosts::default());
         let is_billed = attempt.request.execution == Execution::NonIdempotent;
         // Before its first token a billed run can't be moved: starting it elsewhere would be a second run.
-        if way == Way::Finish || (is_billed && options.answer_tokens == 0) {
+        if way == Continuation::Finish || (is_billed && options.answer_tokens == 0) {
             return None;
         }
         let limit = self.shared.settings.pacing.probe().min(left);
@@ -374,7 +378,7 @@
     if !passed.ends.is_empty() {
         attempt.answer.push_tokens(passed.iter());
     }
-    if attempt.relay.is_whole() { Progress::Whole } else { progress }
+    if attempt.relay.is_complete() { Progress::Whole } else { progress }
 }
 
 fn take_event(attempt: &mut Attempt, event: &Event, passed: &mut Passed) -> Progress {
--- a/crates/quincevalve_entry/src/hand_over.rs
+++ b/crates/quincevalve_entry/src/hand_over.rs
@@ -63,7 +63,7 @@
 }
 
 async fn hand_over_running(shared: &Arc<Shared>, known: Known, wave: &[String]) {
-    if !record_of(shared, &known).may_go_on() {
+    if !record_of(shared, &known).may_resume() {
         // A call that was sent and may not be repeated ends here or nowhere.
         return;
     }
@@ -113,7 +113,7 @@
     let mut action = core.start();
     while let HandOverAction::Send { to, id } = action {
         let outcome = send_once(shared, &to, id, record.clone()).await;
-        action = core.sent(outcome);
+        action = core.handle_send_outcome(outcome);
     }
     action
 }
--- a/crates/quincevalve_entry/src/settings.rs
+++ b/crates/quincevalve_entry/src/settings.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, path::PathBuf, time::Duration};
 
-use quincevalve_ledger::{DeskSettings, SlotSettings};
+use quincevalve_ledger::{ClaimLedgerSettings, SlotSettings};
 use quincevalve_names::{DataCentreName, EntryVmName};
 use quincevalve_peers::PeerTls;
 use quincevalve_program::{LogSettings, MetricsSettings, ProgramSettings};
@@ -107,15 +107,15 @@
     }
 }
 
-impl From<LedgerSettings> for DeskSettings {
+impl From<LedgerSettings> for ClaimLedgerSettings {
     fn from(settings: LedgerSettings) -> Self {
         let slot = SlotSettings {
-            pace: Duration::from_millis(settings.pace_ms),
+            write_interval: Duration::from_millis(settings.pace_ms),
             retention_s: settings.retention_s,
             ..SlotSettings::default()
         };
-        let give_up = Duration::from_millis(settings.give_up_ms);
-        Self { slots: settings.slots.max(1), slot, give_up }
+        let claim_timeout = Duration::from_millis(settings.give_up_ms);
+        Self { slots: settings.slots.max(1), slot, claim_timeout }
     }
 }
 
--- a/crates/quincevalve_entry/src/shared.rs
+++ b/crates/quincevalve_entry/src/shared.rs
@@ -5,7 +5,7 @@
     atomic::{AtomicBool, AtomicU64, Ordering},
 };
 
-use quincevalve_ledger::ClaimDesk;
+use quincevalve_ledger::ClaimLedger;
 use quincevalve_names::{HomeTag, RequestId};
 use quincevalve_peers::{Callers, EntryPeerClient};
 use quincevalve_ports::{engine::EngineClient, store::HttpStore};
@@ -41,7 +41,7 @@
     pub(crate) refusing: AtomicBool,
     pub(crate) peers: watch::Receiver<Arc<Peers>>,
     pub(crate) callers: Callers<EntryPeerClient>,
-    pub(crate) claims: ClaimDesk<HttpStore>,
+    pub(crate) claims: ClaimLedger<HttpStore>,
     pub(crate) receiver: Mutex<HandOverReceiver>,
     pub(crate) next_hand_over: AtomicU64,
 }
--- a/crates/quincevalve_entry/src/start.rs
+++ b/crates/quincevalve_entry/src/start.rs
@@ -11,7 +11,7 @@
 };
 
 use quincevalve_inventory::{Format, ReadError, read_inventory};
-use quincevalve_ledger::ClaimDesk;
+use quincevalve_ledger::ClaimLedger;
 use quincevalve_names::hash_text;
 use quincevalve_peers::{BindError, Callers, EntryPeer, PeerListener, PeerSecurity, PeerTlsError};
 use quincevalve_ports::{HttpClient, engine::EngineClient, store::HttpStore};
@@ -211,7 +211,7 @@
     let http = HttpClient::new(Some(settings.listen.ip()), settings.pacing.connect());
     let store = HttpStore::new(http.clone(), settings.platform, settings.pacing.platform());
     let writer = settings.name.as_str();
-    let claims = ClaimDesk::new(store, timer.clone(), writer, settings.ledger.into());
+    let claims = ClaimLedger::new(store, timer.clone(), writer, settings.ledger.into());
     let local = Some(settings.peer_listen.ip());
     Shared {
         callers: Callers::new(security, local, settings.pacing.connect()),
--- a/crates/quincevalve_ledger/src/claim_ledger.rs
+++ b/crates/quincevalve_ledger/src/claim_ledger.rs
@@ -16,24 +16,24 @@
 
 /// Settings of the ledger. Every VM must use the same number of slots.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct DeskSettings {
+pub struct ClaimLedgerSettings {
     /// Number of slots.
     pub slots: u32,
     /// Settings of each slot.
     pub slot: SlotSettings,
     /// Maximum time until a claim is answered.
-    pub give_up: Duration,
+    pub claim_timeout: Duration,
 }
 
-impl Default for DeskSettings {
+impl Default for ClaimLedgerSettings {
     fn default() -> Self {
-        Self { slots: 16, slot: SlotSettings::default(), give_up: Duration::from_secs(2) }
+        Self { slots: 16, slot: SlotSettings::default(), claim_timeout: Duration::from_secs(2) }
     }
 }
 
 /// An error that prevents the ledger from processing a claim.
 #[derive(Debug, Snafu)]
-pub enum ClaimDeskError {
+pub enum ClaimLedgerError {
     /// The slot's actor can't be started.
     #[snafu(display("can't start the actor of ledger slot {slot}: {source}"))]
     Start {
@@ -52,39 +52,39 @@
 
 /// The claims ledger of one process. Clones share the slots.
 #[derive(Clone)]
-pub struct ClaimDesk<S> {
+pub struct ClaimLedger<S> {
     store: S,
     timer: Timer,
     writer: Arc<str>,
-    settings: DeskSettings,
+    settings: ClaimLedgerSettings,
     slots: Arc<tokio::sync::Mutex<FxHashMap<u32, ActorRef<SlotMessage>>>>,
 }
 
-impl<S> ClaimDesk<S>
+impl<S> ClaimLedger<S>
 where
     S: Store,
 {
     /// Creates a ledger. A slot's actor starts when the slot is first used.
-    pub fn new(store: S, timer: Timer, writer: &str, settings: DeskSettings) -> Self {
+    pub fn new(store: S, timer: Timer, writer: &str, settings: ClaimLedgerSettings) -> Self {
         Self { store, timer, writer: writer.into(), settings, slots: Arc::default() }
     }
 
     /// Returns the settings.
-    pub const fn settings(&self) -> &DeskSettings {
+    pub const fn settings(&self) -> &ClaimLedgerSettings {
         &self.settings
     }
 
     /// Decides a claim.
-    pub async fn claim(&self, claim: Claim) -> Result<Verdict, ClaimDeskError> {
+    pub async fn claim(&self, claim: Claim) -> Result<Verdict, ClaimLedgerError> {
         let slot = claim.key.slot(self.settings.slots);
         let actor = self.actor(slot).await?;
         let (tx, rx) = tokio::sync::oneshot::channel();
         let message = SlotMessage::Claim(claim, tx.into());
-        actor.cast(message).map_err(|_| ClaimDeskError::Ended { slot })?;
-        rx.await.map_err(|_| ClaimDeskError::Ended { slot })
+        actor.cast(message).map_err(|_| ClaimLedgerError::Ended { slot })?;
+        rx.await.map_err(|_| ClaimLedgerError::Ended { slot })
     }
 
-    async fn actor(&self, slot: u32) -> Result<ActorRef<SlotMessage>, ClaimDeskError> {
+    async fn actor(&self, slot: u32) -> Result<ActorRef<SlotMessage>, ClaimLedgerError> {
         let mut slots = self.slots.lock().await;
         if let Some(actor) = slots.get(&slot) {
             return Ok(actor.clone());
@@ -94,7 +94,7 @@
             slot,
             store: self.store.clone(),
             timer: self.timer.clone(),
-            give_up: self.settings.give_up,
+            claim_timeout: self.settings.claim_timeout,
             reply_ports: FxHashMap::default(),
             next_ticket: 0,
         };
@@ -125,7 +125,7 @@
     slot: u32,
     store: S,
     timer: Timer,
-    give_up: Duration,
+    claim_timeout: Duration,
     reply_ports: FxHashMap<Ticket, RpcReplyPort<Verdict>>,
     next_ticket: u64,
 }
@@ -159,7 +159,7 @@
                 state.next_ticket += 1;
                 let ticket = Ticket(state.next_ticket);
                 state.reply_ports.insert(ticket, reply);
-                SlotEvent::Claim { ticket, claim, give_up_at: now + state.give_up }
+                SlotEvent::Claim { ticket, claim, deadline: now + state.claim_timeout }
             }
         };
         let mut actions = Vec::new();
@@ -194,7 +194,7 @@
     }
 
     fn schedule_tick(&self, actor: &ActorRef<SlotMessage>) {
-        let Some(at) = self.core.wants_tick_at() else { return };
+        let Some(at) = self.core.next_tick_at() else { return };
         let delay = (at - self.timer.now()).max(MIN_TICK_DELAY);
         let wait = self.timer.after(delay);
         let actor = actor.clone();
@@ -233,7 +233,7 @@
             SlotAction::SwapHead { expected, head } => {
                 Some(SlotEvent::HeadSwapped(self.swap(&head_key, expected, &head).await))
             }
-            SlotAction::DropSegment(number) => {
+            SlotAction::DeleteSegment(number) => {
                 self.delete_segment(&segment_key(number)).await;
                 None
             }
--- a/crates/quincevalve_ledger/src/lib.rs
+++ b/crates/quincevalve_ledger/src/lib.rs
@@ -13,7 +13,7 @@
 
 pub use crate::{
     claim::{Claim, ClaimKey, Ticket, Verdict},
-    claim_ledger::{ClaimDesk, ClaimDeskError, DeskSettings},
+    claim_ledger::{ClaimLedger, ClaimLedgerError, ClaimLedgerSettings},
     format::{Entry, Head, Segment},
     slot::{ReadOutcome, Slot, SlotAction, SlotEvent, SlotSettings, SwapOutcome},
 };
--- a/crates/quincevalve_ledger/src/slot.rs
+++ b/crates/quincevalve_ledger/src/slot.rs
@@ -16,11 +16,11 @@
 pub struct SlotSettings {
     /// Minimum time between two writes. Limits the load on the store, and gives a VM that takes over a slot from a
     /// busy VM enough time to read and swap.
-    pub pace: Duration,
+    pub write_interval: Duration,
     /// Number of claims in the head from which they are sealed into a segment.
     pub segment_entries: usize,
     /// Maximum number of claims in one write.
-    pub batch: usize,
+    pub max_batch_claims: usize,
     /// Retention time of a claim, in seconds.
     pub retention_s: u64,
 }
@@ -28,9 +28,9 @@
 impl Default for SlotSettings {
     fn default() -> Self {
         Self {
-            pace: Duration::from_millis(200),
+            write_interval: Duration::from_millis(200),
             segment_entries: 256,
-            batch: 512,
+            max_batch_claims: 512,
             retention_s: 3_600,
         }
     }
@@ -61,14 +61,14 @@
 /// An input of the slot's core.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SlotEvent {
-    /// A claim arrives. It is answered by `give_up_at` at the latest.
+    /// A claim arrives. It is answered by `deadline` at the latest.
     Claim {
         /// The number of the claim.
         ticket: Ticket,
         /// The claim.
         claim: Claim,
         /// Time by which the claim is answered.
-        give_up_at: TimePoint,
+        deadline: TimePoint,
     },
     /// [`SlotAction::ReadHead`] has completed.
     HeadRead(ReadOutcome<(KeyVersion, Head)>),
@@ -78,7 +78,7 @@
     SegmentWritten(SwapOutcome),
     /// [`SlotAction::SwapHead`] has completed.
     HeadSwapped(SwapOutcome),
-    /// Time has skipped.
+    /// Time has passed.
     Tick,
 }
 
@@ -102,7 +102,7 @@
         head: Head,
     },
     /// Delete a segment that the head no longer lists. The outcome isn't reported back.
-    DropSegment(u64),
+    DeleteSegment(u64),
     /// Answer a claim.
     Answer(Ticket, Verdict),
 }
@@ -111,7 +111,7 @@
 struct Pending {
     ticket: Ticket,
     claim: Claim,
-    give_up_at: TimePoint,
+    deadline: TimePoint,
 }
 
 #[derive(Clone, Debug)]
@@ -173,8 +173,8 @@
     /// Processes an event and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: TimePoint, event: SlotEvent, actions: &mut Vec<SlotAction>) {
         match event {
-            SlotEvent::Claim { ticket, claim, give_up_at } => {
-                self.pending.push_back(Pending { ticket, claim, give_up_at });
+            SlotEvent::Claim { ticket, claim, deadline } => {
+                self.pending.push_back(Pending { ticket, claim, deadline });
             }
             SlotEvent::HeadRead(outcome) => self.head_read(now, outcome, actions),
             SlotEvent::SegmentRead(number, outcome) => {
@@ -189,8 +189,8 @@
     }
 
     /// Returns when the slot needs a [`SlotEvent::Tick`].
-    pub fn wants_tick_at(&self) -> Option<TimePoint> {
-        let deadline = self.pending.iter().map(|it| it.give_up_at).min()?;
+    pub fn next_tick_at(&self) -> Option<TimePoint> {
+        let deadline = self.pending.iter().map(|it| it.deadline).min()?;
         Some(match self.phase {
             Phase::Ready { .. } | Phase::Unread => deadline.min(self.next_write_at),
             _ => deadline,
@@ -260,7 +260,7 @@
         for pending in &self.pending {
             // Of several claims of one key, only the first is written; the others are answered from it.
             let is_new = batch.insert(pending.claim.key);
-            if is_new && batch.len() <= self.settings.batch {
+            if is_new && batch.len() <= self.settings.max_batch_claims {
                 head.open.push(Entry::from(&pending.claim));
             }
         }
@@ -305,7 +305,7 @@
         self.known_claims.retain(|_, it| it.at >= retention_cutoff);
         for number in skipped {
             self.newest_claim_at.remove(number);
-            actions.push(SlotAction::DropSegment(*number));
+            actions.push(SlotAction::DeleteSegment(*number));
         }
     }
 
@@ -322,7 +322,7 @@
             // During an outage, the store isn't called more often than at other times.
             ReadOutcome::Failed => {
                 self.phase = Phase::Unread;
-                self.next_write_at = now + self.settings.pace;
+                self.next_write_at = now + self.settings.write_interval;
             }
             ReadOutcome::Found(found) => {
                 let (version, head) = found.unwrap_or((KeyVersion::ABSENT, Head::default()));
@@ -396,10 +396,10 @@
                 self.compare_sealed(version, number, &segment, actions);
             }
             (Phase::ReadingSegments { .. }, _) => {
-                self.next_write_at = now + self.settings.pace;
+                self.next_write_at = now + self.settings.write_interval;
             }
             (Phase::CheckingSeal { number: sealed, .. }, _) if sealed == number => {
-                self.next_write_at = now + self.settings.pace;
+                self.next_write_at = now + self.settings.write_interval;
             }
             // A read that was started in an earlier phase, which ended because of a failure.
             (phase, _) => self.phase = phase,
@@ -459,7 +459,7 @@
                 actions.push(SlotAction::ReadSegment(number));
             }
             SwapOutcome::NotWritten | SwapOutcome::Unknown => {
-                self.next_write_at = now + self.settings.pace;
+                self.next_write_at = now + self.settings.write_interval;
                 self.phase = Phase::Unread;
             }
         }
@@ -476,14 +476,14 @@
             self.phase = phase;
             return;
         };
-        self.next_write_at = now + self.settings.pace;
+        self.next_write_at = now + self.settings.write_interval;
         match outcome {
             SwapOutcome::Written(version) => {
                 self.delete_segments(&head, &dropped, actions);
                 self.become_ready(version, head, actions);
             }
             // Another writer's claims must be read before anything is granted. The read starts immediately: a VM
-            // that waited for `pace` each time could lose every swap to a busy writer.
+            // that waited for `write_interval` each time could lose every swap to a busy writer.
             SwapOutcome::Conflict | SwapOutcome::Unknown => {
                 self.discard_head();
                 self.phase = Phase::ReadingHead;
@@ -506,7 +506,7 @@
     /// Answers pending claims past their deadline as unsettled.
     fn expire_claims(&mut self, now: TimePoint, actions: &mut Vec<SlotAction>) {
         self.pending.retain(|it| {
-            let keep = it.give_up_at > now;
+            let keep = it.deadline > now;
             if !keep {
                 actions.push(SlotAction::Answer(it.ticket, Verdict::Unsettled));
             }
--- a/crates/quincevalve_ledger/tests/interleavings.rs
+++ b/crates/quincevalve_ledger/tests/interleavings.rs
@@ -62,9 +62,9 @@
 
 fn settings() -> SlotSettings {
     SlotSettings {
-        pace: Duration::from_millis(5),
+        write_interval: Duration::from_millis(5),
         segment_entries: 4,
-        batch: 3,
+        max_batch_claims: 3,
         retention_s: 1_000_000,
     }
 }
@@ -116,8 +116,8 @@
             at: u64::from(self.submitted),
         };
         self.claims.insert((vm, ticket), claim);
-        let give_up_at = self.now + Duration::from_millis(self.rng.random_range(5..200));
-        self.deliver(vm, SlotEvent::Claim { ticket, claim, give_up_at });
+        let deadline = self.now + Duration::from_millis(self.rng.random_range(5..200));
+        self.deliver(vm, SlotEvent::Claim { ticket, claim, deadline });
     }
 
     fn deliver(&mut self, vm: usize, event: SlotEvent) {
@@ -163,7 +163,7 @@
                 SlotEvent::SegmentWritten(self.write_with_faults(&action))
             }
             SlotAction::SwapHead { .. } => SlotEvent::HeadSwapped(self.write_with_faults(&action)),
-            SlotAction::DropSegment(number) => {
+            SlotAction::DeleteSegment(number) => {
                 let key = format!("segment-{number}");
                 if let Some(found) = self.store.get(&key) {
                     let _ = self.store.delete(&key, found.version);
--- a/crates/quincevalve_measure/src/arena.rs
+++ b/crates/quincevalve_measure/src/arena.rs
@@ -3,7 +3,9 @@
 use std::{cmp::Reverse, collections::BinaryHeap, time::Duration};
 
 use quincevalve_names::{RequestId, Sequence, TimePoint};
-use quincevalve_recovery::{Costs, Way, WayOptions, choose_way, move_time};
+use quincevalve_recovery::{
+    Continuation, ContinuationOptions, MigrationCosts, choose_continuation, migration_time,
+};
 use quincevalve_routing::{
     Ask, LeavingEvidence, LoadReport, NoServer, Policy, Router, ServerIndex, ServerSpec, Target,
     Urgency,
@@ -389,26 +391,26 @@
         let facts = self.kind(flight.question);
         let asked = &self.questions[flight.question];
         let holder = self.routers[flight.router].prefix_holder(now, asked.prefix);
-        let options = WayOptions {
+        let options = ContinuationOptions {
             server_answers: left.is_some(),
-            server_left: left,
+            time_until_shutdown: left,
             prefix_held: holder.is_some(),
             prompt_tokens: facts.prefix_tokens + facts.own_tokens,
             answer_tokens: flight.tokens,
-            move_ahead_tokens: ahead,
+            queued_migration_tokens: ahead,
             remaining_tokens: facts.answer_tokens * 3 / 2 - flight.tokens.min(facts.answer_tokens),
             token_time: self.setup.speed.token_time,
         };
-        let way = choose_way(&options, &Costs::default());
+        let way = choose_continuation(&options, &MigrationCosts::default());
         let context = options.prompt_tokens + flight.tokens;
         match way {
-            Way::Finish | Way::Resume => return 0,
-            Way::MoveCache => {
-                let arrives = now + move_time(&options, &Costs::default());
+            Continuation::Finish | Continuation::Resume => return 0,
+            Continuation::MigrateCache => {
+                let arrives = now + migration_time(&options, &MigrationCosts::default());
                 self.queue.push(Reverse((arrives, Event::Moved(flight.question))));
                 return context;
             }
-            Way::PrefixHolder | Way::Rebuild => self.go_on(now, id, 0),
+            Continuation::PrefixHolder | Continuation::Recompute => self.go_on(now, id, 0),
         }
         0
     }
--- a/crates/quincevalve_measure/src/experiments/ledger.rs
+++ b/crates/quincevalve_measure/src/experiments/ledger.rs
@@ -92,9 +92,9 @@
             match self.happenings.remove(&id) {
                 Some(Happening::Claim(at)) => {
                     let claim = claims[at].1;
-                    let give_up_at = now + Duration::from_secs(10);
+                    let deadline = now + Duration::from_secs(10);
                     let ticket = Ticket(at as u64);
-                    let event = SlotEvent::Claim { ticket, claim, give_up_at };
+                    let event = SlotEvent::Claim { ticket, claim, deadline };
                     self.handle(now, slot_of(&claim), event);
                 }
                 Some(Happening::Landed(slot, action)) => self.land(now, slot, &action),
@@ -115,7 +115,7 @@
                 action => self.push(now + CALL / 2, Happening::Landed(slot, action)),
             }
         }
-        if let Some(at) = self.slots[slot as usize].wants_tick_at() {
+        if let Some(at) = self.slots[slot as usize].next_tick_at() {
             self.push(at.max(now + Duration::from_micros(1)), Happening::Tick(slot));
         }
     }
@@ -152,7 +152,7 @@
                 self.bytes += value.len() as u64;
                 SlotEvent::HeadSwapped(written(self.store.swap(&head, *expected, &value)))
             }
-            SlotAction::DropSegment(_) | SlotAction::Answer(..) => return,
+            SlotAction::DeleteSegment(_) | SlotAction::Answer(..) => return,
         };
         self.push(now + CALL / 2, Happening::Answered(slot, event));
     }
@@ -217,7 +217,8 @@
 }
 
 fn group_commit(claims: &[(TimePoint, Claim)], pace_ms: u64) -> Desk {
-    let settings = SlotSettings { pace: Duration::from_millis(pace_ms), ..SlotSettings::default() };
+    let settings =
+        SlotSettings { write_interval: Duration::from_millis(pace_ms), ..SlotSettings::default() };
     let slots = (0..SLOTS).map(|_| Slot::new(settings, "owner")).collect();
     let keys = (0..SLOTS).map(|it| format!("slot-{it}")).collect();
     let mut desk = Desk::new(slots, keys);
--- a/crates/quincevalve_measure/src/experiments/slopes.rs
+++ b/crates/quincevalve_measure/src/experiments/slopes.rs
@@ -172,7 +172,7 @@
 
 /// A slot that has granted so many claims.
 fn ledger(claims: u32) -> Slot {
-    let settings = SlotSettings { pace: Duration::ZERO, ..SlotSettings::default() };
+    let settings = SlotSettings { write_interval: Duration::ZERO, ..SlotSettings::default() };
     let mut slot = Slot::new(settings, "owner");
     let mut version = 0;
     for number in 0..claims {
@@ -183,9 +183,9 @@
             at: 1,
         };
         let now = TimePoint(u64::from(number) + 1);
-        let give_up_at = TimePoint(u64::MAX);
+        let deadline = TimePoint(u64::MAX);
         let mut actions = Vec::new();
-        let event = SlotEvent::Claim { ticket: Ticket(u64::from(number)), claim, give_up_at };
+        let event = SlotEvent::Claim { ticket: Ticket(u64::from(number)), claim, deadline };
         slot.handle(now, event, &mut actions);
         while let Some(action) = actions.pop() {
             version += 1;
--- a/crates/quincevalve_measure/src/fleet.rs
+++ b/crates/quincevalve_measure/src/fleet.rs
@@ -416,7 +416,7 @@
             return;
         }
         let (now, address) = (self.now, self.address(peer));
-        let actions = self.nodes[node].distribution.hear(now, address, revision);
+        let actions = self.nodes[node].distribution.handle_announcement(now, address, revision);
         self.distribute(node, actions);
     }
 
--- a/crates/quincevalve_membership/src/membership.rs
+++ b/crates/quincevalve_membership/src/membership.rs
@@ -21,15 +21,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MembershipSettings {
     /// Interval between two rounds of probes.
-    pub period: Duration,
+    pub probe_interval: Duration,
     /// Number of peers of the own data centre that are probed in a round.
     pub probes: usize,
     /// Maximum number of updates in one message, without reminders.
-    pub news: usize,
+    pub max_updates: usize,
     /// Time that a suspect has to refute the suspicion before it is considered dead.
-    pub suspicion: Duration,
+    pub suspicion_timeout: Duration,
     /// Time for which dead members are remembered, so that old updates can't make them alive again.
-    pub burial: Duration,
+    pub dead_retention: Duration,
     /// Number of members of a data centre that exchange summaries with other data centres.
     pub delegates: usize,
     /// Maximum number of contacts in a summary.
@@ -39,11 +39,11 @@
 impl Default for MembershipSettings {
     fn default() -> Self {
         Self {
-            period: Duration::from_secs(1),
+            probe_interval: Duration::from_secs(1),
             probes: 2,
-            news: 8,
-            suspicion: Duration::from_secs(3),
-            burial: Duration::from_secs(120),
+            max_updates: 8,
+            suspicion_timeout: Duration::from_secs(3),
+            dead_retention: Duration::from_secs(120),
             delegates: 2,
             contacts: 4,
         }
@@ -201,10 +201,11 @@
 
     /// Declares suspects dead whose timeout has passed, and removes members that were dead for long enough.
     fn expire_members(&mut self, now: TimePoint) {
-        let MembershipSettings { suspicion, burial, .. } = self.settings;
+        let MembershipSettings { suspicion_timeout, dead_retention, .. } = self.settings;
         let mut dead = Vec::new();
         for known in self.others.values_mut() {
-            if known.member.state == MemberState::Suspect && now - known.since >= suspicion {
+            if known.member.state == MemberState::Suspect && now - known.since >= suspicion_timeout
+            {
                 known.member.state = MemberState::Dead;
                 known.since = now;
                 dead.push(known.member.name.clone());
@@ -213,7 +214,9 @@
         for name in &dead {
             self.update_queue.push(name);
         }
-        self.others.retain(|_, it| it.member.state != MemberState::Dead || now - it.since < burial);
+        self.others.retain(|_, it| {
+            it.member.state != MemberState::Dead || now - it.since < dead_retention
+        });
     }
 
     /// Returns the next member to probe.
@@ -270,7 +273,7 @@
     }
 
     fn message(&mut self) -> Message {
-        let mut names = self.update_queue.take(self.settings.news, self.others.len() + 1);
+        let mut names = self.update_queue.take(self.settings.max_updates, self.others.len() + 1);
         self.add_reminders(&mut names);
         let updates = names.iter().filter_map(|it| self.others.get(it)).map(|it| it.member.clone());
         let updates = updates.collect();
--- a/crates/quincevalve_recovery/src/continuation.rs
+++ b/crates/quincevalve_recovery/src/continuation.rs
@@ -4,34 +4,34 @@
 
 /// A way to continue an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Way {
+pub enum Continuation {
     /// Let the server complete the answer before it shuts down.
     Finish,
     /// Resume the answer at the same server on a new connection.
     Resume,
     /// Migrate the KV cache to another server and continue there.
-    MoveCache,
+    MigrateCache,
     /// Continue at a server that holds the prompt's prefix in its cache.
     PrefixHolder,
     /// Recompute the prompt and the answer so far at any server.
-    Rebuild,
+    Recompute,
 }
 
 /// The inputs of the choice for one answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct WayOptions {
+pub struct ContinuationOptions {
     /// Whether the server still responds.
     pub server_answers: bool,
     /// Time until the server shuts down; `None` if no shutdown is announced.
-    pub server_left: Option<Duration>,
+    pub time_until_shutdown: Option<Duration>,
     /// Whether another server is expected to hold the prefix.
     pub prefix_held: bool,
     /// Number of tokens in the prompt.
     pub prompt_tokens: u32,
     /// Number of tokens in the answer so far.
     pub answer_tokens: u32,
-    /// Number of context_tokens tokens of other answers whose KV cache is migrated before this one.
-    pub move_ahead_tokens: u32,
+    /// Number of context tokens of other answers whose KV cache is migrated before this one.
+    pub queued_migration_tokens: u32,
     /// Maximum number of tokens still to be generated.
     pub remaining_tokens: u32,
     /// Time between two generated tokens.
@@ -40,21 +40,21 @@
 
 /// Parameters of the predicted migration time.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Costs {
-    /// Number of context_tokens tokens whose KV cache is migrated per second.
-    pub move_tokens_per_s: f64,
+pub struct MigrationCosts {
+    /// Number of context tokens whose KV cache is migrated per second.
+    pub tokens_per_s: f64,
     /// Fixed time per migration.
-    pub move_fixed: Duration,
+    pub fixed_overhead: Duration,
     /// Time before the shutdown that is left unused, to allow for prediction errors.
     pub margin: Duration,
 }
 
-impl Default for Costs {
+impl Default for MigrationCosts {
     fn default() -> Self {
         Self {
             // 320 KB per token (80 layers, 8 heads of dimension 128 for keys and values, 2 bytes each) at 10 GB/s.
-            move_tokens_per_s: 30_000.0,
-            move_fixed: Duration::from_millis(20),
+            tokens_per_s: 30_000.0,
+            fixed_overhead: Duration::from_millis(20),
             margin: Duration::from_millis(100),
         }
     }
@@ -66,38 +66,38 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use quincevalve_recovery::{Costs, Way, WayOptions, choose_way};
+/// use quincevalve_recovery::{Continuation, ContinuationOptions, MigrationCosts, choose_continuation};
 ///
-/// let options = WayOptions {
+/// let options = ContinuationOptions {
 ///     server_answers: true,
-///     server_left: Some(Duration::from_secs(2)),
+///     time_until_shutdown: Some(Duration::from_secs(2)),
 ///     prefix_held: true,
 ///     prompt_tokens: 6_000,
 ///     answer_tokens: 900,
-///     move_ahead_tokens: 0,
+///     queued_migration_tokens: 0,
 ///     remaining_tokens: 2_000,
 ///     token_time: Duration::from_millis(30),
 /// };
-/// assert_eq!(choose_way(&options, &Costs::default()), Way::MoveCache);
+/// assert_eq!(choose_continuation(&options, &MigrationCosts::default()), Continuation::MigrateCache);
 /// ```
-pub fn choose_way(options: &WayOptions, costs: &Costs) -> Way {
+pub fn choose_continuation(options: &ContinuationOptions, costs: &MigrationCosts) -> Continuation {
     if options.server_answers {
-        let Some(remaining) = options.server_left else { return Way::Resume };
+        let Some(remaining) = options.time_until_shutdown else { return Continuation::Resume };
         let usable_time = remaining.saturating_sub(costs.margin);
         if options.token_time * options.remaining_tokens <= usable_time {
-            return Way::Finish;
+            return Continuation::Finish;
         }
-        if move_time(options, costs) <= usable_time {
-            return Way::MoveCache;
+        if migration_time(options, costs) <= usable_time {
+            return Continuation::MigrateCache;
         }
     }
-    if options.prefix_held { Way::PrefixHolder } else { Way::Rebuild }
+    if options.prefix_held { Continuation::PrefixHolder } else { Continuation::Recompute }
 }
 
 /// Predicts the time to migrate the KV cache of the prompt and the answer so far, including the caches that are
 /// migrated before it.
-pub fn move_time(options: &WayOptions, costs: &Costs) -> Duration {
+pub fn migration_time(options: &ContinuationOptions, costs: &MigrationCosts) -> Duration {
     let own_tokens = options.prompt_tokens + options.answer_tokens;
-    let context_tokens = f64::from(options.move_ahead_tokens + own_tokens);
-    costs.move_fixed + Duration::from_secs_f64(context_tokens / costs.move_tokens_per_s)
+    let context_tokens = f64::from(options.queued_migration_tokens + own_tokens);
+    costs.fixed_overhead + Duration::from_secs_f64(context_tokens / costs.tokens_per_s)
 }
--- a/crates/quincevalve_recovery/src/hand_over.rs
+++ b/crates/quincevalve_recovery/src/hand_over.rs
@@ -93,7 +93,7 @@
     }
 
     /// Processes the outcome of the last send and returns the next action.
-    pub fn sent(&mut self, outcome: SendOutcome) -> HandOverAction {
+    pub fn handle_send_outcome(&mut self, outcome: SendOutcome) -> HandOverAction {
         match outcome {
             SendOutcome::Taken => {
                 HandOverAction::Done { by: self.targets[self.target_index].clone() }
--- a/crates/quincevalve_recovery/src/lib.rs
+++ b/crates/quincevalve_recovery/src/lib.rs
@@ -6,7 +6,9 @@
 mod relay;
 
 pub use crate::{
-    continuation::{Costs, Way, WayOptions, choose_way, move_time},
+    continuation::{
+        Continuation, ContinuationOptions, MigrationCosts, choose_continuation, migration_time,
+    },
     hand_over::{
         HandOverAction, HandOverId, HandOverReceiver, HandOverSender, ReceiverVerdict, SendOutcome,
     },
--- a/crates/quincevalve_recovery/src/record.rs
+++ b/crates/quincevalve_recovery/src/record.rs
@@ -114,7 +114,7 @@
     ///
     /// A non-idempotent call that was sent may have run; a retry could run it twice. A model engine keeps a generation
     /// under the request's id, so continuing it there isn't a second run.
-    pub fn may_go_on(&self) -> bool {
+    pub fn may_resume(&self) -> bool {
         match (&self.state, &self.work) {
             (RecordState::Waiting, _) | (RecordState::Dispatched { .. }, Work::Generate(_)) => true,
             (RecordState::Dispatched { .. }, Work::Call(_)) => {
--- a/crates/quincevalve_recovery/src/relay.rs
+++ b/crates/quincevalve_recovery/src/relay.rs
@@ -120,7 +120,7 @@
     }
 
     /// Returns whether the end was confirmed and every token was forwarded.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.confirmed == Some(self.next.0)
     }
 
--- a/crates/quincevalve_recovery/tests/hand_over.rs
+++ b/crates/quincevalve_recovery/tests/hand_over.rs
@@ -68,7 +68,7 @@
                 (_, ReceiverVerdict::Take | ReceiverVerdict::TakenBefore) => SendOutcome::Taken,
             }
         };
-        action = core.sent(outcome);
+        action = core.handle_send_outcome(outcome);
     }
     let kept = usize::from(action == HandOverAction::Keep);
     Outcome { dispatchers: acceptors.len() + kept, end: action }
--- a/crates/quincevalve_recovery/tests/relay.rs
+++ b/crates/quincevalve_recovery/tests/relay.rs
@@ -69,7 +69,7 @@
                 Arrival::Own(seq) => (id, *seq, text(*seq)),
                 Arrival::Foreign(seq) => (foreign, *seq, "foreign ".to_owned()),
             };
-            prop_assert!(!relay.is_whole());
+            prop_assert!(!relay.is_complete());
             if relay.token(id, Sequence(seq), &text) == Ok(RelayStep::Pass) {
                 forwarded += &text;
                 while let Some(held) = relay.next_held() {
@@ -78,7 +78,7 @@
             }
         }
         prop_assert_eq!(relay.end(id, tokens), Ok(()));
-        prop_assert!(relay.is_whole());
+        prop_assert!(relay.is_complete());
         prop_assert_eq!(forwarded, sort_and_dedup(&arrivals));
     }
 
@@ -93,6 +93,6 @@
             prop_assert_eq!(relay.token(id, Sequence(seq), "t"), Ok(RelayStep::Pass));
         }
         prop_assert!(relay.end(id, confirmed).is_err());
-        prop_assert!(!relay.is_whole());
+        prop_assert!(!relay.is_complete());
     }
 }
