--- a/crates/quincevalve_routing/src/ask.rs
+++ b/crates/quincevalve_routing/src/ask.rs
@@ -1,33 +1,33 @@
-//! What the router is asked.
+//! Input of a routing decision.
 
 use quincevalve_names::{DataCentreName, TimePoint};
 
 use crate::{PoolKey, ServerIndex};
 
-/// How a class of work trades time against cost.
+/// Latency class of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Urgency {
-    /// A caller waits for the first token.
+    /// A caller waits for the first token, so its latency matters.
     Interactive,
-    /// Only the end matters.
+    /// Only the completion time matters.
     Bulk,
 }
 
-/// One routing question. It borrows everything: asking allocates nothing.
+/// Input of one routing decision. All fields are borrowed or `Copy`, so building it allocates nothing.
 #[derive(Clone, Copy, Debug)]
 pub struct Ask<'a> {
-    /// The present.
+    /// Current time.
     pub now: TimePoint,
-    /// What is asked for.
+    /// Pool of servers that can process the request.
     pub pool: &'a PoolKey,
-    /// Where the asking entry VM stands.
+    /// Data centre of the entry VM that routes the request.
     pub data_centre: &'a DataCentreName,
-    /// A hash of the prompt's prefix: requests with equal hashes share cached state.
+    /// Hash of the prompt's prefix. Requests with equal hashes can share cached state.
     pub prefix: u64,
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub prompt_tokens: u32,
-    /// How urgent it is.
+    /// Latency class of the request.
     pub urgency: Urgency,
-    /// Servers that this request has tried already.
+    /// Servers that the request has already been sent to.
     pub tried: &'a [ServerIndex],
 }
--- a/crates/quincevalve_routing/src/cache_hints.rs
+++ b/crates/quincevalve_routing/src/cache_hints.rs
@@ -1,95 +1,110 @@
-//! Where a prompt prefix is believed to be cached.
+//! Hints about which servers probably cache a prompt prefix.
 
 use quincevalve_names::TimePoint;
 
 use crate::ServerIndex;
 
-/// Slots of the table; a power of two. At 40 bytes each the table is 2.5 MiB per router.
-const SLOTS: usize = 1 << 16;
+/// Number of table entries, a power of two. At 40 bytes each the table takes 2.5 MiB per router.
+const TABLE_SIZE: usize = 1 << 16;
 
 #[derive(Clone, Copy, Debug)]
 struct Hint {
     prefix: u64,
-    /// Where it is believed to be cached, the newest first.
-    servers: [ServerIndex; HOLDERS],
-    at_seconds: u32,
-    /// Uses, halved every [`HALF_LIFE_S`].
-    heat: f32,
+    /// Servers that probably cache the prefix, most recent first.
+    servers: [ServerIndex; MAX_SERVERS_PER_PREFIX],
+    /// Time of the last use.
+    last_used_seconds: u32,
+    /// Exponentially decayed number of uses, halved every [`HALF_LIFE_SECONDS`].
+    decayed_uses: f32,
 }
 
-/// Servers that are remembered for one prefix: a hot one is cached in many places.
-const HOLDERS: usize = 6;
-const NOBODY: ServerIndex = ServerIndex(u32::MAX);
-const EMPTY: Hint = Hint { prefix: 0, servers: [NOBODY; HOLDERS], at_seconds: 0, heat: 0.0 };
-const HALF_LIFE_S: f32 = 10.0;
+/// Maximum number of servers remembered per prefix. A frequently used prefix is cached on many servers.
+const MAX_SERVERS_PER_PREFIX: usize = 6;
+/// Marks an unused position in the list of servers.
+const NO_SERVER: ServerIndex = ServerIndex(u32::MAX);
+const EMPTY: Hint = Hint {
+    prefix: 0,
+    servers: [NO_SERVER; MAX_SERVERS_PER_PREFIX],
+    last_used_seconds: 0,
+    decayed_uses: 0.0,
+};
+/// Half-life of the use count, in seconds.
+const HALF_LIFE_SECONDS: f32 = 10.0;
 
-/// A bounded table of hints, newest wins.
+/// Fixed-size hash table of cache hints in which a newer prefix overwrites a colliding one.
 ///
-/// Cache events come late and with gaps, so a hint is never more than a bias: a wrong one costs a
-/// prefill. That is why losing hints to a collision is sound, and the table can have a fixed size.
+/// Cache events arrive late and incompletely, so hints only bias the choice: a wrong hint costs one prefill.
+/// Losing hints to collisions is therefore safe, and the table can have a fixed size.
 #[derive(Clone, Debug)]
 pub(crate) struct CacheHints {
-    slots: Vec<Hint>,
+    entries: Vec<Hint>,
 }
 
 impl Default for CacheHints {
     fn default() -> Self {
-        Self { slots: vec![EMPTY; SLOTS] }
+        Self { entries: vec![EMPTY; TABLE_SIZE] }
     }
 }
 
 impl CacheHints {
-    /// Notes that a server holds a prefix.
-    pub(crate) fn learn(&mut self, prefix: u64, server: ServerIndex) {
-        let slot = self.slot(prefix);
-        let held = slot.servers.iter().position(|it| *it == server).unwrap_or(HOLDERS - 1);
-        slot.servers[..=held].rotate_right(1);
-        slot.servers[0] = server;
+    /// Records that a server caches a prefix.
+    pub(crate) fn insert(&mut self, prefix: u64, server: ServerIndex) {
+        let entry = self.entry(prefix);
+        let position =
+            entry.servers.iter().position(|it| *it == server).unwrap_or(MAX_SERVERS_PER_PREFIX - 1);
+        entry.servers[..=position].rotate_right(1);
+        entry.servers[0] = server;
     }
 
-    /// Notes that a prefix was asked for.
-    pub(crate) fn used(&mut self, prefix: u64, now: TimePoint) {
-        let at_seconds = seconds(now);
-        let slot = self.slot(prefix);
-        let passed = at_seconds.saturating_sub(slot.at_seconds) as f32;
-        slot.heat = slot.heat * (-passed / HALF_LIFE_S).exp2() + 1.0;
-        slot.at_seconds = at_seconds;
+    /// Records the use of a prefix by a request.
+    pub(crate) fn record_use(&mut self, prefix: u64, now: TimePoint) {
+        let last_used_seconds = seconds(now);
+        let entry = self.entry(prefix);
+        let elapsed = last_used_seconds.saturating_sub(entry.last_used_seconds) as f32;
+        entry.decayed_uses = entry.decayed_uses * (-elapsed / HALF_LIFE_SECONDS).exp2() + 1.0;
+        entry.last_used_seconds = last_used_seconds;
     }
 
-    fn slot(&mut self, prefix: u64) -> &mut Hint {
-        let slot = &mut self.slots[slot_of(prefix)];
-        if slot.prefix != prefix {
-            *slot = Hint { prefix, ..EMPTY };
+    /// Returns the entry of a prefix, after replacing the entry of a colliding prefix.
+    fn entry(&mut self, prefix: u64) -> &mut Hint {
+        let entry = &mut self.entries[entry_index(prefix)];
+        if entry.prefix != prefix {
+            *entry = Hint { prefix, ..EMPTY };
         }
-        slot
+        entry
     }
 
-    pub(crate) fn forget(&mut self, prefix: u64, server: ServerIndex) {
-        let slot = &mut self.slots[slot_of(prefix)];
-        if slot.prefix == prefix
-            && let Some(held) = slot.servers.iter().position(|it| *it == server)
+    /// Records that a server no longer caches a prefix.
+    pub(crate) fn remove(&mut self, prefix: u64, server: ServerIndex) {
+        let entry = &mut self.entries[entry_index(prefix)];
+        if entry.prefix == prefix
+            && let Some(position) = entry.servers.iter().position(|it| *it == server)
         {
-            slot.servers[held..].rotate_left(1);
-            slot.servers[HOLDERS - 1] = NOBODY;
+            entry.servers[position..].rotate_left(1);
+            entry.servers[MAX_SERVERS_PER_PREFIX - 1] = NO_SERVER;
         }
     }
 
-    /// Where a prefix is believed to be cached, the newest first.
+    /// Returns the servers that probably cache a prefix, most recent first.
     pub(crate) fn holders(&self, prefix: u64) -> impl Iterator<Item = ServerIndex> {
-        let hint = &self.slots[slot_of(prefix)];
-        let known = if hint.prefix == prefix { &hint.servers[..] } else { &[] };
-        known.iter().copied().filter(|it| *it != NOBODY)
+        let hint = &self.entries[entry_index(prefix)];
+        let servers = if hint.prefix == prefix { &hint.servers[..] } else { &[] };
+        servers.iter().copied().filter(|it| *it != NO_SERVER)
     }
 
-    /// Uses of a prefix in a second, as this router sees them.
+    /// Returns the rate at which this router's requests use a prefix, per second.
     pub(crate) fn rate(&self, prefix: u64) -> f32 {
-        let hint = &self.slots[slot_of(prefix)];
-        if hint.prefix == prefix { hint.heat * std::f32::consts::LN_2 / HALF_LIFE_S } else { 0.0 }
+        let hint = &self.entries[entry_index(prefix)];
+        if hint.prefix == prefix {
+            hint.decayed_uses * std::f32::consts::LN_2 / HALF_LIFE_SECONDS
+        } else {
+            0.0
+        }
     }
 }
 
-fn slot_of(prefix: u64) -> usize {
-    (prefix.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 48) as usize & (SLOTS - 1)
+fn entry_index(prefix: u64) -> usize {
+    (prefix.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 48) as usize & (TABLE_SIZE - 1)
 }
 
 fn seconds(now: TimePoint) -> u32 {
--- a/crates/quincevalve_routing/src/leaving.rs
+++ b/crates/quincevalve_routing/src/leaving.rs
@@ -1,28 +1,28 @@
-//! Evidence that a backend server leaves, and why it is sticky.
+//! Evidence that a backend server is leaving, remembered per incarnation.
 
 use quincevalve_names::Incarnation;
 
-/// Where the evidence came from. Any one is enough.
+/// Source of the evidence that a server is leaving. Each one suffices on its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum LeavingEvidence {
-    /// The cloud's notice of a reclaim.
+    /// Reclaim notice from the cloud.
     Notice,
-    /// The platform's list of VMs.
+    /// The platform's VM list.
     VmList,
-    /// The server's own answer.
+    /// Response of the server itself.
     OwnAnswer,
 }
 
-/// Whether a server leaves, by incarnation.
+/// Tracks whether a server is leaving, by incarnation.
 ///
-/// Failure: the VM list lags, so after a notice it shows the server as live for seconds more. Symptom:
-/// without memory the server would be revived and get work that dies with it. Leaving is therefore
-/// remembered per incarnation, and only a higher incarnation (the VM was replaced) clears it; a stale
-/// list carries the old incarnation and can't.
+/// The VM list lags and shows a server as live for seconds after its reclaim notice. If that cleared the
+/// state, the server would get new requests and lose them when it stops. Leaving is therefore remembered per
+/// incarnation, and only a higher incarnation (the VM was replaced) clears it; a stale list carries the old
+/// incarnation and can't.
 ///
-/// Failure: a notice names no incarnation, and comes before any was known. Symptom: the first row of the
-/// list, stale as it is, has a "higher" one than none. The first incarnation that is heard of a leaving
-/// server is therefore taken for the one that leaves.
+/// A notice names no incarnation and may arrive before any is known. Any incarnation in a stale VM list would
+/// then compare as higher than none and clear the state. The first incarnation received for a leaving server
+/// is therefore treated as the one that is leaving.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Leaving {
     incarnation: Option<Incarnation>,
@@ -34,8 +34,8 @@
         self.evidence.is_some()
     }
 
-    /// Takes evidence; `None` stands for whichever incarnation there is now.
-    pub(crate) fn saw_leaving(
+    /// Records evidence that the server is leaving. `None` means the current incarnation.
+    pub(crate) fn record_leaving(
         &mut self,
         incarnation: Option<Incarnation>,
         evidence: LeavingEvidence,
@@ -47,7 +47,8 @@
         self.evidence.get_or_insert(evidence);
     }
 
-    pub(crate) fn saw_live(&mut self, incarnation: Incarnation) {
+    /// Records that an incarnation is live; clears the leaving state only if the incarnation is higher than known.
+    pub(crate) fn record_live(&mut self, incarnation: Incarnation) {
         match self.incarnation {
             None => self.incarnation = Some(incarnation),
             Some(known) if incarnation > known => {
@@ -65,17 +66,17 @@
     use super::*;
 
     #[derive(Clone, Copy, Debug)]
-    enum Heard {
+    enum Report {
         Notice,
         Leaving(u64),
         Live(u64),
     }
 
-    fn heard() -> impl Strategy<Value = Heard> {
+    fn report() -> impl Strategy<Value = Report> {
         prop_oneof![
-            Just(Heard::Notice),
-            (1..4_u64).prop_map(Heard::Leaving),
-            (1..4_u64).prop_map(Heard::Live),
+            Just(Report::Notice),
+            (1..4_u64).prop_map(Report::Leaving),
+            (1..4_u64).prop_map(Report::Live),
         ]
     }
 
@@ -86,25 +87,25 @@
             ..ProptestConfig::default()
         })]
 
-        // The caller sees requests fail on a server that was announced to go. A notice came, then the
-        // lagging list still called the same incarnation live. Nothing but a higher incarnation than any
-        // heard before may make the server take work again.
+        // Requests fail on a leaving server if the lagging VM list, which still shows the same incarnation as
+        // live after a reclaim notice, clears the leaving state. Only an incarnation higher than any received
+        // before may clear it.
         #[test]
-        fn only_a_higher_incarnation_revives(events in prop::collection::vec(heard(), 1..40)) {
+        fn only_a_higher_incarnation_clears_leaving(events in prop::collection::vec(report(), 1..40)) {
             let mut leaving = Leaving::default();
             let mut highest = None;
             for event in events {
                 let before = leaving.is_leaving();
                 match event {
-                    Heard::Notice => leaving.saw_leaving(None, LeavingEvidence::Notice),
-                    Heard::Leaving(it) => {
-                        leaving.saw_leaving(Some(Incarnation(it)), LeavingEvidence::VmList);
+                    Report::Notice => leaving.record_leaving(None, LeavingEvidence::Notice),
+                    Report::Leaving(it) => {
+                        leaving.record_leaving(Some(Incarnation(it)), LeavingEvidence::VmList);
                         highest = highest.max(Some(it));
                     }
-                    Heard::Live(it) => {
-                        leaving.saw_live(Incarnation(it));
-                        let revived = before && !leaving.is_leaving();
-                        prop_assert!(!revived || highest.is_some_and(|highest| it > highest));
+                    Report::Live(it) => {
+                        leaving.record_live(Incarnation(it));
+                        let cleared = before && !leaving.is_leaving();
+                        prop_assert!(!cleared || highest.is_some_and(|highest| it > highest));
                         highest = highest.max(Some(it));
                     }
                 }
@@ -113,12 +114,12 @@
     }
 
     #[test]
-    fn a_stale_first_row_of_the_list_does_not_revive() {
+    fn first_incarnation_after_a_notice_does_not_clear_leaving() {
         let mut leaving = Leaving::default();
-        leaving.saw_leaving(None, LeavingEvidence::Notice);
-        leaving.saw_live(Incarnation(1));
+        leaving.record_leaving(None, LeavingEvidence::Notice);
+        leaving.record_live(Incarnation(1));
         assert!(leaving.is_leaving());
-        leaving.saw_live(Incarnation(2));
+        leaving.record_live(Incarnation(2));
         assert!(!leaving.is_leaving());
     }
 }
--- a/crates/quincevalve_routing/src/lib.rs
+++ b/crates/quincevalve_routing/src/lib.rs
@@ -1,7 +1,7 @@
-//! The routing decision: which backend server gets a request.
+//! Request routing: selects the backend server that processes a request.
 //!
-//! The core has no I/O and no clock. It knows its own outstanding work exactly, and takes everything
-//! else (load reports, cache events) as hints that lag and have gaps.
+//! The router does no I/O and reads no clock. It knows its own outstanding work exactly. Load reports and
+//! cache events are hints that lag and may be incomplete.
 
 mod ask;
 mod cache_hints;
--- a/crates/quincevalve_routing/src/policy.rs
+++ b/crates/quincevalve_routing/src/policy.rs
@@ -1,10 +1,10 @@
-//! Policies: how one candidate is weighed against another.
+//! Routing policies, which assign a cost to each candidate server.
 
 use std::time::Duration;
 
 use crate::{Ask, server::Server};
 
-/// A candidate as a policy sees it.
+/// Server that a policy evaluates for one request.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate<'a> {
     server: &'a Server,
@@ -16,70 +16,74 @@
         Self { server, cached }
     }
 
-    /// This router's own requests on the server.
+    /// Returns the number of this router's outstanding requests on the server.
     pub fn outstanding(&self) -> u32 {
         self.server.outstanding
     }
 
-    /// Requests on the server by its own last report.
+    /// Returns the number of running requests from the server's last load report.
     pub fn reported(&self) -> u32 {
         self.server.report.running
     }
 
-    /// Whether the prompt's prefix is believed to be in the server's cache.
+    /// Returns whether the prompt's prefix is probably in the server's cache.
     pub const fn is_cached(&self) -> bool {
         self.cached
     }
 
-    /// The predicted time to the first token.
+    /// Predicts the time to first token.
     ///
-    /// Prompt tokens ahead and the own ones pass the prefill first; where every slot is taken, the
-    /// request waits in addition for its turn.
+    /// The queued prompt tokens and the request's own pass the prefill first. If all slots are in use, the
+    /// request also waits for a slot.
     pub fn predicted_first_token(&self, ask: &Ask<'_>) -> Duration {
         let spec = &self.server.spec;
-        let own = if self.cached { ask.prompt_tokens / 8 } else { ask.prompt_tokens };
-        let prefill = (f64::from(own) + self.server.queue()) / f64::from(spec.prefill_tokens_per_s);
+        let uncached_tokens = if self.cached { ask.prompt_tokens / 8 } else { ask.prompt_tokens };
+        let prefill = (f64::from(uncached_tokens) + self.server.estimated_queued_tokens())
+            / f64::from(spec.prefill_tokens_per_s);
         let slots = f64::from(spec.slots);
-        let turn = spec.token_time.as_secs_f64() * TURN_TOKENS / slots;
-        Duration::from_secs_f64(prefill + turn * expected_excess(self.server.load(), slots))
+        let slot_wait = spec.token_time.as_secs_f64() * REMAINING_OUTPUT_TOKENS / slots;
+        Duration::from_secs_f64(
+            prefill + slot_wait * expected_excess(self.server.estimated_requests(), slots),
+        )
     }
 
-    /// The share of the server's slots that are taken, above 1 where work waits.
+    /// Returns the estimated fraction of the server's slots in use; above 1 if requests wait.
     pub fn fill(&self) -> f64 {
-        self.server.fill()
+        self.server.utilization()
     }
 
-    /// Whether the cloud may take the server back.
+    /// Returns whether the cloud may reclaim the server.
     pub fn is_reclaimable(&self) -> bool {
         self.server.spec.reclaimable
     }
 }
 
-/// The expected number of requests above the slots, where the load is only known roughly: near the
-/// limit some moments are above it though the mean is below.
+/// Returns the expected number of requests in excess of the slots.
+///
+/// The load is only an estimate: near the limit it exceeds the slots some of the time even if its mean doesn't.
 fn expected_excess(load: f64, slots: f64) -> f64 {
     let spread = load.sqrt().max(1.0) / 2.0;
-    let over = (load + 1.0 - slots) / spread;
-    // A smooth maximum of zero and `over`.
-    spread * f64::midpoint(over, (over * over + 1.0).sqrt())
+    let excess_in_spreads = (load + 1.0 - slots) / spread;
+    // Smooth approximation of max(0, `excess_in_spreads`).
+    spread * f64::midpoint(excess_in_spreads, (excess_in_spreads * excess_in_spreads + 1.0).sqrt())
 }
 
-/// Tokens that a running answer is assumed to have left when its slot is waited for.
-const TURN_TOKENS: f64 = 64.0;
+/// Assumed number of remaining output tokens of a running response while another request waits for its slot.
+const REMAINING_OUTPUT_TOKENS: f64 = 64.0;
 
-/// A way to weigh candidates: the lowest cost wins.
+/// Assigns costs to candidates; the router chooses the lowest cost.
 pub trait Policy {
-    /// The cost of sending `ask` to `candidate`; comparable within one decision only.
+    /// Returns the cost of sending the request to `candidate`, comparable only within one decision.
     fn cost(&self, ask: &Ask<'_>, candidate: &Candidate<'_>) -> f64;
 
-    /// Whether the whole pool is looked at, and not just a few candidates.
+    /// Whether the policy evaluates the whole pool instead of a few candidates.
     const SCANS_ALL: bool;
 
-    /// Whether bulk work waits while servers are full.
+    /// Whether bulk requests wait while servers are highly utilized.
     const HOLDS_BULK: bool;
 }
 
-/// The lowest predicted time to the first token among a few candidates.
+/// Chooses the lowest predicted time to first token among a few candidates.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PredictedFirstToken;
 
@@ -89,22 +93,23 @@
 
     fn cost(&self, ask: &Ask<'_>, candidate: &Candidate<'_>) -> f64 {
         let predicted = candidate.predicted_first_token(ask).as_secs_f64();
-        // Long work is the costliest to lose, so among near equals it prefers a server that stays.
-        let risk = match ask.urgency {
-            crate::Urgency::Bulk if candidate.is_reclaimable() => BULK_RISK_SECONDS,
+        // Losing long-running work costs the most, so bulk requests prefer servers that can't be reclaimed
+        // if the predicted times are similar.
+        let reclaim_risk = match ask.urgency {
+            crate::Urgency::Bulk if candidate.is_reclaimable() => RECLAIM_RISK_SECONDS,
             _ => 0.0,
         };
-        predicted + risk + candidate.fill() * FILL_SECONDS
+        predicted + reclaim_risk + candidate.fill() * UTILIZATION_COST_SECONDS
     }
 }
 
-/// Seconds of waiting that a bulk request accepts to be on a server that isn't reclaimable.
-const BULK_RISK_SECONDS: f64 = 0.020;
+/// Additional wait, in seconds, that a bulk request accepts to avoid a reclaimable server.
+const RECLAIM_RISK_SECONDS: f64 = 0.020;
 
-/// Seconds that a full server costs beyond its queue: batching slows every answer on it.
-const FILL_SECONDS: f64 = 0.010;
+/// Cost of full utilization in seconds, in addition to the queue: batching slows down every response on the server.
+const UTILIZATION_COST_SECONDS: f64 = 0.010;
 
-/// The naive policy: the fewest own requests outstanding, over the whole pool.
+/// Baseline policy: chooses the fewest outstanding requests of this router over the whole pool.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LeastOutstanding;
 
--- a/crates/quincevalve_routing/src/router.rs
+++ b/crates/quincevalve_routing/src/router.rs
@@ -1,4 +1,4 @@
-//! The router: a table of servers, and the choice among them.
+//! The server table of the router and the selection of a server.
 
 use std::time::Duration;
 
@@ -16,22 +16,22 @@
     server::Server,
 };
 
-/// Candidates by rendezvous on the prefix: a first choice and where it overflows to.
-const AFFINE: usize = 2;
-/// Candidates at random: two are enough for an even spread, and differ between routers.
-const RANDOM: usize = 2;
+/// Number of candidates by rendezvous hashing on the prefix: a preferred server and one to overflow to.
+const AFFINITY_CANDIDATES: usize = 2;
+/// Number of random candidates. Two suffice for an even load, and they differ between routers.
+const RANDOM_CANDIDATES: usize = 2;
 
-/// Random numbers for one look at a pool.
-type Draws = [u32; RANDOM];
+/// Random numbers for one selection from a pool.
+type Draws = [u32; RANDOM_CANDIDATES];
 
 /// Settings of a router.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RouterSettings {
-    /// Fill above which bulk work waits instead of starting, so that interactive work finds a slot.
+    /// Utilization above which bulk requests wait, so that slots remain for interactive requests.
     pub bulk_fill: f64,
-    /// Fill of the cheapest local server above which other data centres are asked.
+    /// Utilization of the cheapest local server above which servers in other data centres are considered.
     pub spill_fill: f64,
-    /// How long a server is passed over after its first failure; doubles with each further one.
+    /// Duration of a server's ejection after its first failure; doubles with each consecutive failure.
     pub shun: Duration,
 }
 
@@ -41,30 +41,30 @@
     }
 }
 
-/// The decision.
+/// Result of a routing decision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Choice {
-    /// The server.
+    /// Selected server.
     pub server: ServerIndex,
-    /// The predicted time to the first token.
+    /// Predicted time to first token.
     pub first_token: Duration,
 }
 
-/// No server can take the request now.
+/// Reason why no server can take a request now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum NoServer {
-    /// The inventory has no server for it.
+    /// The inventory contains no server for the target.
     #[snafu(display("nothing in the inventory serves this"))]
     Unknown,
-    /// Bulk work has to wait: starting it now would keep interactive work waiting.
+    /// The bulk request has to wait, because starting it now would delay interactive requests.
     #[snafu(display("no server has room for bulk work now"))]
     Busy,
-    /// Every server leaves, failed just now, or was tried.
+    /// Every server is leaving, drained, ejected after a failure, or already tried.
     #[snafu(display("no server can take the request now"))]
     Unavailable,
 }
 
-/// The routing core of one entry VM.
+/// Router of one entry VM.
 ///
 /// # Examples
 ///
@@ -113,7 +113,7 @@
 where
     P: Policy,
 {
-    /// Makes a router without servers.
+    /// Creates a router without servers.
     pub fn new(policy: P, seed: u64) -> Self {
         Self {
             policy,
@@ -127,22 +127,23 @@
         }
     }
 
-    /// Sets how many routers send to the same servers, this one included.
+    /// Sets how many routers send to the same servers, including this one.
     ///
-    /// Reports lag by longer than most requests take, so in between the own outstanding work is the best
-    /// sample there is of what all routers have sent: each sends by the same rules.
+    /// Load reports lag by more than the duration of most requests. Since all routers apply the same rules,
+    /// this router's own traffic is the best available sample of what all of them have sent since the last
+    /// report.
     pub fn set_routers(&mut self, routers: u32) {
         self.routers = routers.max(1);
     }
 
-    /// Adds a server, or takes new facts about a known one. Its outstanding work is kept.
+    /// Adds a server, or updates the description of a known one and keeps its outstanding work.
     pub fn upsert(&mut self, spec: ServerSpec) -> ServerIndex {
         if let Some(index) = self.by_name.get(&spec.name).copied() {
             let server = &mut self.servers[index.0 as usize];
-            let moved =
+            let pool_changed =
                 server.spec.data_centre != spec.data_centre || server.spec.target != spec.target;
             server.spec = spec;
-            if moved {
+            if pool_changed {
                 self.rebuild_pools();
             }
             return index;
@@ -162,45 +163,45 @@
         }
     }
 
-    /// Chooses a server. Takes no note of it: call [`Router::sent`] when the request goes out.
+    /// Selects a server without recording the request; call [`Router::sent`] when the request is sent.
     pub fn choose(&mut self, ask: &Ask<'_>) -> Result<Choice, NoServer> {
         let draws = self.rng.random();
         let pool = self.pools.get(ask.pool).ok_or(NoServer::Unknown)?;
-        let local = pool.local(ask.data_centre);
-        let best = self.best_of(ask, local, draws);
+        let local = pool.servers_in(ask.data_centre);
+        let best = self.cheapest_candidate(ask, local, draws);
         if P::HOLDS_BULK && ask.urgency == Urgency::Bulk {
             return self.choose_bulk(ask, best, draws);
         }
         if let Some((index, _)) = best
-            && self.servers[index.0 as usize].fill() <= self.settings.spill_fill
+            && self.servers[index.0 as usize].utilization() <= self.settings.spill_fill
         {
             return Ok(self.choice(ask, index));
         }
         self.spill(ask, best).ok_or(NoServer::Unavailable)
     }
 
-    /// Bulk work starts only where enough slots stay free.
+    /// Selects a server for bulk work only if enough of its slots stay free.
     ///
-    /// Failure: long answers fill every slot. Symptom: an interactive request waits for seconds, and the
-    /// fleet has to be larger for it. Long work has time, so it waits for a server below the fill.
+    /// If long responses filled every slot, interactive requests would wait for seconds or the fleet would
+    /// have to be larger. Bulk work tolerates delay, so it waits for a server below the utilization limit.
     fn choose_bulk(
         &mut self,
         ask: &Ask<'_>,
         local: Option<(ServerIndex, f64)>,
         draws: Draws,
     ) -> Result<Choice, NoServer> {
-        let has_room =
-            |it: &ServerIndex| self.servers[it.0 as usize].fill() <= self.settings.bulk_fill;
-        if let Some((index, _)) = local.filter(|it| has_room(&it.0)) {
+        let is_below_limit =
+            |it: &ServerIndex| self.servers[it.0 as usize].utilization() <= self.settings.bulk_fill;
+        if let Some((index, _)) = local.filter(|it| is_below_limit(&it.0)) {
             return Ok(self.choice(ask, index));
         }
         let pool = self.pools.get(ask.pool).ok_or(NoServer::Unknown)?;
         let (before, after) = {
-            let all = pool.local(ask.data_centre);
-            all.split_at(scaled(draws[1], all.len()))
+            let all = pool.servers_in(ask.data_centre);
+            all.split_at(scale_to_index(draws[1], all.len()))
         };
         let anywhere = after.iter().chain(before).copied();
-        let found = anywhere.filter(|it| self.is_usable(ask, *it)).find(has_room);
+        let found = anywhere.filter(|it| self.is_usable(ask, *it)).find(is_below_limit);
         match (found, local) {
             (Some(index), _) => Ok(self.choice(ask, index)),
             (None, Some(_)) => Err(NoServer::Busy),
@@ -208,16 +209,16 @@
         }
     }
 
-    /// Looks in other data centres, and stays local unless one of them is cheaper.
+    /// Considers other data centres, and selects the local server unless a remote one is cheaper.
     fn spill(&mut self, ask: &Ask<'_>, local: Option<(ServerIndex, f64)>) -> Option<Choice> {
         let draws = self.rng.random();
         let pool = self.pools.get(ask.pool)?;
         let others = pool.data_centres().iter().filter(|it| *it != ask.data_centre);
         let remote = others
-            .filter_map(|it| self.best_of(ask, pool.local(it), draws))
+            .filter_map(|it| self.cheapest_candidate(ask, pool.servers_in(it), draws))
             .min_by(|left, right| left.1.total_cmp(&right.1));
         let (index, _) = match (local, remote) {
-            (Some(local), Some(remote)) if remote.1 + SPILL_SECONDS < local.1 => remote,
+            (Some(local), Some(remote)) if remote.1 + MIN_SPILL_GAIN_SECONDS < local.1 => remote,
             (Some(local), _) => local,
             (None, remote) => remote?,
         };
@@ -229,23 +230,23 @@
         Choice { server, first_token }
     }
 
-    fn best_of(
+    fn cheapest_candidate(
         &self,
         ask: &Ask<'_>,
         pool: &[ServerIndex],
         draws: Draws,
     ) -> Option<(ServerIndex, f64)> {
         if P::SCANS_ALL {
-            // Starts anywhere, so that many routers don't all give equal servers in the same order.
-            let (before, after) = pool.split_at(scaled(draws[0], pool.len()));
+            // Starts at a random position, so that routers don't all break ties in the same order.
+            let (before, after) = pool.split_at(scale_to_index(draws[0], pool.len()));
             let all = after.iter().chain(before).copied();
             return self.cheapest(ask, all.filter(|it| self.is_usable(ask, *it)));
         }
-        let affine = self.affine(ask, pool, draws[0]);
-        let random = draws.map(|it| self.draw(ask, pool, it));
-        let few = affine.into_iter().chain(random).flatten();
-        // Where draws hit only unusable servers, the pool is walked: a choice is never missed.
-        self.cheapest(ask, few).or_else(|| {
+        let affinity_candidates = self.affinity_candidates(ask, pool, draws[0]);
+        let random = draws.map(|it| self.random_candidate(ask, pool, it));
+        let sampled = affinity_candidates.into_iter().chain(random).flatten();
+        // If all sampled servers are unusable, scans the pool so that a usable server is always found.
+        self.cheapest(ask, sampled).or_else(|| {
             let usable = pool.iter().copied().filter(|it| self.is_usable(ask, *it));
             self.cheapest(ask, usable)
         })
@@ -261,46 +262,52 @@
             .min_by(|left, right| left.1.total_cmp(&right.1))
     }
 
-    /// Two of the servers that this prefix is kept on.
+    /// Returns two servers of the prefix's replica set.
     ///
-    /// A prefix is kept on as many servers as its traffic fills, each of them the rendezvous choice for
-    /// the prefix and a number below that count. Two numbers are drawn: their better server takes the
-    /// request, so a hot prefix spreads evenly over its servers.
-    fn affine(
+    /// A prefix is cached on as many servers as its traffic requires. Each replica number selects one server
+    /// by rendezvous hashing of the prefix and the number. Two numbers are drawn at random and the cheaper
+    /// server takes the request, so a frequently used prefix is spread evenly over its servers.
+    fn affinity_candidates(
         &self,
         ask: &Ask<'_>,
         pool: &[ServerIndex],
         draw: u32,
-    ) -> [Option<ServerIndex>; AFFINE] {
-        let spread = self.spread(ask, pool);
-        let first = scaled(draw, spread);
-        let second = (first + 1 + scaled(draw.rotate_left(16), spread - 1)) % spread;
-        [first, second].map(|it| self.keeper(ask, pool, it as u64))
+    ) -> [Option<ServerIndex>; AFFINITY_CANDIDATES] {
+        let replica_count = self.replica_count(ask, pool);
+        let first = scale_to_index(draw, replica_count);
+        let second =
+            (first + 1 + scale_to_index(draw.rotate_left(16), replica_count - 1)) % replica_count;
+        [first, second].map(|it| self.replica(ask, pool, it as u64))
     }
 
-    /// On how many servers a prefix is kept: what all routers have of it at once, by the own rate, over
-    /// half a server's slots.
-    fn spread(&self, ask: &Ask<'_>, pool: &[ServerIndex]) -> usize {
+    /// Returns the number of servers that cache a prefix: its estimated concurrent requests from all
+    /// routers, extrapolated from this router's own rate, divided by half of a server's slots.
+    fn replica_count(&self, ask: &Ask<'_>, pool: &[ServerIndex]) -> usize {
         let rate = f64::from(self.hints.rate(ask.prefix)) * f64::from(self.routers);
         let slots = pool.first().map_or(1, |it| self.servers[it.0 as usize].spec.slots);
-        let servers = rate * HOLD_SECONDS / (f64::from(slots) * KEPT_FILL);
-        (servers.ceil() as usize).clamp(AFFINE, pool.len().max(AFFINE))
+        let servers = rate * SLOT_SECONDS / (f64::from(slots) * MAX_PREFIX_UTILIZATION);
+        (servers.ceil() as usize).clamp(AFFINITY_CANDIDATES, pool.len().max(AFFINITY_CANDIDATES))
     }
 
-    fn keeper(&self, ask: &Ask<'_>, pool: &[ServerIndex], number: u64) -> Option<ServerIndex> {
+    fn replica(&self, ask: &Ask<'_>, pool: &[ServerIndex], number: u64) -> Option<ServerIndex> {
         let key = mix(ask.prefix, number);
         let scored = pool.iter().copied().filter(|it| self.is_usable(ask, *it));
         scored.max_by_key(|it| rendezvous_score(key, self.servers[it.0 as usize].hash))
     }
 
-    fn draw(&self, ask: &Ask<'_>, pool: &[ServerIndex], draw: u32) -> Option<ServerIndex> {
-        // An empty pool has no position 0.
-        let index = *pool.get(scaled(draw, pool.len()))?;
+    fn random_candidate(
+        &self,
+        ask: &Ask<'_>,
+        pool: &[ServerIndex],
+        draw: u32,
+    ) -> Option<ServerIndex> {
+        // An empty pool has no index 0.
+        let index = *pool.get(scale_to_index(draw, pool.len()))?;
         self.is_usable(ask, index).then_some(index)
     }
 
     fn is_usable(&self, ask: &Ask<'_>, index: ServerIndex) -> bool {
-        self.servers[index.0 as usize].takes_work(ask.now) && !ask.tried.contains(&index)
+        self.servers[index.0 as usize].accepts_requests(ask.now) && !ask.tried.contains(&index)
     }
 
     fn candidate(&self, ask: &Ask<'_>, index: ServerIndex) -> Candidate<'_> {
@@ -308,105 +315,105 @@
         Candidate::new(&self.servers[index.0 as usize], cached)
     }
 
-    /// Notes that a request went to `server`.
+    /// Records that a request was sent to `server`.
     pub fn sent(&mut self, now: TimePoint, server: ServerIndex, prefix: u64, prompt_tokens: u32) {
         let entry = &mut self.servers[server.0 as usize];
         entry.outstanding += 1;
         entry.outstanding_prompt += prompt_tokens;
-        self.hints.used(prefix, now);
-        self.hints.learn(prefix, server);
+        self.hints.record_use(prefix, now);
+        self.hints.insert(prefix, server);
     }
 
-    /// Notes that the prompt passed the prefill: the first token arrived, or the request ended first.
+    /// Records that the prompt left the prefill: the first token arrived, or the request ended before it.
     pub fn prompt_done(&mut self, server: ServerIndex, prompt_tokens: u32) {
         let entry = &mut self.servers[server.0 as usize];
         entry.outstanding_prompt = entry.outstanding_prompt.saturating_sub(prompt_tokens);
     }
 
-    /// Notes that a request left `server`, whatever its end.
+    /// Records that a request on `server` ended, with any result.
     pub fn done(&mut self, server: ServerIndex) {
         let entry = &mut self.servers[server.0 as usize];
         entry.outstanding = entry.outstanding.saturating_sub(1);
     }
 
-    /// Notes that a server answered well.
+    /// Records a successful response, which resets the server's consecutive failures.
     pub fn succeeded(&mut self, server: ServerIndex) {
         self.servers[server.0 as usize].failures = 0;
     }
 
-    /// Notes that a server failed: it is passed over for a time that doubles.
+    /// Records a failure and ejects the server for a time that doubles with each consecutive failure.
     pub fn failed(&mut self, now: TimePoint, server: ServerIndex) {
         let shun = self.settings.shun;
         let entry = &mut self.servers[server.0 as usize];
-        entry.shunned_until = now + shun * (1 << entry.failures.min(MAX_DOUBLINGS));
+        entry.ejected_until = now + shun * (1 << entry.failures.min(MAX_DOUBLINGS));
         entry.failures += 1;
     }
 
-    /// Takes a load report, unless a newer one is known.
+    /// Applies a load report unless a newer one has been received.
     pub fn reported(&mut self, server: ServerIndex, report: LoadReport) {
         let entry = &mut self.servers[server.0 as usize];
         if report.at >= entry.report.at {
-            entry.take_report(report);
+            entry.update_load(report);
         }
     }
 
-    /// Takes a cache event: `server` holds, or lost, the prefix.
+    /// Applies a cache event: `server` caches the prefix, or evicted it.
     pub fn cached(&mut self, server: ServerIndex, prefix: u64, holds: bool) {
         if holds {
-            self.hints.learn(prefix, server);
+            self.hints.insert(prefix, server);
         } else {
-            self.hints.forget(prefix, server);
+            self.hints.remove(prefix, server);
         }
     }
 
-    /// Takes evidence that a server leaves. From here on it gets nothing new.
+    /// Records evidence that a server is leaving. It gets no new requests from then on.
     ///
-    /// `None` stands for whichever incarnation there is now.
+    /// `None` means the current incarnation.
     pub fn leaving(
         &mut self,
         server: ServerIndex,
         incarnation: Option<Incarnation>,
         evidence: LeavingEvidence,
     ) {
-        self.servers[server.0 as usize].leaving.saw_leaving(incarnation, evidence);
+        self.servers[server.0 as usize].leaving.record_leaving(incarnation, evidence);
     }
 
-    /// Takes evidence that a server is live. Only a higher incarnation revives a leaving one.
+    /// Records that an incarnation of a server is live. Only a higher incarnation clears the leaving state.
     pub fn live(&mut self, server: ServerIndex, incarnation: Incarnation) {
-        self.servers[server.0 as usize].leaving.saw_live(incarnation);
+        self.servers[server.0 as usize].leaving.record_live(incarnation);
     }
 
-    /// Whether the server is known to leave.
+    /// Returns whether the server is known to be leaving.
     pub fn is_leaving(&self, server: ServerIndex) -> bool {
         self.servers[server.0 as usize].leaving.is_leaving()
     }
 
-    /// This router's own requests on a server.
+    /// Returns the number of this router's outstanding requests on a server.
     pub fn outstanding(&self, server: ServerIndex) -> u32 {
         self.servers[server.0 as usize].outstanding
     }
 
-    /// The server's name.
+    /// Returns the name of a server.
     pub fn name(&self, server: ServerIndex) -> &BackendServerName {
         &self.servers[server.0 as usize].spec.name
     }
 
-    /// What is known of the server from the inventory.
+    /// Returns the inventory's description of a server.
     pub fn spec(&self, server: ServerIndex) -> &ServerSpec {
         &self.servers[server.0 as usize].spec
     }
 
-    /// The server of that name.
+    /// Returns the server with the given name.
     pub fn find(&self, name: &BackendServerName) -> Option<ServerIndex> {
         self.by_name.get(name).copied()
     }
 
-    /// The believed holder of a prefix, where it can take work now.
+    /// Returns the server that most recently cached a prefix, among those that accept requests now.
     pub fn prefix_holder(&self, now: TimePoint, prefix: u64) -> Option<ServerIndex> {
-        self.hints.holders(prefix).find(|it| self.servers[it.0 as usize].takes_work(now))
+        self.hints.holders(prefix).find(|it| self.servers[it.0 as usize].accepts_requests(now))
     }
 
-    /// Slots of all servers of a target in a data centre that take work now.
+    /// Returns the total slots of a target's servers in a data centre that accept requests now.
     pub fn slots(
         &self,
         now: TimePoint,
@@ -414,33 +421,33 @@
         data_centre: &quincevalve_names::DataCentreName,
     ) -> u32 {
         let Some(pool) = self.pools.get(target) else { return 0 };
-        let usable = pool.local(data_centre).iter().map(|it| &self.servers[it.0 as usize]);
-        usable.filter(|it| it.takes_work(now)).map(|it| it.spec.slots).sum()
+        let usable = pool.servers_in(data_centre).iter().map(|it| &self.servers[it.0 as usize]);
+        usable.filter(|it| it.accepts_requests(now)).map(|it| it.spec.slots).sum()
     }
 
-    /// Servers known.
+    /// Returns the number of known servers.
     pub fn len(&self) -> usize {
         self.servers.len()
     }
 
-    /// Whether no server is known.
+    /// Returns whether no server is known.
     pub fn is_empty(&self) -> bool {
         self.servers.is_empty()
     }
 }
 
-/// Seconds that a request is assumed to hold a slot, for the spread of a prefix.
-const HOLD_SECONDS: f64 = 2.0;
-/// The part of a server's slots that one prefix may fill.
-const KEPT_FILL: f64 = 0.5;
+/// Assumed time that a request occupies a slot, in seconds, for sizing a prefix's replica set.
+const SLOT_SECONDS: f64 = 2.0;
+/// Fraction of a server's slots that one prefix may occupy.
+const MAX_PREFIX_UTILIZATION: f64 = 0.5;
 
-/// Scales a draw to a length.
-const fn scaled(draw: u32, length: usize) -> usize {
+/// Maps a random number to an index below `length`.
+const fn scale_to_index(draw: u32, length: usize) -> usize {
     ((draw as u64 * length as u64) >> u32::BITS) as usize
 }
 
-/// Seconds by which another data centre must be better before work leaves the own one.
-const SPILL_SECONDS: f64 = 0.005;
+/// Minimum cost advantage, in seconds, of a remote server over the best local one.
+const MIN_SPILL_GAIN_SECONDS: f64 = 0.005;
 
-/// A failing server is tried again after at most 2^6 times the first wait.
+/// The ejection of a failing server is limited to 2^6 times the first one.
 const MAX_DOUBLINGS: u32 = 6;
--- a/crates/quincevalve_routing/src/server.rs
+++ b/crates/quincevalve_routing/src/server.rs
@@ -1,4 +1,4 @@
-//! One backend server as the router sees it.
+//! State that the router keeps for each backend server.
 
 use std::time::Duration;
 
@@ -6,39 +6,39 @@
 
 use crate::{leaving::Leaving, pool::Target};
 
-/// The position of a server in the router's table; stable for the router's life.
+/// Index of a server in the router's table, stable for the lifetime of the router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ServerIndex(pub u32);
 
-/// What the inventory says of a server.
+/// Description of a server from the inventory.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerSpec {
-    /// Its name.
+    /// Name of the server.
     pub name: BackendServerName,
-    /// Where it stands.
+    /// Data centre that the server runs in.
     pub data_centre: DataCentreName,
-    /// What it serves.
+    /// Model or service that it serves.
     pub target: Target,
-    /// Requests that it runs at once.
+    /// Number of requests that it can run concurrently.
     pub slots: u32,
-    /// Prompt tokens that it processes in a second.
+    /// Prefill throughput, in prompt tokens per second.
     pub prefill_tokens_per_s: u32,
-    /// Time between two tokens of one answer.
+    /// Time between two output tokens of one response.
     pub token_time: Duration,
-    /// Whether the cloud may take it back.
+    /// Whether the cloud may reclaim the server.
     pub reclaimable: bool,
-    /// Whether operators took it out of service. Unlike other evidence this can be taken back.
+    /// Whether operators drain the server. Unlike evidence of leaving, this can be revoked.
     pub drained: bool,
 }
 
-/// A server's own report of its load. It lags.
+/// Load that a server reported about itself. Reports lag behind the actual load.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadReport {
-    /// When the server measured it.
+    /// Time at which the server measured the load.
     pub at: TimePoint,
-    /// Requests running.
+    /// Number of running requests.
     pub running: u32,
-    /// Prompt tokens waiting.
+    /// Number of prompt tokens waiting for prefill.
     pub queued_tokens: u32,
 }
 
@@ -50,10 +50,10 @@
     pub(crate) outstanding_prompt: u32,
     pub(crate) report: LoadReport,
     pub(crate) mean_running: f32,
-    pub(crate) mean_queue: f32,
+    pub(crate) mean_queued_tokens: f32,
     pub(crate) leaving: Leaving,
     pub(crate) failures: u32,
-    pub(crate) shunned_until: TimePoint,
+    pub(crate) ejected_until: TimePoint,
 }
 
 impl Server {
@@ -66,43 +66,45 @@
             outstanding_prompt: 0,
             report: LoadReport::default(),
             mean_running: 0.0,
-            mean_queue: 0.0,
+            mean_queued_tokens: 0.0,
             leaving: Leaving::default(),
             failures: 0,
-            shunned_until: TimePoint::ZERO,
+            ejected_until: TimePoint::ZERO,
         }
     }
 
-    /// Whether new work may go here.
-    pub(crate) fn takes_work(&self, now: TimePoint) -> bool {
-        !self.spec.drained && !self.leaving.is_leaving() && self.shunned_until <= now
+    /// Returns whether the server accepts new requests: not drained, not leaving and not ejected.
+    pub(crate) fn accepts_requests(&self, now: TimePoint) -> bool {
+        !self.spec.drained && !self.leaving.is_leaving() && self.ejected_until <= now
     }
 
-    /// Takes a report into the running means.
+    /// Updates the moving averages from a load report.
     ///
-    /// Failure: every router sends to whichever server the last report showed as idle, and a second
-    /// later that one is full (a herd). The mean over a few reports shows which servers are loaded for
-    /// good, long answers most of all, and is blind to what a report is too old to tell.
-    pub(crate) fn take_report(&mut self, report: LoadReport) {
+    /// If routers used only the last report, all of them would send to the server that it showed as idle,
+    /// and overload it within a second (herding). The average over a few reports shows sustained load, mostly
+    /// from long responses, and ignores short-term changes that a delayed report can't show accurately.
+    pub(crate) fn update_load(&mut self, report: LoadReport) {
         self.report = report;
         self.mean_running += REPORT_GAIN * (report.running as f32 - self.mean_running);
-        self.mean_queue += REPORT_GAIN * (report.queued_tokens as f32 - self.mean_queue);
+        self.mean_queued_tokens +=
+            REPORT_GAIN * (report.queued_tokens as f32 - self.mean_queued_tokens);
     }
 
-    /// Requests believed to be on the server: what was reported of late, and never below the own count.
-    pub(crate) fn load(&self) -> f64 {
+    /// Estimates the requests on the server: the average of recent reports, but at least this router's own count.
+    pub(crate) fn estimated_requests(&self) -> f64 {
         f64::from(self.outstanding).max(f64::from(self.mean_running))
     }
 
-    /// Prompt tokens believed to be ahead of a new request.
-    pub(crate) fn queue(&self) -> f64 {
-        f64::from(self.outstanding_prompt).max(f64::from(self.mean_queue))
+    /// Estimates the prompt tokens queued ahead of a new request.
+    pub(crate) fn estimated_queued_tokens(&self) -> f64 {
+        f64::from(self.outstanding_prompt).max(f64::from(self.mean_queued_tokens))
     }
 
-    /// The share of the slots that are believed to be taken, above 1 where work waits.
-    pub(crate) fn fill(&self) -> f64 {
-        self.load() / f64::from(self.spec.slots)
+    /// Estimates the fraction of slots in use; above 1 if requests wait.
+    pub(crate) fn utilization(&self) -> f64 {
+        self.estimated_requests() / f64::from(self.spec.slots)
     }
 }
 
+/// Weight of the newest report in the exponential moving averages.
 const REPORT_GAIN: f32 = 0.3;
--- a/crates/quincevalve_routing/tests/properties.rs
+++ b/crates/quincevalve_routing/tests/properties.rs
@@ -1,4 +1,4 @@
-//! What no decision may do, over random servers and evidence.
+//! Invariants of routing decisions over random servers, failures and reports.
 
 use std::time::Duration;
 
@@ -42,10 +42,10 @@
         ..ProptestConfig::default()
     })]
 
-    // A request goes to a server that leaves, failed just now or was tried; or it is refused though one
-    // could take it.
+    // Guards against sending a request to a server that is leaving, has just failed or was already tried, and
+    // against rejecting a request although a server could take it.
     #[test]
-    fn it_chooses_a_usable_server_if_there_is_one(
+    fn chooses_a_usable_server_if_one_exists(
         servers in 1..9_u32,
         steps in prop::collection::vec(step(8), 1..80),
     ) {
@@ -81,12 +81,12 @@
                     let report = LoadReport { at: now, running, queued_tokens: running * 100 };
                     router.reported(ServerIndex(server), report);
                 }
-                Step::Choose { prefix, data_centre: place, bulk, tried } => {
+                Step::Choose { prefix, data_centre: local, bulk, tried } => {
                     let tried = [ServerIndex(tried)];
                     let ask = Ask {
                         now,
                         pool: &pool,
-                        data_centre: &data_centre(place),
+                        data_centre: &data_centre(local),
                         prefix,
                         prompt_tokens: 100,
                         urgency: if bulk { Urgency::Bulk } else { Urgency::Interactive },
