--- a/crates/quincevalve_plan/src/buying.rs
+++ b/crates/quincevalve_plan/src/buying.rs
@@ -1,4 +1,4 @@
-//! Getting from what is held to what is wanted, while requests are refused.
+//! Provisioning: moves the fleet from its current to its desired VMs, with backoff for refused offers.
 
 use std::time::Duration;
 
@@ -7,23 +7,23 @@
 
 use crate::plan::{Desired, Market, cheapest_mix};
 
-/// A machine that the cloud offers.
+/// VM class that the cloud offers in a data centre.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Offer {
-    /// Where.
+    /// Data centre of the VM.
     pub data_centre: DataCentreName,
-    /// Its class.
+    /// Class of the VM.
     pub vm_class: String,
-    /// The price of an hour, in thousandths of the operators' currency.
+    /// Price per hour, in thousandths of the operators' currency.
     pub price_milli: u64,
 }
 
-/// Settings of a buyer.
+/// Settings of a [`Buyer`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BuyerSettings {
-    /// How long an offer is passed over after its first refusal; doubles with each further one.
+    /// Backoff of an offer after its first refusal; doubles with each further one.
     pub backoff: Duration,
-    /// The longest time that it is passed over.
+    /// Maximum backoff of an offer.
     pub most_backoff: Duration,
 }
 
@@ -33,64 +33,67 @@
     }
 }
 
-/// What to do.
+/// Provisioning action.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BuyerAction {
-    /// Ask the cloud for a machine.
+    /// Request a VM from the cloud.
     Buy {
-        /// The same token twice buys once.
+        /// Idempotency token: requests with the same token create one VM.
         token: String,
-        /// Where.
+        /// Data centre of the VM.
         data_centre: DataCentreName,
-        /// Which class.
+        /// Class of the VM.
         vm_class: String,
     },
-    /// Drain a machine and give it back.
+    /// Drain a VM and return it to the cloud.
     GiveBack {
-        /// Where.
+        /// Data centre of the VM.
         data_centre: DataCentreName,
-        /// Which class.
+        /// Class of the VM.
         vm_class: String,
     },
 }
 
+/// Consecutive refusals of an offer and the end of its backoff.
 #[derive(Clone, Copy, Debug, Default)]
 struct Refusals {
     count: u32,
     until: TimePoint,
 }
 
-type Key = (DataCentreName, String);
+type OfferKey = (DataCentreName, String);
 
-/// The core: `(now, needed, held) -> actions`.
+/// Provisioning state machine: `(now, needed, held) -> actions`.
 ///
-/// Failure: the holder of the plan dies after it asked for a machine and before it noted that. Symptom:
-/// its successor asks again, and two machines are paid for. The token follows from the place, the class
-/// and the number of machines ever bought there, which the cloud's list tells any holder; so the
-/// successor asks under the same token, and the cloud gives the same machine.
+/// If the VM that executes the plan crashes after requesting a VM and before recording the request, its
+/// successor requests the VM again, which would create and bill two. The idempotency token is therefore derived
+/// from the data centre, the class and the number of VMs ever created there, which every successor can read
+/// from the cloud's list. The successor uses the same token and the cloud returns the same VM.
 #[derive(Clone, Debug)]
 pub struct Buyer {
     settings: BuyerSettings,
     offers: Vec<Offer>,
-    refusals: IndexMap<Key, Refusals>,
+    refusals: IndexMap<OfferKey, Refusals>,
 }
 
 impl Buyer {
-    /// Makes a buyer for what the cloud offers.
+    /// Creates an instance for the cloud's offers.
     pub fn new(settings: BuyerSettings, offers: Vec<Offer>) -> Self {
         Self { settings, offers, refusals: IndexMap::new() }
     }
 
-    /// Offers that aren't passed over now.
+    /// Returns the offers that aren't in backoff.
     pub fn market(&self, now: TimePoint) -> Market {
-        let open = |it: &&Offer| {
+        let is_available = |it: &&Offer| {
             let key = (it.data_centre.clone(), it.vm_class.clone());
             self.refusals.get(&key).is_none_or(|it| it.until <= now)
         };
-        self.offers.iter().filter(open).cloned().collect()
+        self.offers.iter().filter(is_available).cloned().collect()
     }
 
-    /// Plans and says how to get there. `bought` counts all machines ever bought, by offer.
+    /// Computes the desired VMs and returns the actions that lead to them.
+    ///
+    /// `held` counts the current VMs, `bought` all VMs ever created, both by data centre and class.
     pub fn plan(
         &self,
         now: TimePoint,
@@ -100,19 +103,18 @@
     ) -> Vec<BuyerAction> {
         let desired = cheapest_mix(needed, &self.market(now));
         let mut actions = Vec::new();
-        for (key, wanted) in &desired {
-            let has = held.get(key).copied().unwrap_or(0);
+        for (key, target) in &desired {
+            let current = held.get(key).copied().unwrap_or(0);
             let first = bought.get(key).copied().unwrap_or(0);
-            for number in 0..wanted.saturating_sub(has) {
+            for number in 0..target.saturating_sub(current) {
                 actions.push(buy(key, first + number));
             }
         }
-        // What is no longer wanted goes only once everything wanted is there: capacity never dips for
-        // the sake of a price.
+        // Surplus VMs are released only once all desired VMs exist, so that saving cost never reduces capacity.
         if actions.is_empty() {
-            for (key, has) in held {
-                let wanted = desired.get(key).copied().unwrap_or(0);
-                for _ in wanted..*has {
+            for (key, current) in held {
+                let target = desired.get(key).copied().unwrap_or(0);
+                for _ in target..*current {
                     let (data_centre, vm_class) = key.clone();
                     actions.push(BuyerAction::GiveBack { data_centre, vm_class });
                 }
@@ -121,7 +123,7 @@
         actions
     }
 
-    /// Notes that the cloud refused an offer.
+    /// Records that the cloud refused an offer, and starts or extends its backoff.
     pub fn refused(&mut self, now: TimePoint, data_centre: &DataCentreName, vm_class: &str) {
         let BuyerSettings { backoff, most_backoff } = self.settings;
         let entry = self.refusals.entry((data_centre.clone(), vm_class.to_owned())).or_default();
@@ -130,15 +132,16 @@
         entry.count += 1;
     }
 
-    /// Notes that the cloud gave a machine.
+    /// Records that the cloud provided a VM, which ends the backoff of its offer.
     pub fn given(&mut self, data_centre: &DataCentreName, vm_class: &str) {
         self.refusals.shift_remove(&(data_centre.clone(), vm_class.to_owned()));
     }
 }
 
+/// Maximum number of times that the backoff is doubled.
 const MAX_DOUBLINGS: u32 = 16;
 
-fn buy((data_centre, vm_class): &Key, number: u32) -> BuyerAction {
+fn buy((data_centre, vm_class): &OfferKey, number: u32) -> BuyerAction {
     BuyerAction::Buy {
         token: format!("{data_centre}-{vm_class}-{number}"),
         data_centre: data_centre.clone(),
@@ -160,36 +163,36 @@
         Buyer::new(BuyerSettings::default(), offers)
     }
 
-    // The bill shows two machines where one was wanted. The holder asked the cloud and died; its
-    // successor plans from the same list and asks again.
+    // Two VMs are created instead of one if the executor of the plan requests a VM and crashes, and its successor
+    // plans from the same list and requests it under another token.
     #[test]
-    fn a_successor_asks_under_the_same_token() {
+    fn successor_uses_the_same_token() {
         let nothing = Desired::new();
         let first = buyer().plan(TimePoint::ZERO, 2, &nothing, &nothing);
         let second = buyer().plan(TimePoint::from_millis(9), 2, &nothing, &nothing);
         assert_eq!(first, second);
     }
 
-    // A wave took place `a`, and the cloud has none there. Asking again and again would leave the fleet
-    // short; another place is tried at once, and `a` again after the backoff.
+    // After a reclaim wave the cloud has no VMs in data centre `a`. Repeating the refused request would leave the
+    // fleet short, so other data centres are used immediately, and `a` again after the backoff.
     #[test]
-    fn a_refused_place_is_passed_over_for_a_while() {
+    fn refused_offer_is_skipped_during_its_backoff() {
         let mut buyer = buyer();
         let nothing = Desired::new();
         buyer.refused(TimePoint::ZERO, &"a".into(), "spot");
-        let at = |it: &BuyerAction| match it {
+        let data_centre_of = |it: &BuyerAction| match it {
             BuyerAction::Buy { data_centre, .. } | BuyerAction::GiveBack { data_centre, .. } => {
                 data_centre.to_string()
             }
         };
         let soon = buyer.plan(TimePoint::from_millis(1_000), 2, &nothing, &nothing);
-        assert!(soon.iter().all(|it| at(it) != "a"));
+        assert!(soon.iter().all(|it| data_centre_of(it) != "a"));
         let later = buyer.plan(TimePoint::from_millis(61_000), 2, &nothing, &nothing);
-        assert!(later.iter().any(|it| at(it) == "a"));
+        assert!(later.iter().any(|it| data_centre_of(it) == "a"));
     }
 
     #[test]
-    fn nothing_is_given_back_while_something_is_missing() {
+    fn releases_nothing_while_desired_vms_are_missing() {
         let held = Desired::from([(("c".into(), "spot".to_owned()), 9)]);
         let actions = buyer().plan(TimePoint::ZERO, 4, &held, &held);
         assert!(actions.iter().all(|it| matches!(it, BuyerAction::Buy { .. })));
--- a/crates/quincevalve_plan/src/lib.rs
+++ b/crates/quincevalve_plan/src/lib.rs
@@ -1,7 +1,7 @@
-//! The fleet's plan: which machines to hold where, and which orders engines get.
+//! Fleet planning: which VMs to run in which data centre, and which orders the engines get.
 //!
-//! Planning is a pure function of demand, prices and what is held. Buying and ordering are cores whose
-//! every step may be repeated.
+//! Planning is a pure function of demand, prices and the running VMs. Provisioning and sending orders are
+//! state machines whose steps are idempotent.
 
 mod buying;
 mod orders;
--- a/crates/quincevalve_plan/src/orders.rs
+++ b/crates/quincevalve_plan/src/orders.rs
@@ -1,24 +1,24 @@
-//! Orders to engines: desired state, under a lease whose holder may be paused.
+//! Orders that set the desired state of an engine, sent under a lease whose holder may be paused.
 
 use std::time::Duration;
 
 use quincevalve_names::{FencingNumber, TimePoint};
 
-/// Whether an engine checks fencing numbers.
+/// Whether an engine enforces fencing numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderFencing {
-    /// It refuses an order with an older number than it has seen.
+    /// The engine refuses an order with a lower number than it has received.
     Checked,
-    /// It takes any order.
+    /// The engine accepts any order.
     Ignored,
 }
 
-/// Settings.
+/// Settings of an [`Orderer`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OrderSettings {
-    /// How long a lease lasts.
+    /// Duration of a lease.
     pub lease: Duration,
-    /// The longest time between deciding to send an order and its arrival; calls are given up by then.
+    /// Maximum time between the decision to send an order and its arrival; calls time out by then.
     pub flight: Duration,
 }
 
@@ -28,44 +28,44 @@
     }
 }
 
-/// What happens to an order.
+/// Input of [`Orderer::handle`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderEvent<S> {
-    /// The engine's state differs from the one wanted, under this fencing number.
+    /// The engine's state differs from the desired one.
     Wanted {
-        /// The wanted state.
+        /// Desired state of the engine.
         state: S,
-        /// The lease's number.
+        /// Fencing number of the lease.
         fencing: FencingNumber,
-        /// When the own lease runs out, by the own clock.
+        /// Time at which this VM's lease expires, by its own clock.
         lease_until: TimePoint,
     },
-    /// The intent was written at the store under the own number.
+    /// The store recorded the intent under this holder's fencing number.
     IntentWritten,
-    /// The intent was not written: a higher number stands there.
+    /// The store refused the intent because it holds a higher fencing number.
     IntentRefused,
-    /// The engine answered.
+    /// The engine acknowledged the order.
     Sent,
-    /// The engine refused the number, or didn't answer.
+    /// The engine refused the fencing number or didn't respond.
     NotSent,
-    /// What the engine holds now.
+    /// Current state of the engine, as read back.
     ReadBack(S),
-    /// Time passed.
+    /// Periodic timer event.
     Tick,
 }
 
-/// What to do next.
+/// Next action for an order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderAction<S> {
-    /// Write the intent by compare-and-swap; only over a lower number.
+    /// Write the intent by compare-and-swap, only over a lower fencing number.
     WriteIntent(FencingNumber),
-    /// Send the order.
+    /// Send the order to the engine.
     Send(S, FencingNumber),
-    /// Read what the engine holds.
+    /// Read the engine's current state.
     ReadBack,
-    /// The engine holds what was wanted.
+    /// The engine has the desired state.
     Done,
-    /// Stop: the lease is lost or about to be; the next holder goes on.
+    /// Stop because the lease is lost or about to expire; the next holder continues.
     Stop,
 }
 
@@ -73,47 +73,52 @@
 enum Phase {
     Idle,
     WritingIntent,
-    WaitingOut { until: TimePoint },
+    AwaitingOldOrders { until: TimePoint },
     Sending,
     ReadingBack,
 }
 
-/// The core of the orders to one engine.
+/// State machine that sends orders to one engine.
 ///
-/// Failure: a holder is paused past its lease and then sends an order. Symptom: an old version is loaded
-/// over the new one. An engine that checks fencing numbers refuses it. For one that doesn't, three things
-/// together are enough: nothing is sent unless the own lease outlasts the order's flight; a new holder
-/// first writes its intent and then waits until every order that the former holder can have sent has
-/// landed; and what the engine holds is read back, so a straggler of a pause in mid-call is set right.
+/// A holder that is paused beyond its lease and then sends an order could load an old version over the new
+/// one. An engine that enforces fencing numbers refuses such an order. For other engines, three measures
+/// together prevent it:
+///
+/// - Nothing is sent unless the holder's lease outlasts the order's delivery.
+/// - A new holder first writes its intent, then waits until every order that the previous holder can have
+///   sent must have arrived.
+/// - The engine's state is read back, which corrects the effect of an order that arrived late because its
+///   sender was paused during the call.
 #[derive(Clone, Debug)]
 pub struct Orderer<S> {
     settings: OrderSettings,
     fencing_by_engine: OrderFencing,
     phase: Phase,
     wanted: Option<(S, FencingNumber, TimePoint)>,
-    cleared: Option<FencingNumber>,
+    /// Fencing number for which the previous holder's orders can no longer arrive.
+    cleared_fencing: Option<FencingNumber>,
 }
 
 impl<S> Orderer<S>
 where
     S: Clone + PartialEq,
 {
-    /// Makes the core for an engine.
+    /// Creates an instance for one engine.
     pub const fn new(settings: OrderSettings, fencing_by_engine: OrderFencing) -> Self {
         let phase = Phase::Idle;
-        Self { settings, fencing_by_engine, phase, wanted: None, cleared: None }
+        Self { settings, fencing_by_engine, phase, wanted: None, cleared_fencing: None }
     }
 
-    /// Takes an event; returns what to do, if anything.
+    /// Handles an event and returns the next action, if any.
     pub fn handle(&mut self, now: TimePoint, event: OrderEvent<S>) -> Option<OrderAction<S>> {
         match event {
             OrderEvent::Wanted { state, fencing, lease_until } => {
                 self.wanted = Some((state, fencing, lease_until));
-                matches!(self.phase, Phase::Idle).then(|| self.begin(now))
+                matches!(self.phase, Phase::Idle).then(|| self.start(now))
             }
             OrderEvent::IntentWritten => {
                 let until = now + self.settings.lease + self.settings.flight;
-                self.phase = Phase::WaitingOut { until };
+                self.phase = Phase::AwaitingOldOrders { until };
                 None
             }
             OrderEvent::IntentRefused => Some(self.stop()),
@@ -130,11 +135,11 @@
         }
     }
 
-    fn begin(&mut self, now: TimePoint) -> OrderAction<S> {
+    fn start(&mut self, now: TimePoint) -> OrderAction<S> {
         let Some((_, fencing, _)) = &self.wanted else { return self.stop() };
-        let is_clear = self.fencing_by_engine == OrderFencing::Checked
-            || self.cleared.is_some_and(|it| it == *fencing);
-        if is_clear {
+        let may_send_now = self.fencing_by_engine == OrderFencing::Checked
+            || self.cleared_fencing.is_some_and(|it| it == *fencing);
+        if may_send_now {
             return self.send(now);
         }
         self.phase = Phase::WritingIntent;
@@ -143,8 +148,8 @@
 
     fn send(&mut self, now: TimePoint) -> OrderAction<S> {
         let Some((state, fencing, lease_until)) = self.wanted.clone() else { return self.stop() };
-        // The clock is read right before the call: a pause between the two is bound by the flight, a
-        // longer one is met by waiting out and reading back.
+        // The clock is read immediately before the call. The delivery limit covers short pauses in between; the
+        // wait of the next holder and reading back the state cover longer ones.
         if now + self.settings.flight > lease_until {
             return self.stop();
         }
@@ -154,8 +159,8 @@
 
     fn tick(&mut self, now: TimePoint) -> Option<OrderAction<S>> {
         match self.phase {
-            Phase::WaitingOut { until } if now >= until => {
-                self.cleared = self.wanted.as_ref().map(|it| it.1);
+            Phase::AwaitingOldOrders { until } if now >= until => {
+                self.cleared_fencing = self.wanted.as_ref().map(|it| it.1);
                 Some(self.send(now))
             }
             _ => None,
@@ -166,7 +171,7 @@
         self.phase = Phase::Idle;
         match &self.wanted {
             Some((wanted, _, _)) if wanted == state => OrderAction::Done,
-            Some(_) => self.begin(now),
+            Some(_) => self.start(now),
             None => self.stop(),
         }
     }
@@ -197,39 +202,39 @@
         }
     }
 
-    // Operators see the old version come back after an upgrade. The former holder was paused past its
-    // lease and would send its order now; its lease no longer outlasts the order's flight, so it stops.
+    // An old version is loaded after an upgrade if a previous holder, paused almost until its lease expires, still
+    // sends its order. It must stop because its lease no longer outlasts the delivery.
     #[test]
-    fn a_paused_holder_sends_nothing() {
+    fn holder_sends_nothing_when_its_lease_ends_before_delivery() {
         let mut orderer = orderer(OrderFencing::Checked);
         let late = TimePoint::from_millis(9_000);
         assert_eq!(orderer.handle(late, wanted("old", 1, 10_000)), Some(OrderAction::Stop));
     }
 
-    // An engine ignores fencing numbers, and an order of the former holder is still on its way. The new
-    // holder sends nothing until that order must have landed; so its own order is the last.
+    // An order of the previous holder could arrive after the new holder's order at an engine that ignores fencing
+    // numbers. The new holder must wait until the old order must have arrived.
     #[test]
-    fn a_new_holder_waits_out_the_former_one() {
+    fn new_holder_waits_until_orders_of_the_previous_holder_have_arrived() {
         let mut orderer = orderer(OrderFencing::Ignored);
         let now = TimePoint::from_millis(1_000);
         let action = orderer.handle(now, wanted("new", 2, 60_000));
         assert_eq!(action, Some(OrderAction::WriteIntent(FencingNumber(2))));
         assert_eq!(orderer.handle(now, OrderEvent::IntentWritten), None);
-        let early = TimePoint::from_millis(12_999);
-        assert_eq!(orderer.handle(early, OrderEvent::Tick), None);
-        let due = TimePoint::from_millis(13_000);
-        let action = orderer.handle(due, OrderEvent::Tick);
+        let before_deadline = TimePoint::from_millis(12_999);
+        assert_eq!(orderer.handle(before_deadline, OrderEvent::Tick), None);
+        let deadline = TimePoint::from_millis(13_000);
+        let action = orderer.handle(deadline, OrderEvent::Tick);
         assert_eq!(action, Some(OrderAction::Send("new", FencingNumber(2))));
-        assert_eq!(orderer.handle(due, OrderEvent::Sent), Some(OrderAction::ReadBack));
-        // A straggler landed after all: the order is sent once more.
-        let action = orderer.handle(due, OrderEvent::ReadBack("old"));
+        assert_eq!(orderer.handle(deadline, OrderEvent::Sent), Some(OrderAction::ReadBack));
+        // A late order of the previous holder arrived nevertheless, so the order is sent again.
+        let action = orderer.handle(deadline, OrderEvent::ReadBack("old"));
         assert_eq!(action, Some(OrderAction::Send("new", FencingNumber(2))));
-        orderer.handle(due, OrderEvent::Sent);
-        assert_eq!(orderer.handle(due, OrderEvent::ReadBack("new")), Some(OrderAction::Done));
+        orderer.handle(deadline, OrderEvent::Sent);
+        assert_eq!(orderer.handle(deadline, OrderEvent::ReadBack("new")), Some(OrderAction::Done));
     }
 
     #[test]
-    fn a_refused_intent_stops_the_order() {
+    fn stops_when_the_intent_is_refused() {
         let mut orderer = orderer(OrderFencing::Ignored);
         orderer.handle(TimePoint::ZERO, wanted("new", 2, 60_000));
         let action = orderer.handle(TimePoint::ZERO, OrderEvent::IntentRefused);
--- a/crates/quincevalve_plan/src/plan.rs
+++ b/crates/quincevalve_plan/src/plan.rs
@@ -1,21 +1,21 @@
-//! The cheapest mix of machines that keeps the promise after the loss of any one data centre.
+//! Computes the cheapest set of VMs that provides enough capacity after the loss of any one data centre.
 
 use indexmap::IndexMap;
 use quincevalve_names::DataCentreName;
 
 use crate::Offer;
 
-/// What can be had now: offers that aren't held back by a refusal.
+/// Offers that are available now, without those in backoff after a refusal.
 pub type Market = Vec<Offer>;
 
-/// How many machines to hold, by offer.
+/// Number of VMs by data centre and VM class.
 pub type Desired = IndexMap<(DataCentreName, String), u32>;
 
-/// The cheapest mix of whole machines of which `needed` are left whichever data centre is lost.
+/// Returns the cheapest set of VMs of which at least `needed` remain after the loss of any one data centre.
 ///
-/// With at most `m` machines in any data centre, `needed + m` in all are enough. For each `m` the cheapest
-/// such mix fills the data centres by price; the cheapest `m` wins. A large `m` uses cheap places fully, a
-/// small one needs fewer spare machines.
+/// With at most `m` VMs per data centre, `needed + m` VMs in total suffice. For each `m`, the cheapest such
+/// set fills the data centres in order of price; the result is the cheapest over all `m`. A large `m` makes
+/// full use of cheap data centres, a small one needs fewer spare VMs.
 ///
 /// # Examples
 ///
@@ -32,59 +32,63 @@
 /// assert!(desired.values().all(|it| *it == 2));
 /// ```
 pub fn cheapest_mix(needed: u32, market: &Market) -> Desired {
-    let places = cheapest_by_data_centre(market);
-    if needed == 0 || places.is_empty() {
+    let offers = cheapest_by_data_centre(market);
+    if needed == 0 || offers.is_empty() {
         return Desired::new();
     }
-    // With a single data centre nothing survives its loss; the promise is kept while it stands.
-    if places.len() == 1 {
-        return fill(&places, needed, needed);
+    // With a single data centre nothing survives its loss, so spare VMs are useless and `needed` VMs suffice.
+    if offers.len() == 1 {
+        return fill(&offers, needed, needed);
     }
-    let mixes = (1..=needed).map(|most| fill(&places, most, needed + most));
-    let whole = mixes.filter(|it| is_enough(it, needed));
-    let cheapest = whole.min_by_key(|it| cost(it, &places));
-    cheapest.unwrap_or_else(|| fill(&places, needed, needed * 2))
+    let mixes = (1..=needed).map(|max_per_data_centre| {
+        fill(&offers, max_per_data_centre, needed + max_per_data_centre)
+    });
+    let sufficient = mixes.filter(|it| is_sufficient(it, needed));
+    let cheapest = sufficient.min_by_key(|it| cost(it, &offers));
+    cheapest.unwrap_or_else(|| fill(&offers, needed, needed * 2))
 }
 
-/// The cheapest offer of each data centre, the cheapest data centre first.
+/// Returns the cheapest offer of each data centre, in order of price.
 fn cheapest_by_data_centre(market: &Market) -> Vec<&Offer> {
     let mut best: IndexMap<&DataCentreName, &Offer> = IndexMap::new();
     for offer in market {
-        let known = best.entry(&offer.data_centre).or_insert(offer);
-        if offer.price_milli < known.price_milli {
-            *known = offer;
+        let cheapest_offer = best.entry(&offer.data_centre).or_insert(offer);
+        if offer.price_milli < cheapest_offer.price_milli {
+            *cheapest_offer = offer;
         }
     }
-    let mut places: Vec<_> = best.into_values().collect();
-    places.sort_by(|left, right| {
+    let mut offers: Vec<_> = best.into_values().collect();
+    offers.sort_by(|left, right| {
         (left.price_milli, &left.data_centre).cmp(&(right.price_milli, &right.data_centre))
     });
-    places
+    offers
 }
 
-fn fill(places: &[&Offer], most: u32, total: u32) -> Desired {
-    let mut left = total;
+/// Distributes `total` VMs over the offers in order, with at most `max_per_data_centre` per data centre.
+fn fill(offers: &[&Offer], max_per_data_centre: u32, total: u32) -> Desired {
+    let mut remaining = total;
     let mut desired = Desired::new();
-    for offer in places {
-        let count = left.min(most);
+    for offer in offers {
+        let count = remaining.min(max_per_data_centre);
         if count == 0 {
             break;
         }
         desired.insert((offer.data_centre.clone(), offer.vm_class.clone()), count);
-        left -= count;
+        remaining -= count;
     }
     desired
 }
 
-fn is_enough(desired: &Desired, needed: u32) -> bool {
+/// Returns whether at least `needed` VMs remain after the loss of the largest data centre.
+fn is_sufficient(desired: &Desired, needed: u32) -> bool {
     let total: u32 = desired.values().sum();
     let largest = desired.values().max().copied().unwrap_or(0);
     total - largest >= needed
 }
 
-fn cost(desired: &Desired, places: &[&Offer]) -> u64 {
+fn cost(desired: &Desired, offers: &[&Offer]) -> u64 {
     let price = |data_centre: &DataCentreName| {
-        places.iter().find(|it| it.data_centre == *data_centre).map_or(0, |it| it.price_milli)
+        offers.iter().find(|it| it.data_centre == *data_centre).map_or(0, |it| it.price_milli)
     };
     desired.iter().map(|((data_centre, _), count)| u64::from(*count) * price(data_centre)).sum()
 }
@@ -104,16 +108,16 @@
         prices.iter().enumerate().map(offer).collect()
     }
 
-    /// The naive version: every way to hold up to `most` machines in each place.
-    fn exhaustive(needed: u32, prices: &[u64], most: u32) -> u64 {
-        let ways = (most + 1).pow(prices.len() as u32);
+    /// Reference implementation: tries every combination of up to `max_per_data_centre` VMs per data centre.
+    fn exhaustive(needed: u32, prices: &[u64], max_per_data_centre: u32) -> u64 {
+        let combinations = (max_per_data_centre + 1).pow(prices.len() as u32);
         let mut best = u64::MAX;
-        for way in 0..ways {
-            let mut rest = way;
+        for combination in 0..combinations {
+            let mut rest = combination;
             let mut counts = Vec::new();
             for _ in prices {
-                counts.push(rest % (most + 1));
-                rest /= most + 1;
+                counts.push(rest % (max_per_data_centre + 1));
+                rest /= max_per_data_centre + 1;
             }
             let total: u32 = counts.iter().sum();
             let largest = counts.iter().max().copied().unwrap_or(0);
@@ -134,16 +138,17 @@
             ..ProptestConfig::default()
         })]
 
+        // Compares the cost of the result with an exhaustive search.
         #[test]
-        fn it_costs_what_the_best_of_all_ways_costs(
+        fn cost_equals_the_exhaustive_minimum(
             needed in 1..6_u32,
             prices in prop::collection::vec(1..50_u64, 2..5),
         ) {
             let market = market(&prices);
             let desired = cheapest_mix(needed, &market);
-            prop_assert!(is_enough(&desired, needed));
-            let places = cheapest_by_data_centre(&market);
-            prop_assert_eq!(cost(&desired, &places), exhaustive(needed, &prices, needed));
+            prop_assert!(is_sufficient(&desired, needed));
+            let offers = cheapest_by_data_centre(&market);
+            prop_assert_eq!(cost(&desired, &offers), exhaustive(needed, &prices, needed));
         }
     }
 }
