--- a/crates/quincevalve_retries/src/budget.rs
+++ b/crates/quincevalve_retries/src/budget.rs
@@ -1,17 +1,17 @@
-//! A budget of retries in proportion to the work that succeeds in being new.
+//! Retry budget in proportion to new requests.
 
-/// Millionths of a retry.
-const ONE: u64 = 1_000_000;
-/// Each new request earns a tenth of a retry, so attempts stay below 1.1 of requests.
-const EARNED: u64 = ONE / 10;
-/// Retries that a quiet entry VM may spend at once.
-const SAVED_AT_MOST: u64 = 10 * ONE;
+/// Cost of one retry. The balance is kept in millionths of a retry.
+const RETRY_COST: u64 = 1_000_000;
+/// Amount that each new request adds: a tenth of a retry, which limits attempts to 1.1 times the requests.
+const DEPOSIT_PER_REQUEST: u64 = RETRY_COST / 10;
+/// Maximum balance: an entry VM with little traffic may make up to 10 retries in a burst.
+const MAX_BALANCE: u64 = 10 * RETRY_COST;
 
-/// The budget of one entry VM.
+/// Retry budget of one entry VM.
 ///
-/// Failure: servers are overloaded and fail; each failure is tried again and adds load. Symptom: the
-/// overload outlasts its cause (a metastable failure). With retries bound to a tenth of new requests the
-/// load can grow by at most that tenth, so when new requests drop, the whole load drops.
+/// Without a limit, retries of requests that failed on overloaded servers add load, so the overload outlasts
+/// its cause (a metastable failure). Limiting retries to a tenth of new requests bounds the added load to that
+/// tenth, so the total load drops as soon as new requests drop.
 ///
 /// # Examples
 ///
@@ -25,21 +25,21 @@
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RetryBudget {
-    saved: u64,
+    balance: u64,
 }
 
 impl RetryBudget {
-    /// Notes a new request.
+    /// Adds the share of a new request to the budget.
     pub fn earn(&mut self) {
-        self.saved = (self.saved + EARNED).min(SAVED_AT_MOST);
+        self.balance = (self.balance + DEPOSIT_PER_REQUEST).min(MAX_BALANCE);
     }
 
-    /// Takes one retry out of the budget; `false` if there is none.
+    /// Takes one retry out of the budget; returns `false` if the balance doesn't cover it.
     pub fn spend(&mut self) -> bool {
-        if self.saved < ONE {
+        if self.balance < RETRY_COST {
             return false;
         }
-        self.saved -= ONE;
+        self.balance -= RETRY_COST;
         true
     }
 }
--- a/crates/quincevalve_retries/src/decision.rs
+++ b/crates/quincevalve_retries/src/decision.rs
@@ -1,4 +1,4 @@
-//! What follows a failed attempt.
+//! Decides between a retry and giving up after a failed attempt.
 
 use std::time::Duration;
 
@@ -7,42 +7,42 @@
 
 use crate::RetryBudget;
 
-/// How far a failed attempt can have got.
+/// Whether a failed attempt may have been executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum FailureReach {
-    /// No byte reached a backend server, or the server said that it did not run.
+    /// No byte reached a backend server, or the server stated that the request did not run.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     MayHaveRun,
 }
 
 /// A failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Failure {
-    /// How far this attempt can have got.
+    /// Whether this attempt may have run.
     pub reach: FailureReach,
-    /// How far any earlier attempt can have got.
+    /// Whether any earlier attempt may have run.
     pub earlier: FailureReach,
-    /// Whether the request may be repeated.
+    /// Whether the request is idempotent.
     pub execution: Execution,
-    /// Whether the server was known to leave, so that the failure says nothing of overload.
+    /// Whether the server was known to be leaving, in which case the failure doesn't indicate overload.
     pub announced: bool,
-    /// Attempts so far, this one included.
+    /// Number of attempts so far, including this one.
     pub attempts: u32,
-    /// Time until the request's deadline.
+    /// Time left until the request's deadline.
     pub left: Duration,
-    /// The predicted time that one more attempt needs.
+    /// Predicted duration of another attempt.
     pub needs: Duration,
 }
 
-/// The rules.
+/// Limits and backoff of retries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryRules {
-    /// Attempts of one request at most.
+    /// Maximum number of attempts per request.
     pub max_attempts: u32,
-    /// Attempts at most when each failure was announced.
+    /// Maximum number of attempts if the failed server was known to be leaving.
     pub max_announced: u32,
-    /// The wait before the second attempt; doubles with each further one.
+    /// Backoff before the second attempt; doubles with each further one.
     pub backoff: Duration,
 }
 
@@ -52,35 +52,35 @@
     }
 }
 
-/// What to do next.
+/// Decision after a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextStep {
-    /// Try again, at another server where there is one.
+    /// Retry, on another server if there is one.
     Retry {
-        /// The wait before it.
+        /// Backoff before the retry.
         after: Duration,
     },
-    /// Give up now and say so.
+    /// Give up and report the outcome.
     GiveUp {
-        /// What is true of the request.
+        /// Whether the request may have run.
         outcome: Outcome,
     },
 }
 
-/// Decides after a failure.
+/// Decides whether to retry after a failed attempt.
 ///
-/// A non-idempotent request that may have run is never tried again, whatever the budget says. A failure
-/// that was announced (a reclaim) doesn't draw on the budget: an accepted request must survive it, and the
-/// number of such failures is bound by the number of servers that go, not by load.
+/// A non-idempotent request that may have run is never retried, regardless of the budget. A failure of a
+/// server that was known to be leaving (a reclaim) isn't charged to the budget: an accepted request must
+/// survive it, and the number of such failures is bounded by the number of leaving servers, not by load.
 pub fn decide(failure: &Failure, rules: &RetryRules, budget: &mut RetryBudget) -> NextStep {
-    let outcome = outcome_of(failure);
+    let outcome = overall_outcome(failure);
     let give_up = NextStep::GiveUp { outcome };
     if failure.execution == Execution::NonIdempotent && outcome == Outcome::MayHaveRun {
         return give_up;
     }
-    let most = if failure.announced { rules.max_announced } else { rules.max_attempts };
+    let max_attempts = if failure.announced { rules.max_announced } else { rules.max_attempts };
     let after = backoff(failure.attempts, rules);
-    if failure.attempts >= most || after + failure.needs > failure.left {
+    if failure.attempts >= max_attempts || after + failure.needs > failure.left {
         return give_up;
     }
     if !failure.announced && !budget.spend() {
@@ -89,14 +89,15 @@
     NextStep::Retry { after }
 }
 
-/// The truth about a request after its failed attempts.
-fn outcome_of(failure: &Failure) -> Outcome {
+/// Returns the outcome of a request over all its failed attempts.
+fn overall_outcome(failure: &Failure) -> Outcome {
     match (failure.reach, failure.earlier) {
         (FailureReach::NotRun, FailureReach::NotRun) => Outcome::NotRun,
         _ => Outcome::MayHaveRun,
     }
 }
 
+/// Returns the backoff after the given number of attempts, at most 2^5 times the first one.
 fn backoff(attempts: u32, rules: &RetryRules) -> Duration {
     const MAX_DOUBLINGS: u32 = 5;
     rules.backoff * (1 << attempts.saturating_sub(1).min(MAX_DOUBLINGS))
--- a/crates/quincevalve_retries/src/lib.rs
+++ b/crates/quincevalve_retries/src/lib.rs
@@ -1,4 +1,4 @@
-//! The decision after a failure: try again, hedge, or give up with the truth.
+//! Retries and hedging: decides whether a failed or slow attempt is retried, hedged or given up.
 
 mod budget;
 mod decision;
--- a/crates/quincevalve_retries/tests/decision.rs
+++ b/crates/quincevalve_retries/tests/decision.rs
@@ -1,4 +1,4 @@
-//! What follows a failed attempt: the rules of at most once, of the truth about a request, and of the budget.
+//! Retry decisions: at-most-once execution, the reported outcome and the retry budget.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use quincevalve_names::Outcome;
 use quincevalve_retries::{Failure, FailureReach, NextStep, RetryBudget, RetryRules, decide};
 
-const REACHES: [FailureReach; 2] = [FailureReach::NotRun, FailureReach::MayHaveRun];
+const STATUSES: [FailureReach; 2] = [FailureReach::NotRun, FailureReach::MayHaveRun];
 
 /// The first failure of an idempotent request that did not run, with time left.
 fn failure() -> Failure {
@@ -37,12 +37,12 @@
     matches!(next(failure), NextStep::Retry { .. })
 }
 
-// A seat is booked twice: the answer was lost after the server had run the request, and it was sent again. What may
-// have run and may not be repeated is given up, whichever of its attempts may have run, and however it failed.
+// A non-idempotent request is executed twice if it is retried after its response was lost. It must be given up if
+// any of its attempts may have run, whatever the kind of failure.
 #[test]
-fn a_non_idempotent_request_that_may_have_run_is_never_sent_again() {
-    for reach in REACHES {
-        for earlier in REACHES {
+fn non_idempotent_request_that_may_have_run_is_never_retried() {
+    for reach in STATUSES {
+        for earlier in STATUSES {
             for announced in [false, true] {
                 let execution = Execution::NonIdempotent;
                 let failed = Failure { reach, earlier, execution, announced, ..failure() };
@@ -53,12 +53,12 @@
     }
 }
 
-// A caller is told that its request has not run, and books again; an earlier attempt had reached a server. The truth
-// is about all attempts, not about the last one.
+// A caller repeats a request that is reported as not run. If an earlier attempt may have run, that would execute it
+// twice, so the outcome must cover all attempts and not only the last one.
 #[test]
-fn an_earlier_attempt_counts_for_what_is_told() {
-    for reach in REACHES {
-        for earlier in REACHES {
+fn outcome_covers_earlier_attempts() {
+    for reach in STATUSES {
+        for earlier in STATUSES {
             let failed = Failure { reach, earlier, attempts: 99, ..failure() };
             let not_run = reach == FailureReach::NotRun && earlier == FailureReach::NotRun;
             let outcome = if not_run { Outcome::NotRun } else { Outcome::MayHaveRun };
@@ -67,10 +67,10 @@
     }
 }
 
-// Servers fail under load, and each failure is sent again until they fail for good. Without budget nothing is
-// repeated, and each repeat takes one out.
+// Unlimited retries of requests that failed under overload keep the servers overloaded. Each retry must take one
+// out of the budget, and an empty budget must prevent retries.
 #[test]
-fn a_retry_takes_one_out_of_the_budget() {
+fn retry_is_charged_to_the_budget() {
     let rules = RetryRules::default();
     let mut budget = RetryBudget::default();
     assert_eq!(
@@ -86,10 +86,10 @@
     assert_eq!([(); 3].map(|()| retried(&mut budget)), [true, true, false]);
 }
 
-// All requests of a reclaimed server fail at once, and most are refused: the budget was meant for overload. What
-// was announced doesn't draw on it, up to a number of attempts of its own.
+// All requests on a reclaimed server fail at once and would exhaust the budget, which is meant for overload.
+// Failures of a server known to be leaving must not be charged to it, and have their own limit of attempts.
 #[test]
-fn an_announced_failure_needs_no_budget() {
+fn failure_of_a_leaving_server_is_not_charged_to_the_budget() {
     let rules = RetryRules::default();
     let mut none = RetryBudget::default();
     for attempts in 1..20 {
@@ -105,37 +105,37 @@
 }
 
 #[test]
-fn attempts_end_at_their_number() {
-    let tried = |attempts| is_retried(&Failure { attempts, ..failure() });
-    assert_eq!([1, 2, 3, 4, 5].map(tried), [true, true, true, false, false]);
+fn gives_up_after_max_attempts() {
+    let retried_after = |attempts| is_retried(&Failure { attempts, ..failure() });
+    assert_eq!([1, 2, 3, 4, 5].map(retried_after), [true, true, true, false, false]);
 }
 
-// A caller waits for an attempt that can't end before its deadline. It is given up at once.
+// A caller waits in vain for an attempt that can't finish before the deadline. Such a request is given up immediately.
 #[test]
-fn an_attempt_that_comes_too_late_is_not_begun() {
-    let with_left = |millis| Failure { left: Duration::from_millis(millis), ..failure() };
-    assert!(is_retried(&with_left(110)));
-    assert!(!is_retried(&with_left(109)));
+fn gives_up_when_a_retry_would_miss_the_deadline() {
+    let with_time_left = |millis| Failure { left: Duration::from_millis(millis), ..failure() };
+    assert!(is_retried(&with_time_left(110)));
+    assert!(!is_retried(&with_time_left(109)));
     let mut budget = full_budget();
     let before = budget;
-    decide(&with_left(109), &RetryRules::default(), &mut budget);
-    assert_eq!(budget, before, "what is given up costs nothing");
+    decide(&with_time_left(109), &RetryRules::default(), &mut budget);
+    assert_eq!(budget, before, "giving up must not be charged to the budget");
 }
 
 #[test]
-fn the_wait_doubles_up_to_a_bound() {
-    let wait = |attempts| {
+fn backoff_doubles_up_to_a_limit() {
+    let backoff = |attempts| {
         let rules = RetryRules { max_attempts: 100, ..RetryRules::default() };
         match decide(&Failure { attempts, ..failure() }, &rules, &mut full_budget()) {
             NextStep::Retry { after } => after.as_millis(),
             NextStep::GiveUp { .. } => 0,
         }
     };
-    assert_eq!([1, 2, 3, 6, 7, 60].map(wait), [10, 20, 40, 320, 320, 320]);
+    assert_eq!([1, 2, 3, 6, 7, 60].map(backoff), [10, 20, 40, 320, 320, 320]);
 }
 
 #[test]
-fn a_budget_saves_ten_retries_at_most() {
+fn budget_holds_at_most_ten_retries() {
     let mut budget = full_budget();
     assert_eq!((0..50).filter(|_| budget.spend()).count(), 10);
 }
