--- a/crates/quincevalve_forwarding/src/change_log.rs
+++ b/crates/quincevalve_forwarding/src/change_log.rs
@@ -59,23 +59,23 @@
         }
     }
 
-    /// Returns the changes after the revision `seen`, up to a total weight of `budget` as measured by `weigh`; `None`
+    /// Returns the changes after the revision `reached`, up to a total weight of `budget` as measured by `weigh`; `None`
     /// if the log doesn't go back that far.
     ///
     /// The changes of the first revision are returned whatever they weigh, so that a reader always makes progress.
-    pub fn since<W>(&self, seen: u64, budget: usize, weigh: W) -> Option<ChangeBatch<C>>
+    pub fn since<W>(&self, reached: u64, budget: usize, weigh: W) -> Option<ChangeBatch<C>>
     where
         W: Fn(&C) -> usize,
     {
-        if seen < self.after {
+        if reached < self.after {
             return None;
         }
-        let first = self.changes.partition_point(|(at, _)| *at <= seen);
-        let lacking = self.changes.range(first..);
+        let first = self.changes.partition_point(|(at, _)| *at <= reached);
+        let missing = self.changes.range(first..);
         let mut changes: Vec<(u64, C)> = Vec::new();
         let mut weight = 0;
         let mut upto = self.upto;
-        for (at, change) in lacking {
+        for (at, change) in missing {
             weight += weigh(change);
             let is_first_revision = changes.first().is_none_or(|(first, _)| first == at);
             if weight > budget && !is_first_revision {
@@ -86,6 +86,6 @@
             }
             changes.push((*at, change.clone()));
         }
-        Some(ChangeBatch { after: seen, upto: upto.max(seen), changes })
+        Some(ChangeBatch { after: reached, upto: upto.max(reached), changes })
     }
 }
--- a/crates/quincevalve_forwarding/src/chunk_fetch.rs
+++ b/crates/quincevalve_forwarding/src/chunk_fetch.rs
@@ -161,11 +161,11 @@
             return None;
         }
         let is_first = self.assembly.missing(1).is_none();
-        let of = chunk.of as usize;
+        let count = chunk.count as usize;
         let whole = self.assembly.add(chunk);
         self.progress_at = now;
         if is_first {
-            self.in_flight = of.min(WINDOW);
+            self.in_flight = count.min(WINDOW);
         }
         self.in_flight = self.in_flight.saturating_sub(1);
         self.unanswered = 0;
@@ -211,8 +211,9 @@
     }
 }
 
-/// Extension of the timeout for each VM of the data centre that ranks before this one, and its maximum.
+/// Extension of the timeout for each VM of the data centre that ranks before this one.
 const TIMEOUT_PER_VM: Duration = Duration::from_millis(30);
+/// Maximum extension of the timeout.
 const MAX_TIMEOUT_EXTENSION: Duration = Duration::from_millis(2_500);
 
 /// Returns how long a VM waits for progress of a fetch if `before` VMs of its data centre rank before it. Where no VM
--- a/crates/quincevalve_forwarding/src/chunks.rs
+++ b/crates/quincevalve_forwarding/src/chunks.rs
@@ -14,9 +14,9 @@
     /// Version of the value.
     pub version: u64,
     /// Index of the chunk, from 0.
-    pub at: u32,
+    pub index: u32,
     /// Number of chunks of the version.
-    pub of: u32,
+    pub count: u32,
     /// Content of the chunk.
     pub bytes: Vec<u8>,
 }
@@ -33,9 +33,9 @@
 /// assert_eq!(whole, Some(value));
 /// ```
 pub fn split_into_chunks(version: u64, value: &[u8]) -> Vec<Chunk> {
-    let of = value.len().div_ceil(CHUNK_BYTES) as u32;
+    let count = value.len().div_ceil(CHUNK_BYTES) as u32;
     let chunks = value.chunks(CHUNK_BYTES).zip(0..);
-    chunks.map(|(bytes, at)| Chunk { version, at, of, bytes: bytes.to_vec() }).collect()
+    chunks.map(|(bytes, index)| Chunk { version, index, count, bytes: bytes.to_vec() }).collect()
 }
 
 /// Assembles the newest version of a value from chunks that arrive in any order.
@@ -49,20 +49,21 @@
     /// Returns the version being assembled and the indices of its first `max` missing chunks; `None` before any
     /// arrived.
     pub fn missing(&self, max: usize) -> Option<(u64, Vec<u32>)> {
-        let missing = (0..).zip(&self.chunks).filter(|(_, it)| it.is_none()).map(|(at, _)| at);
+        let missing =
+            (0..).zip(&self.chunks).filter(|(_, it)| it.is_none()).map(|(index, _)| index);
         (!self.chunks.is_empty()).then(|| (self.version, missing.take(max).collect()))
     }
 
     /// Adds a chunk. Returns the whole value if it was the last missing one. Chunks of an older version are ignored.
     pub fn add(&mut self, chunk: Chunk) -> Option<Vec<u8>> {
-        if chunk.at >= chunk.of || chunk.of > MAX_CHUNKS || chunk.version < self.version {
+        if chunk.index >= chunk.count || chunk.count > MAX_CHUNKS || chunk.version < self.version {
             return None;
         }
-        if chunk.version > self.version || self.chunks.len() != chunk.of as usize {
+        if chunk.version > self.version || self.chunks.len() != chunk.count as usize {
             self.version = chunk.version;
-            self.chunks = vec![None; chunk.of as usize];
+            self.chunks = vec![None; chunk.count as usize];
         }
-        self.chunks[chunk.at as usize] = Some(chunk.bytes);
+        self.chunks[chunk.index as usize] = Some(chunk.bytes);
         if self.chunks.iter().any(Option::is_none) {
             return None;
         }
--- a/crates/quincevalve_forwarding/src/fleet_size.rs
+++ b/crates/quincevalve_forwarding/src/fleet_size.rs
@@ -88,7 +88,7 @@
 ///
 /// The steps of a reclaim wave follow each other within about eight seconds. If on-demand servers were released between
 /// two steps, because the demand is lower than expected, the next data centre's loss would require ordering as many
-/// again, and most callers would be late for the five seconds that these take to start.
+/// again, and most callers' answers would be late for the five seconds that these take to start.
 const SHRINK_IN_RECLAIM_WAVE_DELAY: Duration = Duration::from_secs(10);
 /// Time from the end of a server's start until it is listed and known to this VM.
 const LISTING_DELAY: Duration = Duration::from_millis(2_500);
@@ -319,8 +319,8 @@
         for max_count in [max_per_centre(all_wanted), u32::MAX] {
             for (centre, count) in &mut counts {
                 let reclaimable = self.present_count(centre, ServerKind::Reclaimable);
-                let room = scaling.max.saturating_sub(reclaimable + *count);
-                let more = wanted.min(room).min(max_count.saturating_sub(*count));
+                let capacity_left = scaling.max.saturating_sub(reclaimable + *count);
+                let more = wanted.min(capacity_left).min(max_count.saturating_sub(*count));
                 wanted -= more;
                 *count += more;
             }
@@ -380,7 +380,7 @@
     /// that were reclaimed or crashed permanently while their order stands.
     ///
     /// Without a last order, the servers present stand for it. Otherwise, a new holder that takes over during a lull
-    /// would order only what the lull needs, and the next burst of callers would find half of the servers.
+    /// would order only what the lull needs, and the next burst of callers would find only half of the servers that it needs.
     fn is_due(&mut self, order: &Order, start_time: Duration, now: TimePoint) -> bool {
         let present = self.present_count(&order.data_centre, order.kind);
         let is_short = present < order.count;
@@ -429,7 +429,7 @@
     now.max(after)
 }
 
-/// Returns the maximum number of on-demand servers in one data centre while others have room.
+/// Returns the maximum number of on-demand servers in one data centre while others have capacity left.
 fn max_per_centre(all: u32) -> u32 {
     (f64::from(all) * MAX_SHARE_PER_CENTRE).ceil() as u32
 }
--- a/crates/quincevalve_forwarding/src/line_budget.rs
+++ b/crates/quincevalve_forwarding/src/line_budget.rs
@@ -6,7 +6,7 @@
 const LINES_PER_SECOND: f64 = 200.0;
 /// Maximum number of log lines per second for rejected requests. A burst of rejections repeats the same line thousands
 /// of times; the metrics count all of them.
-const REFUSALS_PER_SECOND: f64 = 300.0;
+const REJECTIONS_PER_SECOND: f64 = 300.0;
 /// Burst size of the token bucket, in seconds of its rate.
 const BURST_SECONDS: f64 = 2.0;
 
@@ -47,7 +47,7 @@
     /// Callers that retry at once and often would make a VM spend more on log lines than on requests, and the log's
     /// reader would lose lines of other requests. Suppressed lines are counted.
     pub fn for_refusals() -> Self {
-        Self::new(REFUSALS_PER_SECOND)
+        Self::new(REJECTIONS_PER_SECOND)
     }
 
     /// Takes a token for one line, and returns whether there was one: the line may be written now.
--- a/crates/quincevalve_forwarding/src/load.rs
+++ b/crates/quincevalve_forwarding/src/load.rs
@@ -128,14 +128,14 @@
         self.memory = self.memory.saturating_sub(u64::from(work.memory));
     }
 
-    /// Returns the sum without `part`, field by field, saturating at zero.
-    pub fn minus(self, part: Self) -> Self {
+    /// Returns the sum without `removed`, field by field, saturating at zero.
+    pub fn minus(self, removed: Self) -> Self {
         Self {
-            requests: self.requests.saturating_sub(part.requests),
-            prefill: self.prefill.saturating_sub(part.prefill),
-            urgent_prefill: self.urgent_prefill.saturating_sub(part.urgent_prefill),
-            memory: self.memory.saturating_sub(part.memory),
-            recent_prefill: self.recent_prefill.saturating_sub(part.recent_prefill),
+            requests: self.requests.saturating_sub(removed.requests),
+            prefill: self.prefill.saturating_sub(removed.prefill),
+            urgent_prefill: self.urgent_prefill.saturating_sub(removed.urgent_prefill),
+            memory: self.memory.saturating_sub(removed.memory),
+            recent_prefill: self.recent_prefill.saturating_sub(removed.recent_prefill),
         }
     }
 
--- a/crates/quincevalve_forwarding/src/peer_table.rs
+++ b/crates/quincevalve_forwarding/src/peer_table.rs
@@ -16,16 +16,16 @@
 use self::ranking::{Rank, Ranking};
 use crate::{shared_limit::VmRank, store_pacing::StoreReadRole};
 
-/// Up to this many VMs each VM reports to every other: a dozen datagrams per period are cheap, and no collector can
-/// fail.
+/// Maximum number of VMs at which each VM reports to every other: a dozen datagrams per period are cheap, and no
+/// collector can fail.
 const MAX_VMS_OF_SMALL_SYSTEM: usize = 16;
 /// Number of VMs that read the store for all: one, and a second in case the first can't.
 const MAX_STORE_READERS: usize = 2;
-/// A VM that has not answered for this long is down or unreachable; a collector answers ten times in it.
+/// Time without an answer after which a VM counts as unresponsive; a collector answers ten times in it.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(800);
-/// VMs report several times a second; one from which nothing was received for this long has stopped.
+/// Time without datagrams after which a VM counts as stopped; VMs report several times a second.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(2);
-/// An unlisted peer from which nothing was received for this long is removed.
+/// Time without datagrams after which an unlisted peer is removed.
 const PEER_TTL: Duration = Duration::from_secs(10);
 
 /// A VM's description of itself.
--- a/crates/quincevalve_forwarding/src/placement.rs
+++ b/crates/quincevalve_forwarding/src/placement.rs
@@ -192,7 +192,7 @@
         if let Ok(placement) = best_candidate(request, &usable, &sampled, rng, now) {
             return Ok(placement);
         }
-        // None of the sampled servers has room: consider all before rejecting the request.
+        // None of the sampled servers has capacity: consider all before rejecting the request.
         let all: Vec<_> = (0..usable.len()).collect();
         best_candidate(request, &usable, &all, rng, now)
     }
--- a/crates/quincevalve_forwarding/src/poison/quarantine.rs
+++ b/crates/quincevalve_forwarding/src/poison/quarantine.rs
@@ -135,8 +135,7 @@
     ///
     /// If a quarantine is lifted a moment after it began, the last of the datagrams that report it may arrive after
     /// that, and some VMs would block an innocent request for a minute. Reports of a quarantine that was lifted less
-    /// than
-    /// [`STALE_REPORT_WINDOW`] ago are therefore ignored.
+    /// than [`STALE_REPORT_WINDOW`] ago are therefore ignored.
     pub(super) fn apply_report(&mut self, digest: RequestDigest, now: TimePoint) {
         self.reported.retain(|_, until| *until > now);
         if self.lifted.get(&digest).is_some_and(|until| *until > now) {
--- a/crates/quincevalve_forwarding/src/quota.rs
+++ b/crates/quincevalve_forwarding/src/quota.rs
@@ -39,7 +39,7 @@
 /// Time constant of a VM's own spending rate. Two digest intervals, so that a lost digest changes little, and short
 /// compared with the windows over which quotas are counted.
 const SPENDING_TIME_CONSTANT: Duration = Duration::from_millis(250);
-/// Maximum debt of an account, in bursts. The bound prevents that a short period of spending on other VMs locks the
+/// Maximum debt of an account, in bursts. The bound keeps a short period of spending on other VMs from locking the
 /// account out.
 const MAX_DEBT_BURSTS: f64 = 3.0;
 /// Fraction of the burst over which requests are admitted by chance, with lower probability the less is left.
@@ -197,7 +197,7 @@
     ///
     /// When a collector restarts, nobody receives reports of its members' spending for a second, and an account could
     /// get up to a second of its whole rate more from each VM. The last reported spending therefore counts until a new
-    /// report arrives or its VM is given up; after that, only a fraction of the rate is used.
+    /// report arrives or the spending VM counts as unreachable; after that, only a fraction of the rate is used.
     fn refill(&mut self, quota: &BucketParameters, reachable_fraction: f64, now: TimePoint) {
         let seconds = now.since(self.updated_at).as_secs_f64();
         let gain = quota.per_second * reachable_fraction - self.peer_spending;
@@ -274,7 +274,7 @@
         &mut self,
         account: &ClientAccountName,
         quota: &Quota,
-        ask: QuotaRequest,
+        request: QuotaRequest,
         draw: f64,
         now: TimePoint,
     ) -> Result<(), OverQuota> {
@@ -287,14 +287,14 @@
         // exceeds its quota many times over would get most of it there.
         bucket.refill(quota, reachable_fraction, now);
         let level = bucket.level;
-        let (bottom, top) = ask.ramp_bounds(quota);
+        let (bottom, top) = request.ramp_bounds(quota);
         if level <= (bottom + draw * (top - bottom)) * reachable_fraction {
             let rate = quota.per_second * reachable_fraction;
             let seconds = (top - level) / rate.max(1.0);
             let retry_after = Duration::from_secs_f64(seconds.clamp(0.05, 10.0));
             return Err(OverQuota { retry_after, level, peer_spending: bucket.peer_spending });
         }
-        bucket.spend(ask.cost, now);
+        bucket.spend(request.cost, now);
         Ok(())
     }
 
--- a/crates/quincevalve_forwarding/src/retry_budget.rs
+++ b/crates/quincevalve_forwarding/src/retry_budget.rs
@@ -18,7 +18,7 @@
 }
 
 /// Fraction of the budget that is used. The rest covers the VMs' windows, which aren't aligned with each other.
-const USED_SHARE: f64 = 0.7;
+const USED_FRACTION: f64 = 0.7;
 
 impl RetryLimits {
     const fn shared(&self) -> SharedLimit {
@@ -28,7 +28,7 @@
 
 /// One entry VM's share of a service's retry budget.
 ///
-/// If servers refuse or fail requests and every entry VM retries without a bound, the retries add load that outlasts
+/// If servers reject or fail requests and every entry VM retries without a bound, the retries add load that outlasts
 /// its cause. Each VM spends only its share of the slack and a ratio of its own requests, so the sum stays below the
 /// budget without coordination between the VMs.
 ///
@@ -59,7 +59,7 @@
     /// Takes one retry from the budget of `vm_count` entry VMs; returns `false` if none remains.
     pub fn try_spend(&mut self, limits: &RetryLimits, vm_count: usize, now: TimePoint) -> bool {
         self.evict_expired(limits.window, now);
-        let allowed = USED_SHARE * limits.shared().share(self.requests.len() as u64, vm_count);
+        let allowed = USED_FRACTION * limits.shared().share(self.requests.len() as u64, vm_count);
         if (self.retries.len() + 1) as f64 > allowed {
             return false;
         }
--- a/crates/quincevalve_forwarding/src/rollout/exposure.rs
+++ b/crates/quincevalve_forwarding/src/rollout/exposure.rs
@@ -2,7 +2,7 @@
 
 use crate::shared_limit::{SharedLimit, VmRank};
 
-/// Fraction of the promised limit that is used. The rest covers VMs that don't know each other yet, streams that are
+/// Fraction of the exposure limit that is used. The rest covers VMs that don't know each other yet, streams that are
 /// migrated, and faults that show only during the promotion.
 const USED_FRACTION: f64 = 0.9;
 
--- a/crates/quincevalve_forwarding/src/rollout/partial_sum.rs
+++ b/crates/quincevalve_forwarding/src/rollout/partial_sum.rs
@@ -1,4 +1,4 @@
-//! What a VM, or a collector for its members, reports of roll-outs.
+//! Partial sums that a VM, or a collector for its members, reports about roll-outs.
 
 use indexmap::IndexMap;
 use quincevalve_names::ServiceName;
@@ -61,8 +61,8 @@
 
 /// Adds another VM's or group's sums of all services.
 pub fn add_partial_sums(sum: &mut RolloutPartialSums, other: &RolloutPartialSums) {
-    for (service, share) in other {
-        sum.entry(service.clone()).or_default().add(share);
+    for (service, other) in other {
+        sum.entry(service.clone()).or_default().add(other);
     }
 }
 
--- a/crates/quincevalve_forwarding/src/rollout/table.rs
+++ b/crates/quincevalve_forwarding/src/rollout/table.rs
@@ -235,7 +235,7 @@
         self.rollouts.get(service).is_none_or(|it| it.admits(version))
     }
 
-    /// Returns whether a server of that version counts as capacity in the plan of the fleet.
+    /// Returns whether a server of that version counts as capacity in fleet planning.
     pub fn carries_load(&self, service: &ServiceName, version: &ServerVersion) -> bool {
         self.rollouts.get(service).is_none_or(|it| it.carries_load(version))
     }
@@ -302,7 +302,7 @@
         self.attempts.remove(id);
     }
 
-    /// Returns the judgement of a service's versions, with the evidence that all VMs reported.
+    /// Returns the comparison of a service's versions, with the evidence that all VMs reported.
     pub fn comparison(&self, service: &ServiceName) -> Option<&Comparison> {
         self.rollouts.get(service).map(Rollout::comparison)
     }
--- a/crates/quincevalve_forwarding/src/rollout/table/state.rs
+++ b/crates/quincevalve_forwarding/src/rollout/table/state.rs
@@ -90,7 +90,7 @@
     own_evidence: EvidenceRecorder,
     peer_sum: RolloutPartialSum,
     comparison: Comparison,
-    /// When this VM first knew a usable server of the new version.
+    /// When this VM first knew of a usable server of the new version.
     new_since: Option<TimePoint>,
     /// Fraction of the exposure limit that may be used now.
     allowed_fraction: f64,
@@ -462,11 +462,11 @@
             return VersionChoice::Any;
         };
         let ramp = self.promotion().ramp.as_secs_f64();
-        let risen = now.since(self.phase_since).as_secs_f64() / ramp;
-        if risen >= 1.0 {
+        let progress = now.since(self.phase_since).as_secs_f64() / ramp;
+        if progress >= 1.0 {
             return VersionChoice::One(new);
         }
-        let share = RAMP_START_SHARE.powf(1.0 - risen);
+        let share = RAMP_START_SHARE.powf(1.0 - progress);
         if draw < share {
             VersionChoice::WithFallback(new, old)
         } else {
--- a/crates/quincevalve_forwarding/src/rollout/verdict.rs
+++ b/crates/quincevalve_forwarding/src/rollout/verdict.rs
@@ -144,8 +144,8 @@
 /// assert_eq!(judge(&recorder.observations(TimePoint::ZERO), false, 4).verdict, Verdict::Fails);
 /// ```
 pub fn judge(observations: &Observations, is_promoting: bool, servers: usize) -> Judgement {
-    let has_others = servers > 1;
-    let view_excluding_worst = |it| EvidenceView::of(it).excluding_worst(has_others);
+    let has_other_servers = servers > 1;
+    let view_excluding_worst = |it| EvidenceView::of(it).excluding_worst(has_other_servers);
     let since_start = view_excluding_worst(&observations.all);
     let windows = [&observations.long_window, &observations.short_window].map(view_excluding_worst);
     let fails = since_start.fails(FALSE_ALARM_PROBABILITY)
@@ -198,12 +198,12 @@
         Self { evidence, outliers, excluded, kept }
     }
 
-    /// Also excludes the worst remaining server if `has_others`, whether it is an outlier or not.
-    fn excluding_worst(mut self, has_others: bool) -> Self {
-        let left = self.evidence.servers.iter().filter(|(it, _)| !self.outliers.contains(it));
+    /// Also excludes the worst remaining server if `has_other_servers`, whether it is an outlier or not.
+    fn excluding_worst(mut self, has_other_servers: bool) -> Self {
+        let remaining = self.evidence.servers.iter().filter(|(it, _)| !self.outliers.contains(it));
         let badness = |it: &Tally| (it.failed, (it.first.mean() * SLOWNESS_STEPS) as i64);
-        let worst = left.max_by_key(|(_, it)| badness(it));
-        if let Some((server, tally)) = worst.filter(|_| has_others) {
+        let worst = remaining.max_by_key(|(_, it)| badness(it));
+        if let Some((server, tally)) = worst.filter(|_| has_other_servers) {
             self.excluded = self.excluded.plus(*tally);
             self.kept = self.kept.minus(*tally);
             self.outliers.push(*server);
@@ -267,8 +267,8 @@
             (weight * (new.mean() - old.mean()), weight * weight * error)
         });
         let (mean, error) = weighted.fold((0.0, 0.0), |sum, it| (sum.0 + it.0, sum.1 + it.1));
-        let outlier_share = self.outlier_contribution(&times);
-        Difference { mean: mean - outlier_share, error: error.sqrt(), count }
+        let contribution = self.outlier_contribution(&times);
+        Difference { mean: mean - contribution, error: error.sqrt(), count }
     }
 
     /// Returns what excluded servers add to the mean. Their answers aren't counted by route, so the same is assumed of each
@@ -280,15 +280,15 @@
     /// Returns the standard error of the mean over servers, which differ whatever their version. It is a jackknife estimate:
     /// how far the mean moves without each server. `None` if only one of several servers remains.
     fn standard_error_over_servers(&self, times: impl Fn(&Tally) -> LogSum) -> Option<f64> {
-        let left = self.evidence.servers.iter().filter(|(it, _)| !self.outliers.contains(it));
-        let sums: Vec<_> = left.map(|(_, it)| times(it)).filter(|it| it.count() > 0).collect();
+        let remaining = self.evidence.servers.iter().filter(|(it, _)| !self.outliers.contains(it));
+        let sums: Vec<_> = remaining.map(|(_, it)| times(it)).filter(|it| it.count() > 0).collect();
         if sums.len() < 2 {
             return self.outliers.is_empty().then_some(0.0);
         }
         let kept = times(&self.kept);
-        let moved = sums.iter().map(|it| kept.minus(*it).mean() - kept.mean());
+        let deviations = sums.iter().map(|it| kept.minus(*it).mean() - kept.mean());
         let servers = sums.len() as f64;
-        Some((moved.map(|it| it * it).sum::<f64>() * (servers - 1.0) / servers).sqrt())
+        Some((deviations.map(|it| it * it).sum::<f64>() * (servers - 1.0) / servers).sqrt())
     }
 
     fn is_slow(&self, is_promoting: bool) -> bool {
@@ -364,12 +364,12 @@
 
 /// Returns the outliers among the servers of the new version, worst first. At most a third of the servers are outliers.
 fn outliers(evidence: &Evidence) -> Vec<u64> {
-    let most = evidence.servers.len() / SERVERS_PER_OUTLIER;
+    let max_outliers = evidence.servers.len() / SERVERS_PER_OUTLIER;
     let mut found: Vec<u64> = Vec::new();
-    while found.len() < most {
-        let left = evidence.servers.iter().filter(|(server, _)| !found.contains(server));
-        let all = left.clone().fold(Tally::default(), |sum, (_, it)| sum.plus(*it));
-        let scored = left.map(|(server, it)| (outlier_score(*it, all.minus(*it)), *server));
+    while found.len() < max_outliers {
+        let remaining = evidence.servers.iter().filter(|(server, _)| !found.contains(server));
+        let all = remaining.clone().fold(Tally::default(), |sum, (_, it)| sum.plus(*it));
+        let scored = remaining.map(|(server, it)| (outlier_score(*it, all.minus(*it)), *server));
         let Some((score, server)) = scored.max_by(|a, b| a.0.total_cmp(&b.0)) else { break };
         if score <= 0.0 {
             break;
@@ -388,13 +388,13 @@
     let fails = server.failed >= MIN_OUTLIER_SAMPLES && odds > OUTLIER_ODDS.ln();
     let (own, rest) = (server.first, others.first);
     let error = (squared_error(own) + squared_error(rest)).sqrt();
-    let later = own.mean() - rest.mean() - OUTLIER_SLOWDOWN.ln();
+    let log_slowdown = own.mean() - rest.mean() - OUTLIER_SLOWDOWN.ln();
     let is_slow = own.count() >= MIN_OUTLIER_SAMPLES
         && rest.count() >= MIN_TIMES
-        && later > SLOW_STANDARD_ERRORS * error;
+        && log_slowdown > SLOW_STANDARD_ERRORS * error;
     match (fails, is_slow) {
         (true, _) => odds,
-        (false, true) => later / error,
+        (false, true) => log_slowdown / error,
         (false, false) => 0.0,
     }
 }
--- a/crates/quincevalve_forwarding/src/server_signals.rs
+++ b/crates/quincevalve_forwarding/src/server_signals.rs
@@ -38,9 +38,9 @@
 pub struct ServerSignals {
     /// Rate limit over all entry VMs, if the server states one.
     pub limit: Option<RequestRate>,
-    /// Whether the server leaves.
+    /// Whether the server is leaving.
     pub leaving: bool,
-    /// How long the server wants no requests from the VM whose request it rejects, if it asks for rest.
+    /// Rest period during which the VM whose request was rejected must not send to the server, if it asks for one.
     pub rest: Option<Duration>,
 }
 
@@ -51,7 +51,7 @@
     pub limit: Option<RequestRate>,
     /// Time since the server stated the limit.
     pub age: Duration,
-    /// Whether the server leaves.
+    /// Whether the server is leaving.
     pub leaving: bool,
 }
 
@@ -60,7 +60,7 @@
 pub struct SignalUpdate {
     /// The server states a different limit, or no longer any.
     pub limit: bool,
-    /// The server now leaves.
+    /// The server is now leaving.
     pub leaving: bool,
 }
 
--- a/crates/quincevalve_forwarding/src/servers.rs
+++ b/crates/quincevalve_forwarding/src/servers.rs
@@ -409,21 +409,26 @@
         missing
     }
 
-    /// Records that a request showed that a server leaves.
+    /// Marks a server as leaving, as an answer or a failed request showed.
     ///
     /// Leaving is never revoked: entries lag behind answers, and an old `ready` entry would bring back a server that is
     /// about to end.
-    pub fn mark_leaving(&mut self, name: &BackendServerName, start: ServerStart, why: LeaveReason) {
+    pub fn mark_leaving(
+        &mut self,
+        name: &BackendServerName,
+        start: ServerStart,
+        reason: LeaveReason,
+    ) {
         if let Some(server) = self.get_mut(name, start) {
-            server.leaving.get_or_insert(why);
+            server.leaving.get_or_insert(reason);
         }
     }
 
     /// Records that a connection to a server failed, and returns the servers that now count as unreachable: the server
     /// alone, or all servers of its data centre.
     ///
-    /// After two different servers, the whole data centre is paused. Otherwise, when a data
-    /// centre is cut off, one caller per server would wait for a connection in vain.
+    /// After two different servers, the whole data centre is paused. Otherwise, when a data centre is cut off, one
+    /// caller per server would wait for a connection in vain.
     pub fn mark_unreachable(
         &mut self,
         name: &BackendServerName,
@@ -525,10 +530,10 @@
     /// Returns whether a server may get new requests.
     ///
     /// If the store is unreachable, entries expire, and all servers look removed when it returns; every request would
-    /// be refused for two seconds. Entries that went missing around an outage therefore count until running servers
+    /// be rejected for two seconds. Entries that went missing around an outage therefore count until running servers
     /// have had time to restore them.
     ///
-    /// If a VM gets no processor time for two seconds, its first answer of the store looks like the end of an outage.
+    /// If a VM gets no processor time for two seconds, its first answer from the store looks like the end of an outage.
     /// So that requests don't reach servers that left meanwhile, missing entries are only a last resort until the
     /// outage is confirmed.
     pub fn is_usable(&self, server: &Server, now: TimePoint) -> bool {
@@ -566,7 +571,7 @@
     /// merely have expired.
     ///
     /// If all entries expire in an outage and a VM that can't read the store yet learns of their removal, it would
-    /// otherwise refuse every request for two seconds. A removed server is only a last resort: where others are listed,
+    /// otherwise reject every request for two seconds. A removed server is only a last resort: where others are listed,
     /// a single removal means that the server leaves.
     pub fn is_eligible(&self, server: &Server, now: TimePoint) -> bool {
         self.is_usable(server, now)
@@ -623,10 +628,10 @@
         work.filter(|(_, it)| it.is_significant()).collect()
     }
 
-    /// Sets the work of all other VMs. Servers that `works` doesn't contain have no significant work.
-    pub fn set_peer_work(&mut self, works: &ServerWork, now: TimePoint) {
+    /// Sets the work of all other VMs. Servers that `peer_work` doesn't contain have no significant work.
+    pub fn set_peer_work(&mut self, peer_work: &ServerWork, now: TimePoint) {
         for server in self.servers.values_mut() {
-            let work = works.get(&server.hash).copied().unwrap_or_default();
+            let work = peer_work.get(&server.hash).copied().unwrap_or_default();
             server.load.set_peer_work(work, now);
         }
     }
--- a/crates/quincevalve_forwarding/src/signal_outbox.rs
+++ b/crates/quincevalve_forwarding/src/signal_outbox.rs
@@ -21,7 +21,7 @@
     OwnCollector,
 }
 
-/// Number of datagrams to the same VM that carry an update, because one or two may be lost.
+/// Number of datagrams to the same VM that carry an update; one or two of them may be lost.
 const SENDS_PER_UPDATE: u8 = 3;
 
 /// Servers whose signals are still to be reported, by recipients.
--- a/crates/quincevalve_forwarding/src/wall_clock.rs
+++ b/crates/quincevalve_forwarding/src/wall_clock.rs
@@ -19,7 +19,7 @@
 
 /// Lifetime of an estimate from a VM with more sources.
 const ESTIMATE_TTL: Duration = Duration::from_secs(3);
-/// A digest that was delayed looks like one from a slow clock. The fastest reading within this window counts.
+/// Window within which the fastest reading of a source counts, since a delayed digest looks like one from a slow clock.
 const FASTEST_READING_WINDOW: Duration = Duration::from_secs(3);
 
 /// Returns `known` if its offset is greater and its reading still within the window, otherwise `new`: transmission
--- a/crates/quincevalve_forwarding/tests/chunk_fetch.rs
+++ b/crates/quincevalve_forwarding/tests/chunk_fetch.rs
@@ -23,8 +23,9 @@
 
 /// Number of sources that have the value from the beginning.
 const FIRST_SOURCES: usize = 3;
-/// Bandwidth of a strong and of a weak VM's link, in bytes per millisecond.
+/// Bandwidth of a strong VM's link, in bytes per millisecond.
 const STRONG_LINK: f64 = 25_000.0;
+/// Bandwidth of a weak VM's link, in bytes per millisecond.
 const WEAK_LINK: f64 = 2_500.0;
 /// Latency of a datagram in milliseconds.
 const LATENCY: f64 = 0.5;
@@ -42,7 +43,7 @@
     /// Whether the first sources are down.
     first_are_down: bool,
     /// Maximum fraction of VMs that read the store themselves.
-    may_read: f64,
+    max_read_fraction: f64,
 }
 
 enum Datagram {
@@ -58,11 +59,11 @@
     value: Vec<u8>,
     fetches: Vec<Option<ChunkFetch>>,
     slots: Vec<ServeSlots>,
-    /// VMs that read the store themselves, and when they have finished, in milliseconds.
-    readings: Vec<(f64, usize)>,
-    /// When each VM had the whole value, in milliseconds.
+    /// VMs that read the store themselves, each with the time in milliseconds at which it has finished.
+    store_reads: Vec<(f64, usize)>,
+    /// Time in milliseconds at which each VM had the whole value.
     finished_at: Vec<Option<f64>>,
-    /// When each VM's link is free again, in milliseconds.
+    /// Time in milliseconds from which each VM's link is free again.
     link_free: Vec<f64>,
     in_flight: BTreeMap<(u64, u64), (usize, usize, Datagram)>,
     sent: u64,
@@ -98,7 +99,7 @@
                 .map(|it| (!is_source(it)).then(|| fetch(it, &mut rng)))
                 .collect(),
             slots: vec![ServeSlots::default(); scenario.vms],
-            readings: Vec::new(),
+            store_reads: Vec::new(),
             finished_at: (0..scenario.vms).map(|it| is_source(it).then_some(0.0)).collect(),
             link_free: vec![0.0; scenario.vms],
             in_flight: BTreeMap::new(),
@@ -141,7 +142,7 @@
             FetchStep::Wait(_) => {}
             FetchStep::GiveUp => {
                 self.fetches[vm] = None;
-                self.readings.push((self.now + STORE_READ_TIME, vm));
+                self.store_reads.push((self.now + STORE_READ_TIME, vm));
             }
         }
     }
@@ -169,8 +170,8 @@
             Datagram::Request(request) => {
                 let version = to as u64 + 1;
                 let is_requested = |it: &Chunk| match request.version {
-                    Some(finished_at) => finished_at == version && request.chunks.contains(&it.at),
-                    None => (it.at as usize) < WINDOW,
+                    Some(requested) => requested == version && request.chunks.contains(&it.index),
+                    None => (it.index as usize) < WINDOW,
                 };
                 let chunks = split_into_chunks(version, &self.value);
                 chunks.into_iter().filter(is_requested).for_each(|it| {
@@ -190,14 +191,14 @@
         }
     }
 
-    /// Runs until all VMs have the value. Returns how many read the store, when the last one had the value in
-    /// milliseconds, and the bytes sent.
+    /// Runs until all VMs have the value. Returns how many read the store, the time in milliseconds at which the last
+    /// one had the value, and the bytes sent.
     fn simulate(mut self) -> (usize, f64, u64) {
         while self.finished_at.iter().any(Option::is_none) && self.now < 20_000.0 {
             for vm in 0..self.scenario.vms {
                 self.step_fetch(vm);
             }
-            for (at, vm) in self.readings.clone() {
+            for (at, vm) in self.store_reads.clone() {
                 if at <= self.now {
                     self.finished_at[vm].get_or_insert(at);
                 }
@@ -214,18 +215,18 @@
             self.now = (until as f64 / 1_000.0).max(self.now);
         }
         let last = self.finished_at.iter().map(|it| it.unwrap_or(f64::MAX)).fold(0.0, f64::max);
-        (self.readings.len(), last, self.bytes)
+        (self.store_reads.len(), last, self.bytes)
     }
 }
 
 /// Checks that all VMs have the value within `within` milliseconds, few read the store, and little is sent twice.
 fn check_all_get_the_value(scenario: Scenario, seeds: u64, within: f64) {
     for seed in 0..seeds {
-        let (readings, last, bytes) = World::new(scenario, seed).simulate();
-        eprintln!("{} VMs: the last after {last} ms, {readings} read the store", scenario.vms);
+        let (store_reads, last, bytes) = World::new(scenario, seed).simulate();
+        eprintln!("{} VMs: the last after {last} ms, {store_reads} read the store", scenario.vms);
         assert!(
-            readings as f64 <= scenario.may_read * scenario.vms as f64,
-            "seed {seed}: {readings}"
+            store_reads as f64 <= scenario.max_read_fraction * scenario.vms as f64,
+            "seed {seed}: {store_reads}"
         );
         assert!(last <= within, "seed {seed}: {last} ms");
         let min_bytes = (scenario.vms * scenario.value) as f64;
@@ -234,7 +235,7 @@
 }
 
 const HUNDREDS: Scenario =
-    Scenario { vms: 165, value: 300_000, loss: 0.0, first_are_down: false, may_read: 0.0 };
+    Scenario { vms: 165, value: 300_000, loss: 0.0, first_are_down: false, max_read_fraction: 0.0 };
 
 macro_rules! start_tests {
     ($($name:ident => $scenario:expr, $seeds:literal, $within:expr;)+) => {
@@ -248,7 +249,7 @@
     a_data_centre_of_a_thousand_vms_starts => HUNDREDS, 3, 2_000.0;
     a_data_centre_of_two_thousand_vms_starts => Scenario { vms: 333, value: 600_000, ..HUNDREDS }, 1, 4_000.0;
     all_vms_get_the_value_when_datagrams_are_lost => Scenario { loss: 0.05, ..HUNDREDS }, 3, 2_500.0;
-    all_vms_get_the_value_when_the_first_sources_are_down => Scenario { first_are_down: true, may_read: 0.25, ..HUNDREDS }, 3, 3_500.0;
+    all_vms_get_the_value_when_the_first_sources_are_down => Scenario { first_are_down: true, max_read_fraction: 0.25, ..HUNDREDS }, 3, 3_500.0;
 }
 
 // A source fails in the middle of a fetch. Its chunks must not be combined with those of the next source.
@@ -264,16 +265,16 @@
         None,
         "no chunk was requested from it"
     );
-    let mut asked = HashMap::new();
+    let mut requests = HashMap::new();
     let mut now = 2;
     for _ in 0..4 {
         now += RETRY_INTERVAL.as_millis() as u64;
         if let FetchStep::Send { source, request } = fetch.next(ms(now)) {
-            asked.insert(source, request);
+            requests.insert(source, request);
         }
     }
-    assert_eq!(asked[&address(1)], ChunkRequest { version: Some(7), chunks: vec![1, 2] });
-    assert_eq!(asked[&address(2)], ChunkRequest::default());
+    assert_eq!(requests[&address(1)], ChunkRequest { version: Some(7), chunks: vec![1, 2] });
+    assert_eq!(requests[&address(2)], ChunkRequest::default());
     assert_eq!(fetch.receive(address(2), second[1].clone(), ms(now)), None);
     assert_eq!(fetch.receive(address(2), second[2].clone(), ms(now)), None);
     assert_eq!(fetch.receive(address(2), second[0].clone(), ms(now)), Some(value));
--- a/crates/quincevalve_forwarding/tests/chunks.rs
+++ b/crates/quincevalve_forwarding/tests/chunks.rs
@@ -24,9 +24,12 @@
 #[test]
 fn rejects_chunks_with_an_invalid_index_or_count() {
     let mut assembly = Assembly::default();
-    assert_eq!(assembly.add(Chunk { version: 1, at: 3, of: 2, bytes: vec![0] }), None);
-    assert_eq!(assembly.add(Chunk { version: 1, at: 0, of: u32::MAX, bytes: vec![0] }), None);
-    assert_eq!(assembly.add(Chunk { version: 1, at: 0, of: 1, bytes: vec![9] }), Some(vec![9]));
+    assert_eq!(assembly.add(Chunk { version: 1, index: 3, count: 2, bytes: vec![0] }), None);
+    assert_eq!(assembly.add(Chunk { version: 1, index: 0, count: u32::MAX, bytes: vec![0] }), None);
+    assert_eq!(
+        assembly.add(Chunk { version: 1, index: 0, count: 1, bytes: vec![9] }),
+        Some(vec![9])
+    );
 }
 
 proptest! {
@@ -46,9 +49,9 @@
         let value = value(bytes, 3);
         let chunks = split_into_chunks(9, &value);
         let mut assembly = Assembly::default();
-        let sent = order.iter().filter(|(_, lost)| !lost).map(|(at, _)| at % chunks.len());
-        for at in sent.chain(0..chunks.len()) {
-            if let Some(whole) = assembly.add(chunks[at].clone()) {
+        let sent = order.iter().filter(|(_, lost)| !lost).map(|(index, _)| index % chunks.len());
+        for index in sent.chain(0..chunks.len()) {
+            if let Some(whole) = assembly.add(chunks[index].clone()) {
                 prop_assert_eq!(&whole, &value);
                 return Ok(());
             }
--- a/crates/quincevalve_forwarding/tests/digest_pace.rs
+++ b/crates/quincevalve_forwarding/tests/digest_pace.rs
@@ -8,8 +8,9 @@
 /// Bytes of a digest for each server that has work.
 const BYTES_PER_SERVER: usize = 24;
 
-/// A VM: its link in bytes per second, and its processor share in thousandths of a core.
+/// A weak VM: its link in bytes per second, and its processor share in thousandths of a core.
 const WEAK: (u64, u32) = (2_500_000, 120);
+/// A strong VM, in the same units.
 const STRONG: (u64, u32) = (25_000_000, 500);
 
 fn pace((link, cpu): (u64, u32), servers: usize) -> DigestPace {
--- a/crates/quincevalve_forwarding/tests/digests.rs
+++ b/crates/quincevalve_forwarding/tests/digests.rs
@@ -22,7 +22,7 @@
     "desk".into()
 }
 
-fn card(at: usize) -> VmDescriptor {
+fn descriptor(at: usize) -> VmDescriptor {
     VmDescriptor {
         name: format!("vm-{at}"),
         address: ([10, 0, (at / 200) as u8, (at % 200) as u8], 7600).into(),
@@ -31,14 +31,14 @@
     }
 }
 
-fn book(me: usize, count: usize) -> PeerTable {
-    let mut book = PeerTable::new(card(me));
-    book.replace_all((0..count).map(card).collect());
-    book
+fn table(me: usize, count: usize) -> PeerTable {
+    let mut table = PeerTable::new(descriptor(me));
+    table.replace_all((0..count).map(descriptor).collect());
+    table
 }
 
-fn collector_of(book: &PeerTable, now: TimePoint) -> Option<String> {
-    match book.role(false, now) {
+fn collector_of(table: &PeerTable, now: TimePoint) -> Option<String> {
+    match table.role(false, now) {
         Role::Collector { .. } => None,
         Role::Member { collector, .. } => Some(collector),
     }
@@ -46,14 +46,14 @@
 
 #[test]
 fn all_vms_of_a_small_system_send_digests_to_each_other() {
-    let Role::Collector { others } = book(0, 8).role(false, ms(0)) else { panic!("a member") };
+    let Role::Collector { others } = table(0, 8).role(false, ms(0)) else { panic!("a member") };
     assert_eq!(others.len(), 7);
 }
 
 #[test]
 fn the_strongest_vm_of_a_data_centre_is_its_collector_in_a_large_system() {
     let chosen: HashSet<_> =
-        (0..360).filter_map(|me| collector_of(&book(me, 360), ms(0))).collect();
+        (0..360).filter_map(|me| collector_of(&table(me, 360), ms(0))).collect();
     assert_eq!(chosen.len(), 4, "{chosen:?}");
     for name in &chosen {
         let at: usize = name["vm-".len()..].parse().unwrap();
@@ -63,9 +63,11 @@
 
 #[test]
 fn a_collector_sends_to_few_vms_of_other_data_centres() {
-    let collectors = (0..360).filter(|me| collector_of(&book(*me, 360), ms(0)).is_none());
+    let collectors = (0..360).filter(|me| collector_of(&table(*me, 360), ms(0)).is_none());
     for me in collectors {
-        let Role::Collector { others } = book(me, 360).role(false, ms(0)) else { panic!("member") };
+        let Role::Collector { others } = table(me, 360).role(false, ms(0)) else {
+            panic!("member")
+        };
         assert!(others.len() <= 6, "{others:?}");
     }
 }
@@ -74,45 +76,45 @@
 // next collector after less than a second.
 #[test]
 fn replaces_a_silent_collector() {
-    let mut book = book(100, 360);
-    let first = collector_of(&book, ms(0)).unwrap();
-    let address = book.descriptor(&first).unwrap().address;
-    book.record_datagram_sent(address, ms(0));
-    assert_eq!(collector_of(&book, ms(500)), Some(first.clone()));
-    let second = collector_of(&book, ms(900)).unwrap();
+    let mut table = table(100, 360);
+    let first = collector_of(&table, ms(0)).unwrap();
+    let address = table.descriptor(&first).unwrap().address;
+    table.record_datagram_sent(address, ms(0));
+    assert_eq!(collector_of(&table, ms(500)), Some(first.clone()));
+    let second = collector_of(&table, ms(900)).unwrap();
     assert_ne!(first, second);
-    let card = book.descriptor(&first).unwrap().clone();
-    book.record_received(&card, ms(1_000));
-    assert_eq!(collector_of(&book, ms(1_000)), Some(first));
+    let descriptor = table.descriptor(&first).unwrap().clone();
+    table.record_received(&descriptor, ms(1_000));
+    assert_eq!(collector_of(&table, ms(1_000)), Some(first));
 }
 
 // When all VMs start together, the strongest of a data centre may answer too late once. If weak VMs stayed collectors,
 // unknown to other data centres, some engines would be overloaded while most are idle. The strongest VM is tried again.
 #[test]
 fn tries_a_collector_again_that_was_silent_once() {
-    let mut book = book(100, 360);
-    let first = collector_of(&book, ms(0)).unwrap();
-    let card = book.descriptor(&first).unwrap().clone();
-    assert_eq!(book.preferred_collector(ms(0)), None);
-    book.record_datagram_sent(card.address, ms(0));
-    assert_eq!(book.preferred_collector(ms(1_000)), Some(card.address));
-    book.record_received(&card, ms(1_100));
-    assert_eq!(book.preferred_collector(ms(1_100)), None);
-    assert_eq!(collector_of(&book, ms(1_100)), Some(first));
+    let mut table = table(100, 360);
+    let first = collector_of(&table, ms(0)).unwrap();
+    let descriptor = table.descriptor(&first).unwrap().clone();
+    assert_eq!(table.preferred_collector(ms(0)), None);
+    table.record_datagram_sent(descriptor.address, ms(0));
+    assert_eq!(table.preferred_collector(ms(1_000)), Some(descriptor.address));
+    table.record_received(&descriptor, ms(1_100));
+    assert_eq!(table.preferred_collector(ms(1_100)), None);
+    assert_eq!(collector_of(&table, ms(1_100)), Some(first));
 }
 
 #[test]
 fn other_data_centres_send_to_a_replacement_collector() {
-    let mut book = book(100, 360);
+    let mut table = table(100, 360);
     for _ in 0..10 {
-        if let Some(name) = collector_of(&book, ms(5_000)) {
-            let address = book.descriptor(&name).unwrap().address;
-            book.record_datagram_sent(address, ms(0));
+        if let Some(name) = collector_of(&table, ms(5_000)) {
+            let address = table.descriptor(&name).unwrap().address;
+            table.record_datagram_sent(address, ms(0));
         }
     }
-    let last = collector_of(&book, ms(5_000)).unwrap();
+    let last = collector_of(&table, ms(5_000)).unwrap();
     let mut tried = Vec::new();
-    let mut other = self::book(101, 360);
+    let mut other = self::table(101, 360);
     while let Role::Collector { others } = other.role(true, ms(5_000)) {
         let new: Vec<_> = others.into_iter().filter(|it| !tried.contains(it)).collect();
         if new.is_empty() {
@@ -123,35 +125,35 @@
         }
         tried.extend(new);
     }
-    assert!(tried.contains(&book.descriptor(&last).unwrap().address));
+    assert!(tried.contains(&table.descriptor(&last).unwrap().address));
 }
 
 #[test]
 fn drops_a_silent_vm_that_is_no_longer_listed() {
-    let mut book = book(0, 3);
-    book.record_received(&card(1), ms(0));
-    book.mark_unlisted("vm-1");
-    assert!(book.remove_expired(ms(9_000)).is_empty());
-    assert_eq!(book.remove_expired(ms(10_001)), ["vm-1"]);
-    assert_eq!(book.vm_count(), 2);
+    let mut table = table(0, 3);
+    table.record_received(&descriptor(1), ms(0));
+    table.mark_unlisted("vm-1");
+    assert!(table.remove_expired(ms(9_000)).is_empty());
+    assert_eq!(table.remove_expired(ms(10_001)), ["vm-1"]);
+    assert_eq!(table.vm_count(), 2);
 }
 
 // When the duty holder's VM is reclaimed, its successor must not wait for that VM's counts; otherwise usage reports are
 // late. A VM without an entry is awaited only while its digests arrive.
 #[test]
 fn does_not_await_a_silent_vm_that_is_no_longer_listed() {
-    let mut book = book(0, 3);
-    book.record_received(&card(1), ms(0));
-    book.mark_unlisted("vm-1");
-    assert_eq!(book.expected_reporters(ms(1_900)).collect::<Vec<_>>(), ["vm-1", "vm-2"]);
-    assert_eq!(book.expected_reporters(ms(2_100)).collect::<Vec<_>>(), ["vm-2"]);
+    let mut table = table(0, 3);
+    table.record_received(&descriptor(1), ms(0));
+    table.mark_unlisted("vm-1");
+    assert_eq!(table.expected_reporters(ms(1_900)).collect::<Vec<_>>(), ["vm-1", "vm-2"]);
+    assert_eq!(table.expected_reporters(ms(2_100)).collect::<Vec<_>>(), ["vm-2"]);
 }
 
 #[test]
 fn two_vms_of_a_small_system_read_the_store() {
-    let role = |me| book(me, 8).store_read_role(false, ms(0));
+    let role = |me| table(me, 8).store_read_role(false, ms(0));
     assert_eq!((0..8).filter(|me| role(*me) == StoreReadRole::Reader).count(), 2);
-    assert_eq!((0..8).filter(|me| book(*me, 8).relays_store(false, ms(0))).count(), 2);
+    assert_eq!((0..8).filter(|me| table(*me, 8).relays_store(false, ms(0))).count(), 2);
 }
 
 fn work(requests: u32) -> IndexMap<u64, WorkSum> {
@@ -208,41 +210,41 @@
 }
 
 #[test]
-fn an_excerpt_contains_the_changes_after_a_revision() {
-    let excerpt = log().since(11, 100, |_| 1).unwrap();
-    assert_eq!(excerpt.changes, [(13, "b"), (13, "c"), (17, "d")]);
-    assert_eq!((excerpt.after, excerpt.upto), (11, 20));
+fn a_batch_contains_the_changes_after_a_revision() {
+    let batch = log().since(11, 100, |_| 1).unwrap();
+    assert_eq!(batch.changes, [(13, "b"), (13, "c"), (17, "d")]);
+    assert_eq!((batch.after, batch.upto), (11, 20));
 }
 
-// If an excerpt ended inside a revision because the datagram is full, the receiver would consider the revision
-// complete. An excerpt ends before the first revision that doesn't fit.
+// If a batch ended inside a revision because the datagram is full, the receiver would consider the revision
+// complete. A batch ends before the first revision that doesn't fit.
 #[test]
-fn an_excerpt_does_not_end_inside_a_revision() {
-    let excerpt = log().since(10, 2, |_| 1).unwrap();
-    assert_eq!(excerpt.changes, [(11, "a")]);
-    assert_eq!(excerpt.upto, 12);
+fn a_batch_does_not_end_inside_a_revision() {
+    let batch = log().since(10, 2, |_| 1).unwrap();
+    assert_eq!(batch.changes, [(11, "a")]);
+    assert_eq!(batch.upto, 12);
 }
 
 // After a reclaim wave, a digest with many large changes could exceed a datagram and be truncated; the next one would
-// repeat them and be larger, until all VMs of a large system read the store themselves. An excerpt is therefore bounded
+// repeat them and be larger, until all VMs of a large system read the store themselves. A batch is therefore bounded
 // in bytes, and each one advances the receiver.
 #[test]
-fn an_excerpt_is_bounded_in_bytes_and_the_next_one_continues() {
+fn a_batch_is_bounded_in_bytes_and_the_next_one_continues() {
     let weigh = |it: &&str| if *it == "a" { 700 } else { 300 };
     let mut revision = 10;
     let mut received = Vec::new();
     while revision < 20 {
-        let excerpt = log().since(revision, 600, weigh).unwrap();
-        assert!(excerpt.changes.len() <= 2, "{excerpt:?}");
-        assert!(excerpt.upto > revision, "advances even if a single change is too large");
-        revision = excerpt.upto;
-        received.extend(excerpt.changes.into_iter().map(|(_, it)| it));
+        let batch = log().since(revision, 600, weigh).unwrap();
+        assert!(batch.changes.len() <= 2, "{batch:?}");
+        assert!(batch.upto > revision, "advances even if a single change is too large");
+        revision = batch.upto;
+        received.extend(batch.changes.into_iter().map(|(_, it)| it));
     }
     assert_eq!(received, ["a", "b", "c", "d"]);
 }
 
 #[test]
-fn returns_no_excerpt_for_a_revision_before_the_start_of_the_log() {
+fn returns_no_batch_for_a_revision_before_the_start_of_the_log() {
     assert_eq!(log().since(9, 100, |_| 1), None);
 }
 
--- a/crates/quincevalve_forwarding/tests/duty.rs
+++ b/crates/quincevalve_forwarding/tests/duty.rs
@@ -1,4 +1,4 @@
-//! When the holder of the duty may act.
+//! Tests when the holder of the duty may act.
 
 mod support;
 
--- a/crates/quincevalve_forwarding/tests/fleet_size.rs
+++ b/crates/quincevalve_forwarding/tests/fleet_size.rs
@@ -98,7 +98,11 @@
     let orders = send(&mut planner, 5.0, &present, OrderOutcome::NoneAvailable);
     assert!(count(&orders, ServerKind::OnDemand) >= 2, "{orders:?}");
     let first = orders.iter().find(|it| it.kind == ServerKind::OnDemand && it.count > 0);
-    assert_eq!(first.map(|it| it.data_centre.as_str()), Some("b"), "not the cheapest");
+    assert_eq!(
+        first.map(|it| it.data_centre.as_str()),
+        Some("b"),
+        "the data centre is not the cheapest"
+    );
 }
 
 #[test]
@@ -120,8 +124,8 @@
         let orders = send(&mut planner, busy, &present, OrderOutcome::NoneAvailable);
         let all = count(&orders, ServerKind::OnDemand);
         let on_demand = orders.iter().filter(|it| it.kind == ServerKind::OnDemand);
-        let most = on_demand.map(|it| it.count).max().unwrap();
-        assert!(2 * most <= all + 1, "{busy}: {orders:?}");
+        let max_count = on_demand.map(|it| it.count).max().unwrap();
+        assert!(2 * max_count <= all + 1, "{busy}: {orders:?}");
     }
 }
 
@@ -163,8 +167,9 @@
     assert!(on_demand <= 4, "{on_demand}");
 }
 
-// Guards against rejecting all callers for five seconds: a holder that took over during a reclaim wave had ordered no
-// on-demand servers itself, and released all of them as soon as reclaimable ones were available, before those were ready.
+// Guards against rejecting all callers for five seconds: a holder that takes over during a reclaim wave has ordered no
+// on-demand servers itself, and could release all of them as soon as reclaimable ones are available, before those are
+// ready.
 #[test]
 fn a_new_holder_keeps_on_demand_servers_until_starting_ones_are_ready() {
     let substitutes = fleet([0; 4], [0, 5, 0, 5]);
@@ -184,8 +189,8 @@
     }
 }
 
-// Guards against unneeded on-demand servers that stay while entry VMs are restarted in turn: each new duty holder waited to
-// discover all servers, and was restarted before it released any.
+// Guards against unneeded on-demand servers that stay while entry VMs are restarted in turn, because each new duty holder
+// waits to discover all servers and is restarted before it releases any.
 #[test]
 fn a_new_holder_that_has_long_known_the_servers_releases_them_soon() {
     let present = fleet([12; 4], [10; 4]);
@@ -198,8 +203,9 @@
     assert!(released.is_some(), "a holder of three seconds releases nothing");
 }
 
-// Guards against callers that are late for five seconds: half of the on-demand servers were released because the demand was
-// half of what was expected, and a second later the next data centre was reclaimed. They stay between the steps of a wave.
+// Guards against answers that are late for five seconds, because half of the on-demand servers are released when the
+// demand is half of what was expected, and a second later the next data centre is reclaimed. On-demand servers stay
+// between the steps of a wave.
 #[test]
 fn on_demand_servers_stay_between_the_steps_of_a_reclaim_wave() {
     let none = fleet([0; 4], [0; 4]);
@@ -216,8 +222,8 @@
         orders.iter().any(|it| it.kind == ServerKind::OnDemand)
     };
     assert!(!fewer(&mut planner, 100));
-    assert!(!fewer(&mut planner, 8_000), "they are released between two steps");
-    assert!(fewer(&mut planner, 10_200), "they are never released");
+    assert!(!fewer(&mut planner, 8_000), "released between two steps");
+    assert!(fewer(&mut planner, 10_200), "never released");
 }
 
 // Guards against a fleet that grows to its limits for minutes because a new holder counts each VM's whole past as new demand
@@ -274,7 +280,7 @@
 }
 
 // Guards against a fleet that permanently runs on expensive on-demand servers, because the order for its reclaimed servers
-// was not sent again.
+// isn't sent again.
 #[test]
 fn orders_reclaimed_servers_again() {
     let whole = fleet([3; 4], [0; 4]);
@@ -288,8 +294,8 @@
     assert_eq!((orders[0].data_centre.as_str(), orders[0].count), ("b", 3));
 }
 
-// Guards against a data centre that lacks servers for half a minute after a reclaim: the demand had fallen a little since
-// the last order, and the smaller order was delayed like a reduction. Missing servers are ordered at once.
+// Guards against a data centre that lacks servers for half a minute after a reclaim, because the demand has fallen a
+// little since the last order and the smaller order is delayed like a reduction. Missing servers are ordered at once.
 #[test]
 fn orders_reclaimed_servers_again_when_fewer_suffice() {
     let whole = fleet([3; 4], [0; 4]);
--- a/crates/quincevalve_forwarding/tests/leaving.rs
+++ b/crates/quincevalve_forwarding/tests/leaving.rs
@@ -26,13 +26,13 @@
     assert!(!usable(&table, ms(200)));
 }
 
-const LEAVES: ServerSignals = ServerSignals { limit: None, leaving: true, rest: None };
+const LEAVING_SIGNALS: ServerSignals = ServerSignals { limit: None, leaving: true, rest: None };
 
-/// A table in which server 0 announced in an answer that it leaves.
-fn leaves_by_answer() -> ServerTable {
+/// Returns a table in which server 0 announced in an answer that it leaves.
+fn table_with_announcement() -> ServerTable {
     let mut table = table(1);
     let server = table.get_mut(&server(0), START).expect("listed");
-    assert!(server.apply_signals(&LEAVES, ms(100)).leaving);
+    assert!(server.apply_signals(&LEAVING_SIGNALS, ms(100)).leaving);
     table
 }
 
@@ -42,7 +42,7 @@
         $(
             #[test]
             fn $name() {
-                let mut table = leaves_by_answer();
+                let mut table = table_with_announcement();
                 let later: fn(&mut ServerTable) = $later;
                 later(&mut table);
                 assert!(!usable(&table, ms(10_000)));
@@ -83,7 +83,8 @@
 
 #[test]
 fn marks_a_server_as_leaving_when_a_report_says_so() {
-    let report = leaves_by_answer().get(&server(0)).and_then(|it| it.signals_to_report(ms(150)));
+    let report =
+        table_with_announcement().get(&server(0)).and_then(|it| it.signals_to_report(ms(150)));
     let mut table = table(1);
     let server_0 = table.get_mut(&server(0), START).expect("listed");
     assert!(server_0.apply_report(&report.expect("a report"), ms(200)).leaving);
@@ -93,18 +94,18 @@
 // A VM that starts during a store outage gets entries from its peers; they must include announcements from answers.
 #[test]
 fn listed_entries_include_announcements_in_answers() {
-    let table = leaves_by_answer();
+    let table = table_with_announcement();
     assert!(table.listed_entries().all(|(_, entry)| entry.draining));
 }
 
 #[test]
 fn uses_a_new_start_of_a_server_that_left() {
-    let mut table = leaves_by_answer();
+    let mut table = table_with_announcement();
     table.apply_entry(&server(0), restarted("a", 2), ms(200));
     assert!(usable(&table, ms(200)));
 }
 
-// An address was reassigned to a new server, which revealed that in its refusal, while the entry of the old one is
+// An address was reassigned to a new server, which revealed that when it rejected a request, while the entry of the old one is
 // still listed. Requests would be answered by a server of another service.
 #[test]
 fn a_server_whose_address_was_reassigned_is_not_used() {
@@ -131,21 +132,21 @@
     assert!(!usable(&table, ms(100)));
 }
 
-// A leaving server's entry expired and came back, and its expected stop was lost, so that its streams weren't migrated
-// but cut.
+// If the expected stop of a leaving server were lost when its entry expires and returns, its streams would be cut
+// instead of migrated.
 #[test]
 fn keeps_the_expected_stop_when_an_entry_returns() {
     let mut table = ServerTable::default();
     table.apply_entry(&server(0), draining("a"), ms(0));
-    let goes_at = table.expected_stop(&server(0), START);
-    assert!(goes_at.is_some());
+    let expected_stop = table.expected_stop(&server(0), START);
+    assert!(expected_stop.is_some());
     table.remove_entry(&server(0), ms(100));
     assert!(table.apply_entry(&server(0), entry("a"), ms(200)), "it was not listed");
     assert!(!table.apply_entry(&server(0), entry("a"), ms(300)), "it was");
-    assert_eq!(table.expected_stop(&server(0), START), goes_at);
+    assert_eq!(table.expected_stop(&server(0), START), expected_stop);
 }
 
-// After a store outage, all entries have expired although the servers run; every request would be refused for two
+// After a store outage, all entries have expired although the servers run, and every request would be rejected for two
 // seconds. Such servers are used until running servers have had time to restore their entries.
 #[test]
 fn uses_servers_with_expired_entries_for_two_seconds_after_an_outage() {
@@ -189,8 +190,8 @@
     table.apply_entry(&server(0), reclaimable("a"), ms(0));
     assert_eq!(table.expected_stop(&server(0), START), None);
     table.remove_entry(&server(0), ms(100));
-    let goes_at = table.expected_stop(&server(0), START).unwrap();
-    assert!(goes_at > ms(100) && goes_at <= ms(1_100), "{goes_at:?}");
+    let expected_stop = table.expected_stop(&server(0), START).unwrap();
+    assert!(expected_stop > ms(100) && expected_stop <= ms(1_100), "{expected_stop:?}");
     table.apply_entry(&server(0), reclaimable("a"), ms(400));
     assert_eq!(table.expected_stop(&server(0), START), None);
 }
@@ -214,7 +215,7 @@
 }
 
 // The store lost all entries in an outage, and a VM that couldn't read it yet received their removal from a peer. It
-// must use the servers until they have had time to restore their entries, instead of refusing all requests.
+// must use the servers until they have had time to restore their entries, instead of rejecting all requests.
 #[test]
 fn uses_servers_whose_entries_all_expired_until_they_could_return() {
     let mut table = table(4);
@@ -225,9 +226,13 @@
     assert!(table.may_be_incomplete(ms(7_000)));
     assert_eq!(table.usable(&"engines".into(), ms(7_100)).count(), 4);
     assert!(table.is_eligible(table.get(&server(0)).unwrap(), ms(7_100)));
-    assert_eq!(table.usable(&"engines".into(), ms(9_400)).count(), 0, "they had their time");
+    assert_eq!(table.usable(&"engines".into(), ms(9_400)).count(), 0, "they had time to return");
     table.apply_entry(&server(2), entry("c"), ms(8_000));
-    assert_eq!(table.usable(&"engines".into(), ms(8_100)).count(), 1, "others are there again");
+    assert_eq!(
+        table.usable(&"engines".into(), ms(8_100)).count(),
+        1,
+        "another server is listed again"
+    );
     assert!(!table.is_eligible(table.get(&server(0)).unwrap(), ms(8_100)));
 }
 
@@ -242,8 +247,8 @@
     assert!(!table.is_eligible(table.get(&server(0)).unwrap(), ms(2_100)));
 }
 
-// Entries expired in an outage, and a new lease holder based its orders on the few listed servers, so that half of the
-// fleet was returned. The list counts as incomplete until some time after the store's return.
+// If a new lease holder based its orders on the few servers whose entries did not expire in an outage, it would release
+// half of the fleet. The list counts as incomplete until some time after the store's return.
 #[test]
 fn the_list_may_be_incomplete_until_servers_had_time_to_return() {
     let mut table = table(4);
@@ -255,11 +260,11 @@
     assert!(!table.may_be_incomplete(ms(9_400)));
     table.begin_store_outage(ms(20_000));
     table.end_store_outage(ms(20_500));
-    assert!(!table.may_be_incomplete(ms(20_600)), "nothing lapses in a call that failed");
+    assert!(!table.may_be_incomplete(ms(20_600)), "no entry expires during a single failed call");
 }
 
-// After the store's return, all removed servers counted as expired for two seconds, including those removed before the
-// outage. Only entries that went missing since the store last answered can have expired in its outage.
+// If all removed servers counted as expired for two seconds after the store's return, servers removed before the outage
+// would be used again. Only entries that went missing since the store last answered can have expired in its outage.
 #[test]
 fn a_server_removed_before_an_outage_stays_excluded() {
     let mut table = table(4);
@@ -304,8 +309,8 @@
     assert!(!table.get(&server(0)).unwrap().load.is_paused(ms(200)));
 }
 
-// A request of an earlier start ended after the new start got work, and was subtracted from the new start, which looked
-// idle.
+// If a request of an earlier start that ends late were subtracted from the work of the new start, the new start would
+// look idle.
 #[test]
 fn work_of_an_earlier_start_is_not_subtracted_from_the_new_one() {
     let mut table = ServerTable::default();
@@ -338,10 +343,10 @@
 // The prompt cache of a restarted server is empty, so each start has its own hash for prefix placement.
 #[test]
 fn start_hash_differs_between_starts() {
-    let of = |start| start_hash(&server(0), ServerStart(start));
-    assert_eq!(of(1), of(1));
-    assert_ne!(of(1), of(2));
-    assert_ne!(of(1), start_hash(&server(1), START));
+    let hash = |start| start_hash(&server(0), ServerStart(start));
+    assert_eq!(hash(1), hash(1));
+    assert_ne!(hash(1), hash(2));
+    assert_ne!(hash(1), start_hash(&server(1), START));
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -349,8 +354,8 @@
     Listed,
     Draining,
     Removed,
-    Lost,
-    Found,
+    OutageBegins,
+    OutageEnds,
 }
 
 fn event() -> impl Strategy<Value = Event> {
@@ -358,8 +363,8 @@
         Just(Event::Listed),
         Just(Event::Draining),
         Just(Event::Removed),
-        Just(Event::Lost),
-        Just(Event::Found),
+        Just(Event::OutageBegins),
+        Just(Event::OutageEnds),
     ]
 }
 
@@ -374,17 +379,17 @@
     #[test]
     fn leaving_is_final(events in prop::collection::vec(event(), 1..60)) {
         let mut table = ServerTable::default();
-        let mut left = false;
+        let mut has_announced = false;
         for (at, event) in events.into_iter().enumerate() {
             let now = ms(at as u64 * 300);
             match event {
                 Event::Listed => { table.apply_entry(&server(0), entry("a"), now); }
-                Event::Draining => { table.apply_entry(&server(0), draining("a"), now); left = true; }
+                Event::Draining => { table.apply_entry(&server(0), draining("a"), now); has_announced = true; }
                 Event::Removed => { table.remove_entry(&server(0), now); }
-                Event::Lost => table.begin_store_outage(now),
-                Event::Found => table.end_store_outage(now),
+                Event::OutageBegins => table.begin_store_outage(now),
+                Event::OutageEnds => table.end_store_outage(now),
             }
-            prop_assert!(!(left && usable(&table, now)));
+            prop_assert!(!(has_announced && usable(&table, now)));
         }
     }
 }
--- a/crates/quincevalve_forwarding/tests/limits.rs
+++ b/crates/quincevalve_forwarding/tests/limits.rs
@@ -21,7 +21,7 @@
 /// No window: the bucket is a plain token bucket.
 const PLAIN: QuotaLimits = QuotaLimits { window: Duration::ZERO, overage: 0.0, slack: 0.0 };
 
-/// A demand of the given cost.
+/// Returns a quota request of the given cost.
 fn demand(cost: f64) -> QuotaRequest {
     QuotaRequest { cost, urgency: 1 }
 }
@@ -77,8 +77,8 @@
     assert!(admitted <= 501, "{admitted}");
 }
 
-// The ramp covered the tolerance too, so it rejected hundreds of requests of an account that keeps to its quota,
-// although most of the tolerance was left.
+// If the ramp covered the tolerance too, it would reject hundreds of requests of an account that keeps to its quota,
+// although most of the tolerance is left.
 #[test]
 fn the_ramp_does_not_cover_the_tolerance() {
     let limits = QuotaLimits { window: Duration::from_secs(8), overage: 0.1, slack: 100_000.0 };
@@ -86,19 +86,18 @@
     let mut table = QuotaTable::new(limits, ms(0));
     let mut take = || table.try_spend(&desk(), &limit, demand(100.0), 0.99, ms(0)).is_ok();
     // A VM starts with half of 500 units of the burst and 50,450 units of tolerance.
-    // A VM begins with half of 500 units of the burst and 50,450 that are tolerated.
     let admitted = (0..1_000).filter(|_| take()).count();
     assert!((250..=255).contains(&admitted), "{admitted}");
 }
 
-/// Returns the units that one VM admits in each 10 ms, for an account that sends `asked` times its rate.
-fn admitted_per_step(limits: QuotaLimits, asked: f64, seconds: usize) -> Vec<f64> {
+/// Returns the units that one VM admits in each 10 ms, for an account that sends `requested` times its rate.
+fn admitted_per_step(limits: QuotaLimits, requested: f64, seconds: usize) -> Vec<f64> {
     let limit = quota(1_000.0, 2_000.0);
     let mut table = QuotaTable::new(limits, ms(0));
     let take = |step: usize| {
         let taken =
-            table.try_spend(&desk(), &limit, demand(asked * 10.0), DRAW, ms(step as u64 * 10));
-        if taken.is_ok() { asked * 10.0 } else { 0.0 }
+            table.try_spend(&desk(), &limit, demand(requested * 10.0), DRAW, ms(step as u64 * 10));
+        if taken.is_ok() { requested * 10.0 } else { 0.0 }
     };
     (0..seconds * 100).map(take).collect()
 }
@@ -110,23 +109,23 @@
     let window = QuotaLimits { window: Duration::from_secs(8), ..PLAIN };
     let spread: f64 = admitted_per_step(window, 1.1, 60).iter().sum();
     assert!(spread >= 0.999 * 1_100.0 * 60.0, "{spread}");
-    for asked in [1.2, 2.0, 6.0] {
-        let admitted = admitted_per_step(window, asked, 60);
-        let most = admitted.windows(800).map(|it| it.iter().sum::<f64>()).fold(0.0, f64::max);
-        assert!(most <= 1_000.0 * 8.0 + 2_000.0, "{asked}: {most}");
-        let plain: f64 = admitted_per_step(PLAIN, asked, 60).iter().sum();
+    for requested in [1.2, 2.0, 6.0] {
+        let admitted = admitted_per_step(window, requested, 60);
+        let max_units = admitted.windows(800).map(|it| it.iter().sum::<f64>()).fold(0.0, f64::max);
+        assert!(max_units <= 1_000.0 * 8.0 + 2_000.0, "{requested}: {max_units}");
+        let plain: f64 = admitted_per_step(PLAIN, requested, 60).iter().sum();
         let spread: f64 = admitted.iter().sum();
-        assert!(spread >= 1.08 * plain, "{asked}: {spread} {plain}");
+        assert!(spread >= 1.08 * plain, "{requested}: {spread} {plain}");
     }
 }
 
-// Accounts that keep to their quota over each window are rejected in bursts of their callers. The tolerance covers such
-// bursts, and no window holds more than it allows.
+// Without a tolerance, accounts that keep to their quota over each window are rejected in bursts of their callers. The
+// tolerance covers such bursts, and no window holds more than it allows.
 #[test]
 fn admits_a_burst_within_the_tolerance() {
     let limits = QuotaLimits { window: Duration::from_secs(8), overage: 0.1, slack: 1_000.0 };
     // Half of the time 0.6 of the rate, half of the time 1.6: on the whole a tenth above it.
-    let wave = |limits: QuotaLimits| {
+    let admitted_in_bursts = |limits: QuotaLimits| {
         let limit = quota(1_000.0, 1_000.0);
         let mut table = QuotaTable::new(limits, ms(0));
         let taken = (0..4_000_u64).filter(|step| {
@@ -137,11 +136,19 @@
         taken.count()
     };
     let strict = QuotaLimits { overage: 0.0, slack: 0.0, ..limits };
-    assert!(wave(limits) > wave(strict) + 150, "{} {}", wave(limits), wave(strict));
-    for asked in [1.2, 2.0, 6.0] {
-        let admitted = admitted_per_step(limits, asked, 60);
-        let most = admitted.windows(800).map(|it| it.iter().sum::<f64>()).fold(0.0, f64::max);
-        assert!(most <= 10_000.0 + 0.5 * (0.1 * 10_000.0 + 1_000.0), "{asked}: {most}");
+    assert!(
+        admitted_in_bursts(limits) > admitted_in_bursts(strict) + 150,
+        "{} {}",
+        admitted_in_bursts(limits),
+        admitted_in_bursts(strict)
+    );
+    for requested in [1.2, 2.0, 6.0] {
+        let admitted = admitted_per_step(limits, requested, 60);
+        let max_units = admitted.windows(800).map(|it| it.iter().sum::<f64>()).fold(0.0, f64::max);
+        assert!(
+            max_units <= 10_000.0 + 0.5 * (0.1 * 10_000.0 + 1_000.0),
+            "{requested}: {max_units}"
+        );
     }
 }
 
@@ -156,9 +163,9 @@
         table.try_spend(&desk(), &limit, demand(60.0), DRAW, ms(60_000 + step * 10)).is_ok()
     });
     let admitted = 60.0 * taken.count() as f64;
-    let most = 10_000.0 + 0.5 * (0.1 * 10_000.0 + 1_000.0);
-    assert!(admitted <= most + 60.0, "{admitted}");
-    assert!(admitted >= most - 200.0, "{admitted}");
+    let allowed = 10_000.0 + 0.5 * (0.1 * 10_000.0 + 1_000.0);
+    assert!(admitted <= allowed + 60.0, "{admitted}");
+    assert!(admitted >= allowed - 200.0, "{admitted}");
 }
 
 // A VM that can't reach half of the others must use only the fraction of rate and burst for the VMs it reaches, not
@@ -245,8 +252,8 @@
     total
 }
 
-// Each time the bucket fills, all VMs admit requests until the first reports arrive; an account got half more than its
-// quota. Over eight seconds, the sum stays within a tenth and half a second of rate.
+// Each time the bucket fills, all VMs admit requests until the first reports arrive, so that an account could get half
+// more than its quota. Over eight seconds, the excess stays within a tenth and half a second of the rate.
 #[test]
 fn many_vms_with_late_reports_stay_near_the_quota() {
     let total = admitted_by_many(8);
@@ -281,11 +288,10 @@
     let mut rng = rand_pcg::Pcg64Mcg::seed_from_u64(7);
     let mut tables = vec![QuotaTable::new(limits, ms(0)); VMS];
     let mut reported: Vec<Vec<f64>> = Vec::new();
-    let mut asked = vec![0.0; kinds.len()];
+    let mut requested = vec![0.0; kinds.len()];
     let mut taken = vec![0.0; kinds.len()];
     let mut units = Vec::new();
     // The buckets fill before the load starts.
-    // The buckets fill before the load comes.
     let begin = 6_000;
     for step in 0..seconds * 100 {
         let now = ms(begin + step as u64 * 10);
@@ -294,10 +300,10 @@
             let mut left = kind.per_second / 100.0;
             while left > 0.0 {
                 if rng.random::<f64>() < left {
-                    asked[at] += 1.0;
-                    let ask = QuotaRequest { cost: kind.cost, urgency: kind.urgency };
+                    requested[at] += 1.0;
+                    let request = QuotaRequest { cost: kind.cost, urgency: kind.urgency };
                     let vm = rng.random_range(0..VMS);
-                    if tables[vm].try_spend(&desk(), &limit, ask, rng.random(), now).is_ok() {
+                    if tables[vm].try_spend(&desk(), &limit, request, rng.random(), now).is_ok() {
                         taken[at] += 1.0;
                         of_step += kind.cost;
                     }
@@ -317,20 +323,20 @@
             table.set_peer_spending(&others, 1.0, &config, now);
         }
     }
-    let most = units.windows(800).map(|it| it.iter().sum::<f64>()).fold(0.0, f64::max);
-    (taken.iter().zip(&asked).map(|(taken, asked)| taken / asked).collect(), most)
+    let max_units = units.windows(800).map(|it| it.iter().sum::<f64>()).fold(0.0, f64::max);
+    (taken.iter().zip(&requested).map(|(taken, requested)| taken / requested).collect(), max_units)
 }
 
-// An account sends twice its quota in tokens. Its bookings of two hundred tokens each were rejected as often as its
-// long briefs, though they are a fiftieth of the load.
+// An account sends twice its quota in tokens. Its calls of two hundred tokens each would be rejected as often as its
+// long briefs, although they are a fiftieth of the load.
 #[test]
 fn admits_small_requests_while_large_ones_are_rejected() {
-    let (shares, most) = admitted_by_kind(&[BRIEF, CHAT, TAG, CALL], 12);
+    let (shares, max_units) = admitted_by_kind(&[BRIEF, CHAT, TAG, CALL], 12);
     let [brief, chat, tag, call] = shares[..] else { panic!("four kinds") };
     assert!(call >= 0.9 && chat >= 0.7, "calls {call:.2}, chats {chat:.2}");
     assert!(brief >= 0.25 && tag >= 0.25, "briefs {brief:.2}, tags {tag:.2}");
     let allowed = (1_090_000.0 * 8.0 + 1_090_000.0) * 1.1 + 140_000.0;
-    assert!(most <= allowed, "{most} of {allowed}");
+    assert!(max_units <= allowed, "{max_units} of {allowed}");
 }
 
 // Small requests that are admitted beyond an empty bucket use units of larger ones; alone they must get no more than
@@ -338,13 +344,13 @@
 #[test]
 fn small_requests_alone_get_no_more_than_the_quota() {
     let many = Kind { per_second: 20_000.0, ..CALL };
-    let (shares, most) = admitted_by_kind(&[many], 12);
+    let (shares, max_units) = admitted_by_kind(&[many], 12);
     let allowed = (1_090_000.0 * 8.0 + 1_090_000.0) * 1.1 + 140_000.0;
-    assert!(most <= allowed, "{most} of {allowed}, {shares:?}");
-    assert!(most >= 0.8 * 1_090_000.0 * 8.0, "{most} is far below the quota");
+    assert!(max_units <= allowed, "{max_units} of {allowed}, {shares:?}");
+    assert!(max_units >= 0.8 * 1_090_000.0 * 8.0, "{max_units} is far below the quota");
 }
 
-// Spending under the old quota counted as debt under a lowered one, and locked the account out for seconds.
+// If spending under the old quota counted as debt under a lowered one, the account would be locked out for seconds.
 #[test]
 fn a_lowered_quota_starts_without_debt() {
     let mut table = QuotaTable::new(PLAIN, ms(0));
--- a/crates/quincevalve_forwarding/tests/peer_ranking.rs
+++ b/crates/quincevalve_forwarding/tests/peer_ranking.rs
@@ -109,8 +109,8 @@
             let score = |it: &VmDescriptor| rendezvous_score(7, hash_text(&it.name));
             let listed = known.iter().filter(|it| it.listed);
             let before = listed.clone().filter(|it| score(&it.descriptor) > score(&me)).count();
-            let seat = table.rank(7);
-            prop_assert_eq!((seat.rank, seat.vm_count), (before, listed.count() + 1));
+            let rank = table.rank(7);
+            prop_assert_eq!((rank.rank, rank.vm_count), (before, listed.count() + 1));
         }
     }
 }
--- a/crates/quincevalve_forwarding/tests/placement.rs
+++ b/crates/quincevalve_forwarding/tests/placement.rs
@@ -59,7 +59,7 @@
     load(&mut table, 0, 12_000, 5);
     let request = TestRequest { latency_budget: millis(300), ..TestRequest::default() };
     let Err(PlacementError::Busy { predicted }) = place(&table, &request) else {
-        panic!("a place")
+        panic!("a placement")
     };
     assert!(predicted > millis(500), "{predicted:?}");
 }
@@ -245,9 +245,9 @@
 }
 
 // Calls of a plain service in flight between data centres fail when the network is partitioned, so they stay in their
-// own data centre while its server has room.
+// own data centre while its server has capacity.
 #[test]
-fn calls_stay_in_their_data_centre_while_it_has_room() {
+fn calls_stay_in_their_data_centre_while_it_has_capacity() {
     let mut table = ServerTable::default();
     for (at, centre) in ["a", "b"].iter().enumerate() {
         let small = quincevalve_forwarding::servers::ServerEntry { slots: 6, ..entry(centre) };
@@ -267,8 +267,8 @@
     let request =
         TestRequest { prompt: Some(prompt(17_000, Some((7, 13_000)))), ..TestRequest::default() };
     let predicted = |table: &ServerTable, at| {
-        let place = table.place(&request.ask(), &mut rng(), at).expect("room");
-        (place.predicted.as_millis(), place.work.prefill)
+        let placement = table.place(&request.ask(), &mut rng(), at).expect("a free server");
+        (placement.predicted.as_millis(), placement.work.prefill)
     };
     let (cold_ms, cold) = predicted(&table, ms(0));
     assert_eq!(cold, 17_000);
--- a/crates/quincevalve_forwarding/tests/poison.rs
+++ b/crates/quincevalve_forwarding/tests/poison.rs
@@ -118,8 +118,9 @@
 fn an_inquiry_is_repeated_until_an_answer_would_be_late() {
     let mut arbiter = TestVm::arbiter(0, MANY_VMS);
     arbiter.receive_exits(POISON, &TOGETHER);
-    let asked = (0..200).map(|it| 250 + it * 10).filter(|it| arbiter.count_inquiries(*it) > 0);
-    assert_eq!(asked.collect::<Vec<_>>(), [250, 320, 390, 1_000]);
+    let inquiry_times =
+        (0..200).map(|it| 250 + it * 10).filter(|it| arbiter.count_inquiries(*it) > 0);
+    assert_eq!(inquiry_times.collect::<Vec<_>>(), [250, 320, 390, 1_000]);
 }
 
 // Several VMs may have had a copy on the server that exited, and each reports it several times: it counts as one exit.
--- a/crates/quincevalve_forwarding/tests/poison_world/main.rs
+++ b/crates/quincevalve_forwarding/tests/poison_world/main.rs
@@ -19,9 +19,9 @@
 const LATE_AFTER: u64 = 3_000;
 /// Maximum number of late attempts of all VMs together.
 const MAX_LATE_ATTEMPTS: usize = 3;
-/// Maximum time in milliseconds for which an innocent request may be refused. This happens where the only VMs at which
+/// Maximum time in milliseconds for which an innocent request may be rejected. This happens where the only VMs at which
 /// the request completed are partitioned and can't be asked; its first completion elsewhere lifts the quarantine.
-const MAX_REFUSED_TIME: u64 = 1_000;
+const MAX_REJECTED_TIME: u64 = 1_000;
 /// Numbers of VMs and servers.
 const SIZES: [(usize, usize); 3] = [(8, 12), (88, 90), (295, 204)];
 
@@ -55,14 +55,18 @@
             "{name}, {} VMs, seed {seed}: {late} late",
             scenario.vms
         );
-        let refused = outcome.innocents_refused;
+        let rejected = outcome.innocents_rejected;
         if scenario.partitioned.is_none() {
-            assert_eq!(refused, 0, "{name}, {} VMs, seed {seed}: innocents refused", scenario.vms);
+            assert_eq!(
+                rejected, 0,
+                "{name}, {} VMs, seed {seed}: innocents rejected",
+                scenario.vms
+            );
         }
-        let refused_for = outcome.refused_for;
+        let rejected_for = outcome.rejected_for;
         assert!(
-            refused_for <= MAX_REFUSED_TIME,
-            "{name}, {} VMs, seed {seed}: {refused_for} ms",
+            rejected_for <= MAX_REJECTED_TIME,
+            "{name}, {} VMs, seed {seed}: {rejected_for} ms",
             scenario.vms
         );
     }
@@ -120,7 +124,7 @@
     poison_in_a_burst_of_exits: |scenario| Scenario { poison: repeated(), burst: Some(5_000..15_000), ..scenario };
 }
 
-// An innocent popular request is refused: by chance it ran on each of the first four servers that another request
+// An innocent popular request is rejected: by chance it ran on each of the first four servers that another request
 // crashed, and the VMs at which it completed just before are partitioned. Its next completion at any other VM lifts the
 // quarantine.
 #[test]
@@ -131,7 +135,7 @@
     let outcome = simulate(scenario.clone(), 43);
     print("innocent", &scenario, 43, &outcome);
     assert!(
-        outcome.innocents_refused > 0 && outcome.refused_for <= MAX_REFUSED_TIME,
+        outcome.innocents_rejected > 0 && outcome.rejected_for <= MAX_REJECTED_TIME,
         "{outcome:?}"
     );
 }
@@ -148,7 +152,7 @@
     }
 }
 
-// A new version of the servers can run the request, but its caller would still be refused. The first trial that is due
+// A new version of the servers can run the request, but its caller would still be rejected. The first trial that is due
 // completes and lifts the quarantine for all VMs.
 #[test]
 fn a_request_is_served_again_after_the_servers_are_fixed() {
--- a/crates/quincevalve_forwarding/tests/poison_world/world.rs
+++ b/crates/quincevalve_forwarding/tests/poison_world/world.rs
@@ -13,7 +13,7 @@
 /// Milliseconds of a simulation step.
 const STEP: u64 = 10;
 /// Milliseconds between two ticks of a VM.
-const PERIOD: u64 = 60;
+const TICK_INTERVAL: u64 = 60;
 /// Milliseconds until a server that exited has restarted.
 const RESTART_TIME: u64 = 3_000;
 /// Milliseconds until a VM whose process was killed has restarted.
@@ -41,7 +41,7 @@
 pub(crate) struct Scenario {
     pub(crate) vms: usize,
     pub(crate) servers: usize,
-    /// Whether VMs refuse quarantined requests.
+    /// Whether VMs reject quarantined requests.
     pub(crate) guarded: bool,
     /// Fraction of datagrams that are lost.
     pub(crate) loss: f64,
@@ -103,16 +103,16 @@
     pub(crate) third_exit: Option<u64>,
     /// Attempts of the poison request, each with its time and whether its VM was connected.
     pub(crate) attempts: Vec<(u64, bool)>,
-    /// Time at which the poison request was first refused.
-    pub(crate) first_refused: Option<u64>,
+    /// Time at which the poison request was first rejected.
+    pub(crate) first_rejected: Option<u64>,
     /// Number of answers to the poison request from fixed servers.
     pub(crate) fixed_answers: usize,
-    /// Number of other requests that were refused.
-    pub(crate) innocents_refused: usize,
-    /// Time of the first of these refusals, in milliseconds.
-    first_refusal: Option<u64>,
-    /// Milliseconds from the first to the last of these refusals.
-    pub(crate) refused_for: u64,
+    /// Number of other requests that were rejected.
+    pub(crate) innocents_rejected: usize,
+    /// Time of the first of these rejections, in milliseconds.
+    first_innocent_rejection: Option<u64>,
+    /// Milliseconds from the first to the last of these rejections.
+    pub(crate) rejected_for: u64,
     pub(crate) innocents_served: usize,
     pub(crate) innocents_interrupted: usize,
     pub(crate) bytes_sent: u64,
@@ -131,15 +131,15 @@
 impl fmt::Display for Outcome {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let known =
-            self.first_refused.zip(self.third_exit).map(|(at, third)| at.saturating_sub(third));
+            self.first_rejected.zip(self.third_exit).map(|(at, third)| at.saturating_sub(third));
         write!(
             f,
-            "servers crashed {:3}  attempts 3 s after the third {:3}  first refused {:>5} ms after it  \
-             others: {} refused, {} served, {} interrupted  sent {} kB  store calls {}",
+            "servers crashed {:3}  attempts 3 s after the third {:3}  first rejected {:>5} ms after it  \
+             others: {} rejected, {} served, {} interrupted  sent {} kB  store calls {}",
             self.crashed,
             self.late_attempts(3_000),
             known.map_or("-".to_owned(), |it| it.to_string()),
-            self.innocents_refused,
+            self.innocents_rejected,
             self.innocents_served,
             self.innocents_interrupted,
             self.bytes_sent / 1_000,
@@ -216,7 +216,7 @@
 }
 
 fn at(millis: u64) -> TimePoint {
-    // Far from the origin, as a VM's clock is.
+    // A VM's clock isn't near its origin either.
     TimePoint::from_millis(1_000_000 + millis)
 }
 
@@ -304,13 +304,13 @@
             killed.extend(self.vms.iter().position(|it| it.name == first));
         }
         for vm in killed {
-            let start = &mut self.vms[vm];
-            start.guard = PoisonGuard::new(&start.name);
-            start.starts += 1;
-            start.down_until = self.now + VM_RESTART_TIME;
-            start.unwritten.clear();
+            let vm = &mut self.vms[vm];
+            vm.guard = PoisonGuard::new(&vm.name);
+            vm.starts += 1;
+            vm.down_until = self.now + VM_RESTART_TIME;
+            vm.unwritten.clear();
             // It reads the whole store before it serves.
-            start.applied_changes = usize::MAX;
+            vm.applied_changes = usize::MAX;
         }
     }
 
@@ -479,11 +479,11 @@
         let vm = up[self.rng.random_range(0..up.len())];
         if self.scenario.guarded && !self.is_admitted(vm, digest) {
             if kind == Kind::Poison {
-                self.outcome.first_refused.get_or_insert(self.now);
+                self.outcome.first_rejected.get_or_insert(self.now);
             } else {
-                self.outcome.innocents_refused += 1;
-                let since = *self.outcome.first_refusal.get_or_insert(self.now);
-                self.outcome.refused_for = self.now - since;
+                self.outcome.innocents_rejected += 1;
+                let since = *self.outcome.first_innocent_rejection.get_or_insert(self.now);
+                self.outcome.rejected_for = self.now - since;
             }
             return;
         }
@@ -537,7 +537,7 @@
 
     fn tick_vms(&mut self) {
         for vm in 0..self.vms.len() {
-            let has_tick = (self.now / STEP + vm as u64).is_multiple_of(PERIOD / STEP);
+            let has_tick = (self.now / STEP + vm as u64).is_multiple_of(TICK_INTERVAL / STEP);
             if !has_tick || !self.is_up(vm) {
                 continue;
             }
--- a/crates/quincevalve_forwarding/tests/quota_restarts.rs
+++ b/crates/quincevalve_forwarding/tests/quota_restarts.rs
@@ -34,7 +34,7 @@
 /// Tokens of a request.
 const REQUEST_TOKENS: f64 = 3_000.0;
 
-/// A demand of the given cost.
+/// Returns a quota request of the given cost.
 fn demand(cost: f64) -> QuotaRequest {
     QuotaRequest { cost, urgency: 1 }
 }
@@ -62,7 +62,7 @@
     quotas: QuotaTable,
     members: PartialSums,
     collectors: PartialSums,
-    rest: PartialSums,
+    from_collector: PartialSums,
     starts: u64,
     down_since: Option<u64>,
 }
@@ -73,7 +73,7 @@
             quotas: QuotaTable::new(limits, now),
             members: PartialSums::default(),
             collectors: PartialSums::default(),
-            rest: PartialSums::default(),
+            from_collector: PartialSums::default(),
             starts,
             down_since: None,
         }
@@ -125,57 +125,54 @@
         for sender in senders {
             let member: usize =
                 sender.split('#').next().and_then(|it| it.parse().ok()).expect("a name");
-            let mut rest = own.clone();
-            self.vms[at].members.add_to(&mut rest, Some(&sender), now);
-            self.vms[at].collectors.add_to(&mut rest, None, now);
+            let mut sum_of_others = own.clone();
+            self.vms[at].members.add_to(&mut sum_of_others, Some(&sender), now);
+            self.vms[at].collectors.add_to(&mut sum_of_others, None, now);
             if self.is_up(member) && self.collector(centre, step) == at {
-                self.vms[member].rest.insert(&name, rest, now);
+                self.vms[member].from_collector.insert(&name, sum_of_others, now);
             }
         }
-        let mut share = own;
-        self.vms[at].members.add_to(&mut share, None, now);
+        let mut group_sum = own;
+        self.vms[at].members.add_to(&mut group_sum, None, now);
         for other in 0..CENTRES {
             let other = self.collector(other, step);
             if other != at && self.is_up(other) {
-                self.vms[other].collectors.insert(&name, share.clone(), now);
+                self.vms[other].collectors.insert(&name, group_sum.clone(), now);
             }
         }
     }
 
     /// Applies the received reports.
     fn apply_reports(&mut self, at: usize, step: u64, now: TimePoint) {
-        let collects = self.collector(at % CENTRES, step) == at;
+        let is_collector = self.collector(at % CENTRES, step) == at;
         let vm = &mut self.vms[at];
         let mut others = PartialSum::default();
-        if collects {
+        if is_collector {
             vm.members.add_to(&mut others, None, now);
             vm.collectors.add_to(&mut others, None, now);
         } else {
-            vm.rest.add_to(&mut others, None, now);
+            vm.from_collector.add_to(&mut others, None, now);
         }
-        let part = (f64::from(others.vms + 1) / VMS as f64).min(1.0);
-        vm.quotas.set_peer_spending(&others.spending, part, &self.config, now);
+        let reachable_fraction = (f64::from(others.vms + 1) / VMS as f64).min(1.0);
+        vm.quotas.set_peer_spending(&others.spending, reachable_fraction, &self.config, now);
     }
 
     /// Returns the tokens admitted in each step, for callers who send 3.6 times the quota; `restarts` VMs restart every
     /// 1.3 s.
-    fn play(&mut self, steps: u64, restarts: usize) -> Vec<f64> {
+    fn run(&mut self, steps: u64, restarts: usize) -> Vec<f64> {
         let stopping = |step: u64| if step % 65 == 64 { restarts } else { 0 };
-        self.play_with_load(3.6, steps, stopping)
-            .into_iter()
-            .map(|(_, admitted)| admitted)
-            .collect()
+        self.run_with_load(3.6, steps, stopping).into_iter().map(|(_, admitted)| admitted).collect()
     }
 
-    /// Returns the tokens sent to running VMs and the tokens admitted in each step, for callers who send `asked` times
+    /// Returns the tokens sent to running VMs and the tokens admitted in each step, for callers who send `requested` times
     /// the quota. `stopping` returns how many VMs stop at a step, one after the other.
-    fn play_with_load<F>(&mut self, asked: f64, steps: u64, stopping: F) -> Vec<(f64, f64)>
+    fn run_with_load<F>(&mut self, requested: f64, steps: u64, stopping: F) -> Vec<(f64, f64)>
     where
         F: Fn(u64) -> usize,
     {
         let chance =
-            asked * limit().per_second * STEP_MS as f64 / 1_000.0 / REQUEST_TOKENS / VMS as f64;
-        let mut played = Vec::new();
+            requested * limit().per_second * STEP_MS as f64 / 1_000.0 / REQUEST_TOKENS / VMS as f64;
+        let mut results = Vec::new();
         let mut next = 0;
         for step in 0..steps {
             let now = ms(10_000 + step * STEP_MS);
@@ -183,7 +180,7 @@
                 self.vms[next % VMS].down_since = Some(step);
                 next += 1;
             }
-            let (mut asked, mut admitted) = (0.0, 0.0);
+            let (mut requested, mut admitted) = (0.0, 0.0);
             for at in 0..VMS {
                 if let Some(since) = self.vms[at].down_since {
                     if step - since < DOWN_STEPS {
@@ -200,13 +197,13 @@
                     let quotas = &mut self.vms[at].quotas;
                     let taken =
                         quotas.try_spend(&desk(), &limit(), demand(REQUEST_TOKENS), draw, now);
-                    asked += REQUEST_TOKENS;
+                    requested += REQUEST_TOKENS;
                     admitted += if taken.is_ok() { REQUEST_TOKENS } else { 0.0 };
                 }
             }
-            played.push((asked, admitted));
+            results.push((requested, admitted));
         }
-        played
+        results
     }
 }
 
@@ -221,21 +218,29 @@
     limit().per_second * 8.0 + limit().burst
 }
 
-// An account got a seventh more than its quota when VMs restarted in turn: nobody received the reports of a restarting
-// collector's members for a second, and restarted VMs began with a full bucket. The last reported spending counts until
+// When VMs restart in turn, an account could get a seventh more than its quota: nobody receives the reports of a
+// restarting collector's members for a second, and restarted VMs could begin with a full bucket. The last reported spending counts until
 // new reports arrive, and a VM starts with a fraction of the burst.
 #[test]
 fn restarts_in_turn_do_not_raise_the_quota() {
-    let admitted = Fleet::new(STRICT).play(1_000, 4);
-    let most = max_in_a_window(&admitted);
-    assert!(most <= allowed_in_a_window() * 1.05, "{most} of {}", allowed_in_a_window());
+    let admitted = Fleet::new(STRICT).run(1_000, 4);
+    let max_admitted = max_in_a_window(&admitted);
+    assert!(
+        max_admitted <= allowed_in_a_window() * 1.05,
+        "{max_admitted} of {}",
+        allowed_in_a_window()
+    );
 }
 
 #[test]
 fn without_restarts_an_account_gets_its_quota() {
-    let admitted = Fleet::new(STRICT).play(1_000, 0);
-    let most = max_in_a_window(&admitted);
-    assert!(most <= allowed_in_a_window() * 1.03, "{most} of {}", allowed_in_a_window());
+    let admitted = Fleet::new(STRICT).run(1_000, 0);
+    let max_admitted = max_in_a_window(&admitted);
+    assert!(
+        max_admitted <= allowed_in_a_window() * 1.03,
+        "{max_admitted} of {}",
+        allowed_in_a_window()
+    );
     let all: f64 = admitted.iter().sum();
     assert!(all >= 0.9 * 20.0 * limit().per_second, "{all}");
 }
@@ -246,9 +251,9 @@
 fn the_tolerance_covers_restarts() {
     let tolerated = allowed_in_a_window() * 1.1 + 190_000.0;
     for restarts in [0, 4] {
-        let admitted = Fleet::new(TOLERANT).play(1_000, restarts);
-        let most = max_in_a_window(&admitted);
-        assert!(most <= tolerated, "{restarts}: {most} of {tolerated}");
+        let admitted = Fleet::new(TOLERANT).run(1_000, restarts);
+        let max_admitted = max_in_a_window(&admitted);
+        assert!(max_admitted <= tolerated, "{restarts}: {max_admitted} of {tolerated}");
     }
 }
 
@@ -259,18 +264,18 @@
     if step == KILL_STEP { VMS } else { 0 }
 }
 
-/// Returns the fraction of requests rejected in the first second after all VMs are back, for callers who send `asked`
+/// Returns the fraction of requests rejected in the first second after all VMs are back, for callers who send `requested`
 /// times the quota.
-fn rejected_after_all_are_back(asked: f64) -> f64 {
-    let played = Fleet::new(STRICT).play_with_load(asked, 1_000, stop_all);
+fn rejected_after_all_are_back(requested: f64) -> f64 {
+    let results = Fleet::new(STRICT).run_with_load(requested, 1_000, stop_all);
     let back = (KILL_STEP + DOWN_STEPS) as usize;
-    let second = &played[back..back + (1_000 / STEP_MS) as usize];
+    let second = &results[back..back + (1_000 / STEP_MS) as usize];
     let sum = |of: fn(&(f64, f64)) -> f64| second.iter().map(of).sum::<f64>();
     1.0 - sum(|it| it.1) / sum(|it| it.0)
 }
 
 // After all VMs were killed and restarted together, each grants only its own share until the first reports arrive. The
-// first request uses that share up, so callers of an account well below its quota were rejected for a second.
+// first request uses that share up, so callers of an account well below its quota could be rejected for a second.
 #[test]
 fn an_account_below_its_quota_is_served_at_once_after_all_vms_restart() {
     let rejected = rejected_after_all_are_back(0.55);
@@ -280,8 +285,8 @@
 // An account that sends several times its quota gets no more than the tolerance allows, though all VMs restart.
 #[test]
 fn a_restart_of_all_vms_stays_within_the_tolerance() {
-    let played = Fleet::new(TOLERANT).play_with_load(3.6, 1_000, stop_all);
-    let admitted: Vec<_> = played.into_iter().map(|(_, it)| it).collect();
-    let most = max_in_a_window(&admitted);
-    assert!(most <= allowed_in_a_window() * 1.1 + 190_000.0, "{most}");
+    let results = Fleet::new(TOLERANT).run_with_load(3.6, 1_000, stop_all);
+    let admitted: Vec<_> = results.into_iter().map(|(_, it)| it).collect();
+    let max_admitted = max_in_a_window(&admitted);
+    assert!(max_admitted <= allowed_in_a_window() * 1.1 + 190_000.0, "{max_admitted}");
 }
--- a/crates/quincevalve_forwarding/tests/restraints.rs
+++ b/crates/quincevalve_forwarding/tests/restraints.rs
@@ -15,10 +15,11 @@
 use rand_pcg::Pcg64Mcg;
 use support::{START, TestRequest, entry, millis, ms, server, table};
 
-/// Window in milliseconds over which a server counts requests, and what it tolerates beyond its limit: a factor and a
-/// constant.
-const SPAN_MS: i64 = 4_000;
-const FACTOR: f64 = 1.5;
+/// Window in milliseconds over which a server counts requests.
+const WINDOW_MS: i64 = 4_000;
+/// Factor by which requests may exceed the limit in a window.
+const TOLERANCE: f64 = 1.5;
+/// Requests that are tolerated in a window in addition.
 const SLACK: f64 = 5.0;
 /// Interval in milliseconds at which each VM tries to send.
 const STEP_MS: usize = 20;
@@ -49,8 +50,8 @@
     times
 }
 
-fn most_in_span(times: &[i64]) -> usize {
-    let within = |at: usize| times[at..].partition_point(|it| *it < times[at] + SPAN_MS);
+fn max_in_window(times: &[i64]) -> usize {
+    let within = |at: usize| times[at..].partition_point(|it| *it < times[at] + WINDOW_MS);
     (0..times.len()).map(within).max().unwrap_or_default()
 }
 
@@ -58,21 +59,21 @@
     #![proptest_config(ProptestConfig { cases: 60, rng_seed: proptest::test_runner::RngSeed::Fixed(4), ..ProptestConfig::default() })]
 
     #[test]
-    fn all_vms_together_use_and_keep_a_servers_limit(
+    fn all_vms_together_use_and_do_not_exceed_a_servers_limit(
         limit in prop_oneof![0.0..3.0, 3.0..60.0, 60.0..900.0],
         vms in prop_oneof![Just(1_usize), Just(8), Just(64), Just(295)],
         clocks in prop::collection::vec(-100_i64..100, 1..9),
     ) {
         let times = send_times(limit, vms, &clocks, 12_000);
-        let most = most_in_span(&times);
-        prop_assert!(most as f64 <= FACTOR * limit * SPAN_MS as f64 / 1_000.0 + SLACK, "{most}");
+        let max = max_in_window(&times);
+        prop_assert!(max as f64 <= TOLERANCE * limit * WINDOW_MS as f64 / 1_000.0 + SLACK, "{max}");
         // VMs that always want to send use the whole limit.
         prop_assert!(times.len() as f64 >= limit * 11.0 - 1.0, "{}", times.len());
     }
 
     #[test]
-    fn shares_of_all_vms_add_up(requests in 0_u64..5_000, of in 1_usize..400, rotation: u64) {
-        let sum: u64 = (0..of).map(|rank| VmRank { rank, vm_count: of }.share_of(requests, rotation)).sum();
+    fn shares_of_all_vms_add_up(requests in 0_u64..5_000, vm_count in 1_usize..400, rotation: u64) {
+        let sum: u64 = (0..vm_count).map(|rank| VmRank { rank, vm_count }.share_of(requests, rotation)).sum();
         prop_assert_eq!(sum, requests);
     }
 }
@@ -107,9 +108,9 @@
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let mut placed = 0;
     for _ in 0..requests {
-        if let Ok(place) = table.place(&TestRequest::default().ask(), &mut rng, now) {
-            table.spend_allowance(&place.server, place.start, now);
-            placed += usize::from(place.server == server(0));
+        if let Ok(placement) = table.place(&TestRequest::default().ask(), &mut rng, now) {
+            table.spend_allowance(&placement.server, placement.start, now);
+            placed += usize::from(placement.server == server(0));
         }
     }
     placed
@@ -132,13 +133,12 @@
     table.set_rank(VmRank { rank: 0, vm_count: 2 }, 1_000_000, ms(0));
     set_limit_of_server_0(&mut table, Some(4.0));
     assert!(placed_on_0(&mut table, 100, ms(0)) <= 4);
-    let refused =
-        table.place(&TestRequest::default().ask(), &mut Pcg64Mcg::seed_from_u64(1), ms(0));
-    assert_eq!(refused, Err(PlacementError::Limited { wait: millis(500) }));
+    let result = table.place(&TestRequest::default().ask(), &mut Pcg64Mcg::seed_from_u64(1), ms(0));
+    assert_eq!(result, Err(PlacementError::Limited { wait: millis(500) }));
 }
 
 #[test]
-fn a_limit_ends_with_the_start_of_the_server_that_named_it() {
+fn a_limit_ends_with_the_start_of_the_server_that_stated_it() {
     let mut table = table(1);
     set_limit_of_server_0(&mut table, Some(0.0));
     let mut entry = entry("a");
@@ -152,9 +152,9 @@
 }
 
 fn place(table: &ServerTable, now: u64) -> Result<usize, PlacementError> {
-    let place =
+    let placement =
         table.place(&TestRequest::default().ask(), &mut Pcg64Mcg::seed_from_u64(1), ms(now));
-    place.map(|it| usize::from(it.server != server(0)))
+    placement.map(|it| usize::from(it.server != server(0)))
 }
 
 #[test]
--- a/crates/quincevalve_forwarding/tests/rollout.rs
+++ b/crates/quincevalve_forwarding/tests/rollout.rs
@@ -43,13 +43,13 @@
 fn rounds_fractions_of_many_vms_to_a_sum_near_the_limit() {
     let limit = SharedLimit { ratio: 0.01, slack: 0.0 };
     let sent = |requests: u64| -> usize {
-        let of_vm = |rank: usize| {
+        let sent_by_vm = |rank: usize| {
             let mut exposure = Exposure::new(true);
             (0..requests).for_each(|_| exposure.record_request());
             let vm_rank = VmRank { rank, vm_count: 295 };
             usize::from(exposure.may_send(&limit, vm_rank, 1.0))
         };
-        (0..295).map(of_vm).sum()
+        (0..295).map(sent_by_vm).sum()
     };
     // 0.9 times 1% of 295 times 12 requests.
     assert!((30..=33).contains(&sent(12)), "{}", sent(12));
@@ -96,23 +96,23 @@
 
 fn judgement_of(answers: Answers) -> Judgement {
     let mut recorder = EvidenceRecorder::default();
-    note(&mut recorder, ROUTE, answers);
+    add_answers_to(&mut recorder, ROUTE, answers);
     judge(&recorder.observations(ms(0)), false, answers.servers as usize)
 }
 
-fn note(recorder: &mut EvidenceRecorder, route: RouteKey, answers: Answers) {
+fn add_answers_to(recorder: &mut EvidenceRecorder, route: RouteKey, answers: Answers) {
     let times = [0.7, 1.0, 1.3];
-    let mut add_answers = |at: u32, of: (u32, u32), side, slowdown: f64| {
+    let mut add_answers = |at: u32, counts: (u32, u32), role, slowdown: f64| {
         // Spreads failures evenly over all answers.
-        let fails = of.1 > 0 && (at * of.1) % of.0 < of.1;
+        let fails = counts.1 > 0 && (at * counts.1) % counts.0 < counts.1;
         let sample = if fails { Sample::Failed } else { Sample::Succeeded };
-        recorder.add_sample(route, side, sample, ms(0));
-        recorder.add_sample(route, side, Sample::First(times[at as usize % 3] * slowdown), ms(0));
+        recorder.add_sample(route, role, sample, ms(0));
+        recorder.add_sample(route, role, Sample::First(times[at as usize % 3] * slowdown), ms(0));
     };
     (0..answers.old.0).for_each(|at| add_answers(at, answers.old, VersionRole::Old, 1.0));
     for at in 0..answers.new.0 {
-        let side = VersionRole::New(u64::from(at) % answers.servers);
-        add_answers(at, answers.new, side, answers.slowdown);
+        let role = VersionRole::New(u64::from(at) % answers.servers);
+        add_answers(at, answers.new, role, answers.slowdown);
     }
 }
 
@@ -135,7 +135,7 @@
 #[test]
 fn does_not_reject_a_version_for_one_bad_server() {
     let mut recorder = EvidenceRecorder::default();
-    note(&mut recorder, ROUTE, Answers { servers: 5, ..GOOD_ANSWERS });
+    add_answers_to(&mut recorder, ROUTE, Answers { servers: 5, ..GOOD_ANSWERS });
     for at in 0..40 {
         let sample = if at % 2 == 0 { Sample::Failed } else { Sample::Succeeded };
         recorder.add_sample(ROUTE, VersionRole::New(99), sample, ms(0));
@@ -150,7 +150,7 @@
 #[test]
 fn does_not_reject_a_version_for_a_few_slow_servers() {
     let mut recorder = EvidenceRecorder::default();
-    note(&mut recorder, ROUTE, Answers { new: (1_000, 0), servers: 4, ..GOOD_ANSWERS });
+    add_answers_to(&mut recorder, ROUTE, Answers { new: (1_000, 0), servers: 4, ..GOOD_ANSWERS });
     for at in 0..500_u32 {
         let sample = Sample::First([4.2, 6.0, 7.8][at as usize % 3]);
         recorder.add_sample(ROUTE, VersionRole::New(98 + u64::from(at) % 2), sample, ms(0));
@@ -166,10 +166,10 @@
 fn stays_undecided_when_only_one_failing_server_of_several_has_answered() {
     let only = Answers { new: (40, 20), servers: 1, ..GOOD_ANSWERS };
     let mut recorder = EvidenceRecorder::default();
-    note(&mut recorder, ROUTE, only);
-    let seen = recorder.observations(ms(0));
-    assert_eq!(judge(&seen, false, 6).verdict, Verdict::Undecided);
-    assert_eq!(judge(&seen, false, 1).verdict, Verdict::Fails);
+    add_answers_to(&mut recorder, ROUTE, only);
+    let observations = recorder.observations(ms(0));
+    assert_eq!(judge(&observations, false, 6).verdict, Verdict::Undecided);
+    assert_eq!(judge(&observations, false, 1).verdict, Verdict::Fails);
 }
 
 // The same for a first server that is slow.
@@ -177,17 +177,17 @@
 fn stays_undecided_when_only_one_slow_server_of_several_has_answered() {
     let only = Answers { new: (40, 0), servers: 1, slowdown: 6.0, ..GOOD_ANSWERS };
     let mut recorder = EvidenceRecorder::default();
-    note(&mut recorder, ROUTE, only);
-    let seen = recorder.observations(ms(0));
-    assert_eq!(judge(&seen, false, 6).verdict, Verdict::Undecided);
-    assert_eq!(judge(&seen, false, 1).verdict, Verdict::IsSlow);
+    add_answers_to(&mut recorder, ROUTE, only);
+    let observations = recorder.observations(ms(0));
+    assert_eq!(judge(&observations, false, 6).verdict, Verdict::Undecided);
+    assert_eq!(judge(&observations, false, 1).verdict, Verdict::IsSlow);
 }
 
 // Two of twelve servers are slow, and nearly all evidence of the version comes from them.
 #[test]
 fn stays_undecided_when_nearly_all_answers_come_from_a_slow_server() {
     let mut recorder = EvidenceRecorder::default();
-    note(&mut recorder, ROUTE, Answers { new: (0, 0), ..GOOD_ANSWERS });
+    add_answers_to(&mut recorder, ROUTE, Answers { new: (0, 0), ..GOOD_ANSWERS });
     for (server, answers, slowdown) in [(1, 14, 6.0), (2, 1, 1.0), (3, 1, 6.0)] {
         for _ in 0..answers {
             recorder.add_sample(ROUTE, VersionRole::New(server), Sample::First(slowdown), ms(0));
@@ -201,12 +201,12 @@
 #[test]
 fn rejects_a_version_that_fails_on_one_route() {
     let mut recorder = EvidenceRecorder::default();
-    note(&mut recorder, ROUTE, Answers { new: (900, 0), ..GOOD_ANSWERS });
-    note(&mut recorder, OTHER_ROUTE, Answers { new: (100, 15), ..GOOD_ANSWERS });
+    add_answers_to(&mut recorder, ROUTE, Answers { new: (900, 0), ..GOOD_ANSWERS });
+    add_answers_to(&mut recorder, OTHER_ROUTE, Answers { new: (100, 15), ..GOOD_ANSWERS });
     assert_eq!(judge(&recorder.observations(ms(0)), false, 5).verdict, Verdict::Fails);
     let mut recorder = EvidenceRecorder::default();
-    note(&mut recorder, ROUTE, Answers { new: (900, 0), ..GOOD_ANSWERS });
-    note(&mut recorder, OTHER_ROUTE, Answers { new: (100, 4), ..GOOD_ANSWERS });
+    add_answers_to(&mut recorder, ROUTE, Answers { new: (900, 0), ..GOOD_ANSWERS });
+    add_answers_to(&mut recorder, OTHER_ROUTE, Answers { new: (100, 4), ..GOOD_ANSWERS });
     assert_eq!(judge(&recorder.observations(ms(0)), false, 5).verdict, Verdict::Undecided);
 }
 
@@ -214,7 +214,7 @@
 #[test]
 fn rejects_a_version_that_turns_bad_late() {
     let mut recorder = EvidenceRecorder::default();
-    note(&mut recorder, ROUTE, Answers { new: (3_000, 0), ..GOOD_ANSWERS });
+    add_answers_to(&mut recorder, ROUTE, Answers { new: (3_000, 0), ..GOOD_ANSWERS });
     for at in 0..60_u64 {
         let sample = if at % 3 == 0 { Sample::Failed } else { Sample::Succeeded };
         recorder.add_sample(ROUTE, VersionRole::New(at % 5), sample, ms(20_000));
@@ -469,18 +469,19 @@
 fn add_answers(rollouts: &mut RolloutTable, failing: bool, now: TimePoint) {
     for at in 0..200_u64 {
         for (version, fails) in [("v2", failing && at % 3 == 0), ("v1", false)] {
-            let run = TrackedAttempt {
+            let attempt = TrackedAttempt {
                 service: &service(),
                 route: ROUTE,
                 version: &version.into(),
                 server: at % 4,
                 expected: Some(Duration::from_millis(50)),
             };
-            let ticket = rollouts.start_tracking(run, now).expect("both versions are compared");
-            rollouts.add_first_part(ticket, now + Duration::from_millis(50));
+            let tracking_id =
+                rollouts.start_tracking(attempt, now).expect("both versions are compared");
+            rollouts.add_first_part(tracking_id, now + Duration::from_millis(50));
             let sample = if fails { Sample::Failed } else { Sample::Succeeded };
-            rollouts.add_sample(ticket, sample, now);
-            rollouts.stop_tracking(ticket);
+            rollouts.add_sample(tracking_id, sample, now);
+            rollouts.stop_tracking(tracking_id);
         }
     }
 }
@@ -499,9 +500,9 @@
     );
     assert_eq!(rollouts.verdict(&service()), Verdict::Fails);
 
-    let shares = rollouts.partial_sums(&server_table, ms(120));
+    let partial_sums = rollouts.partial_sums(&server_table, ms(120));
     let mut other = refreshed_rollouts(&server_table, &CONTEXT);
-    other.set_peer_sums(&shares);
+    other.set_peer_sums(&partial_sums);
     let halt =
         other.refresh(&service(), &server_table, &CONTEXT, ms(130)).expect("it was reported");
     assert_eq!(halt.version.as_str(), "v2");
@@ -621,8 +622,8 @@
             .load
             .add_request(Work::default(), ms(120));
     }
-    let shares = rollouts.partial_sums(&server_table, ms(120));
-    assert_eq!(shares[&service()].old_in_flight, 1);
+    let partial_sums = rollouts.partial_sums(&server_table, ms(120));
+    assert_eq!(partial_sums[&service()].old_in_flight, 1);
 }
 
 #[test]
@@ -655,17 +656,17 @@
     #[test]
     fn sum_over_vms_stays_below_the_limit(
         vms in 1_usize..300,
-        asked in prop::collection::vec(0_u64..60, 300),
+        requests_by_vm in prop::collection::vec(0_u64..60, 300),
         ratio in 0.0_f64..0.3,
         slack in 0.0_f64..200.0,
     ) {
         let limit = SharedLimit { ratio, slack };
-        let requests: u64 = asked.iter().take(vms).sum();
+        let requests: u64 = requests_by_vm.iter().take(vms).sum();
         let mut all = 0;
-        for (rank, asked) in asked.iter().take(vms).enumerate() {
+        for (rank, requests_of_vm) in requests_by_vm.iter().take(vms).enumerate() {
             let mut exposure = Exposure::new(true);
             let vm_rank = VmRank { rank, vm_count: vms };
-            for _ in 0..*asked {
+            for _ in 0..*requests_of_vm {
                 exposure.record_request();
                 if exposure.may_send(&limit, vm_rank, 1.0) {
                     all += 1;
--- a/crates/quincevalve_forwarding/tests/rollout_world/main.rs
+++ b/crates/quincevalve_forwarding/tests/rollout_world/main.rs
@@ -34,10 +34,10 @@
 ];
 
 /// Returns the numbers of an environment variable, separated by commas, or else the default ones.
-fn numbers_from_env<const N: usize>(variable: &str, usual: [usize; N]) -> Vec<usize> {
+fn numbers_from_env<const N: usize>(variable: &str, defaults: [usize; N]) -> Vec<usize> {
     let text = std::env::var(variable).unwrap_or_default();
-    let numbers_from_env: Vec<usize> = text.split(',').filter_map(|it| it.parse().ok()).collect();
-    if numbers_from_env.is_empty() { usual.to_vec() } else { numbers_from_env }
+    let numbers: Vec<usize> = text.split(',').filter_map(|it| it.parse().ok()).collect();
+    if numbers.is_empty() { defaults.to_vec() } else { numbers }
 }
 
 /// Results over several seeds.
@@ -47,11 +47,11 @@
     completed: usize,
     completed_in_time: usize,
     /// Runs in which a bad version got more requests than the limit.
-    over: usize,
+    over_limit: usize,
     /// Runs in which a bad version got requests too long after its fiftieth bad answer.
     late: usize,
     /// Maximum number of requests that a bad version got, as a fraction of the limit.
-    most: f64,
+    max_exposure: f64,
     /// Answers that were truncated as the old servers stopped.
     truncated: u64,
     verdicts: Counts,
@@ -64,8 +64,8 @@
         self.completed_in_time += usize::from(outcome.is_completed() && outcome.in_time());
         let allowed = plan.share * outcome.requests as f64 + plan.slack;
         if plan.version_fault.is_some() {
-            self.most = self.most.max(outcome.exposed as f64 / allowed);
-            self.over += usize::from(outcome.exposed as f64 > allowed);
+            self.max_exposure = self.max_exposure.max(outcome.exposed as f64 / allowed);
+            self.over_limit += usize::from(outcome.exposed as f64 > allowed);
         }
         let is_late =
             outcome.fiftieth_at.is_some_and(|it| outcome.last_sent > it + MAX_ROLLBACK_MS);
@@ -76,13 +76,13 @@
 
     fn print(&self, name: &str) {
         eprintln!(
-            "{name:55} completed {:3}/{:3}, in time {:3}  over {:2}  late {:2}  most {:.2}  truncated {:3}  {:?}",
+            "{name:55} completed {:3}/{:3}, in time {:3}  over {:2}  late {:2}  max exposure {:.2}  truncated {:3}  {:?}",
             self.completed,
             self.runs,
             self.completed_in_time,
-            self.over,
+            self.over_limit,
             self.late,
-            self.most,
+            self.max_exposure,
             self.truncated,
             self.verdicts
         );
@@ -97,7 +97,7 @@
     row
 }
 
-fn version_fault_of(onset: FaultOnset, failure_rate: f64, slowdown: f64) -> VersionFault {
+fn version_fault(onset: FaultOnset, failure_rate: f64, slowdown: f64) -> VersionFault {
     VersionFault { onset, failure_rate, slowdown }
 }
 
@@ -114,7 +114,12 @@
 fn assert_rolled_back(plan: Plan, seeds: u64) {
     let row = simulate(&plan, seeds);
     row.print("bad");
-    assert_eq!((row.over, row.late), (0, 0), "at most {:.2} times the limit", row.most);
+    assert_eq!(
+        (row.over_limit, row.late),
+        (0, 0),
+        "at most {:.2} times the limit",
+        row.max_exposure
+    );
     assert_eq!(row.completed, 0, "{:?}", row.verdicts);
 }
 
@@ -138,22 +143,22 @@
         assert_completed(Plan { disturbance: Disturbance::StoreUnreachable(5_000, 9_500), ..engines(8, 30_000) }, 3);
     completes_when_all_vms_are_killed =>
         assert_completed(Plan { disturbance: Disturbance::AllKilled(7_000), ..engines(8, 30_000) }, 3);
-    rolls_back_when_few_answers_fail => assert_rolled_back(Plan { version_fault: Some(version_fault_of(FaultOnset::Immediate, 0.15, 1.0)), ..engines(64, 12_000) }, 1);
-    rolls_back_when_many_answers_fail => assert_rolled_back(Plan { version_fault: Some(version_fault_of(FaultOnset::Immediate, 0.45, 1.0)), ..engines(8, 12_000) }, 3);
-    rolls_back_when_answers_are_slow => assert_rolled_back(Plan { version_fault: Some(version_fault_of(FaultOnset::Immediate, 0.0, 4.0)), ..engines(8, 12_000) }, 3);
-    rolls_back_when_answers_fail_late => assert_rolled_back(Plan { version_fault: Some(version_fault_of(FaultOnset::Late, 0.15, 1.0)), ..engines(8, 30_000) }, 3);
-    rolls_back_when_answers_are_slow_late => assert_rolled_back(Plan { version_fault: Some(version_fault_of(FaultOnset::Late, 0.0, 8.0)), ..engines(8, 30_000) }, 3);
-    rolls_back_when_answers_fail_under_load => assert_rolled_back(Plan { version_fault: Some(version_fault_of(FaultOnset::UnderLoad, 0.45, 1.0)), ..engines(8, 30_000) }, 3);
-    rolls_back_when_answers_fail_on_one_route => assert_rolled_back(Plan { version_fault: Some(version_fault_of(FaultOnset::OneRoute, 0.15, 1.0)), ..engines(8, 30_000) }, 3);
-    rolls_back_when_answers_of_a_plain_service_fail => assert_rolled_back(Plan { version_fault: Some(version_fault_of(FaultOnset::Immediate, 0.15, 1.0)), ..plain(64, 12_000) }, 2);
+    rolls_back_when_few_answers_fail => assert_rolled_back(Plan { version_fault: Some(version_fault(FaultOnset::Immediate, 0.15, 1.0)), ..engines(64, 12_000) }, 1);
+    rolls_back_when_many_answers_fail => assert_rolled_back(Plan { version_fault: Some(version_fault(FaultOnset::Immediate, 0.45, 1.0)), ..engines(8, 12_000) }, 3);
+    rolls_back_when_answers_are_slow => assert_rolled_back(Plan { version_fault: Some(version_fault(FaultOnset::Immediate, 0.0, 4.0)), ..engines(8, 12_000) }, 3);
+    rolls_back_when_answers_fail_late => assert_rolled_back(Plan { version_fault: Some(version_fault(FaultOnset::Late, 0.15, 1.0)), ..engines(8, 30_000) }, 3);
+    rolls_back_when_answers_are_slow_late => assert_rolled_back(Plan { version_fault: Some(version_fault(FaultOnset::Late, 0.0, 8.0)), ..engines(8, 30_000) }, 3);
+    rolls_back_when_answers_fail_under_load => assert_rolled_back(Plan { version_fault: Some(version_fault(FaultOnset::UnderLoad, 0.45, 1.0)), ..engines(8, 30_000) }, 3);
+    rolls_back_when_answers_fail_on_one_route => assert_rolled_back(Plan { version_fault: Some(version_fault(FaultOnset::OneRoute, 0.15, 1.0)), ..engines(8, 30_000) }, 3);
+    rolls_back_when_answers_of_a_plain_service_fail => assert_rolled_back(Plan { version_fault: Some(version_fault(FaultOnset::Immediate, 0.15, 1.0)), ..plain(64, 12_000) }, 2);
     rolls_back_when_all_vms_are_killed => assert_rolled_back(
-        Plan { version_fault: Some(version_fault_of(FaultOnset::Immediate, 0.45, 1.0)), disturbance: Disturbance::AllKilled(7_000), ..engines(8, 12_000) }, 3);
+        Plan { version_fault: Some(version_fault(FaultOnset::Immediate, 0.45, 1.0)), disturbance: Disturbance::AllKilled(7_000), ..engines(8, 12_000) }, 3);
     rolls_back_when_the_store_is_unreachable => assert_rolled_back(
-        Plan { version_fault: Some(version_fault_of(FaultOnset::Immediate, 0.45, 1.0)), disturbance: Disturbance::StoreUnreachable(4_000, 11_000), ..engines(8, 12_000) }, 3);
+        Plan { version_fault: Some(version_fault(FaultOnset::Immediate, 0.45, 1.0)), disturbance: Disturbance::StoreUnreachable(4_000, 11_000), ..engines(8, 12_000) }, 3);
     rolls_back_when_vms_restart_repeatedly => assert_rolled_back(
-        Plan { version_fault: Some(version_fault_of(FaultOnset::Immediate, 0.45, 1.0)), disturbance: Disturbance::Restarts, ..engines(8, 12_000) }, 3);
+        Plan { version_fault: Some(version_fault(FaultOnset::Immediate, 0.45, 1.0)), disturbance: Disturbance::Restarts, ..engines(8, 12_000) }, 3);
     rolls_back_with_a_small_share => assert_rolled_back(
-        Plan { version_fault: Some(version_fault_of(FaultOnset::Immediate, 0.45, 1.0)), share: 0.01, slack: 0.0, ..engines(64, 12_000) }, 1);
+        Plan { version_fault: Some(version_fault(FaultOnset::Immediate, 0.45, 1.0)), share: 0.01, slack: 0.0, ..engines(64, 12_000) }, 1);
 }
 
 // If a version turns bad near the deadline of a short order, it could take over the traffic before it is found bad.
@@ -161,7 +166,7 @@
 fn versions_that_turn_bad_late_in_a_short_order() {
     assert_rolled_back(
         Plan {
-            version_fault: Some(version_fault_of(FaultOnset::Late, 0.0, 4.0)),
+            version_fault: Some(version_fault(FaultOnset::Late, 0.0, 4.0)),
             ..engines(64, 12_000)
         },
         2,
@@ -173,7 +178,7 @@
 #[test]
 fn truncates_no_answers_when_a_version_turns_bad_at_the_end() {
     let plan = Plan {
-        version_fault: Some(version_fault_of(FaultOnset::Late, 0.0, 4.0)),
+        version_fault: Some(version_fault(FaultOnset::Late, 0.0, 4.0)),
         ..engines(8, 12_000)
     };
     assert_eq!(World::new(plan, 25).simulate().truncated, 0);
@@ -186,7 +191,7 @@
 }
 
 #[test]
-#[ignore = "minutes; by hand"]
+#[ignore = "takes minutes, started by hand"]
 fn table() {
     let seeds = numbers_from_env("ROLLOUT_SEEDS", [50])[0] as u64;
     let kinds = [(0.05, 1.0), (0.15, 1.0), (0.45, 1.0), (0.0, 2.0), (0.0, 4.0), (0.0, 8.0)];
@@ -202,7 +207,7 @@
                 for onset in ONSETS {
                     for (fails, slow) in kinds {
                         let plan = Plan {
-                            version_fault: Some(version_fault_of(onset, fails, slow)),
+                            version_fault: Some(version_fault(onset, fails, slow)),
                             ..plan.clone()
                         };
                         simulate(&plan, seeds)
@@ -212,12 +217,12 @@
                 let naive = Plan { guarded: false, ..plan.clone() };
                 simulate(&naive, seeds).print(&format!("{head} naive, good"));
                 let naive = Plan {
-                    version_fault: Some(version_fault_of(FaultOnset::Immediate, 0.05, 1.0)),
+                    version_fault: Some(version_fault(FaultOnset::Immediate, 0.05, 1.0)),
                     ..naive
                 };
                 simulate(&naive, seeds).print(&format!("{head} naive, Immediate fails 0.05"));
                 let naive = Plan {
-                    version_fault: Some(version_fault_of(FaultOnset::Immediate, 0.0, 4.0)),
+                    version_fault: Some(version_fault(FaultOnset::Immediate, 0.0, 4.0)),
                     ..naive
                 };
                 simulate(&naive, seeds).print(&format!("{head} naive, Immediate slow 4"));
--- a/crates/quincevalve_forwarding/tests/rollout_world/world.rs
+++ b/crates/quincevalve_forwarding/tests/rollout_world/world.rs
@@ -56,7 +56,7 @@
     name: BackendServerName,
     is_new: bool,
     listed_at: u64,
-    gone_at: u64,
+    stops_at: u64,
     /// Spans in milliseconds in which the server is down, as it crashes or flaps.
     down: Vec<(u64, u64)>,
     fails: f64,
@@ -68,7 +68,7 @@
 impl Server {
     fn is_up(&self, now: u64) -> bool {
         now >= self.listed_at
-            && now < self.gone_at
+            && now < self.stops_at
             && !self.down.iter().any(|(from, to)| (*from..*to).contains(&now))
     }
 }
@@ -83,7 +83,7 @@
     ends: u64,
     fails: bool,
     is_stream: bool,
-    first_noted: bool,
+    first_recorded: bool,
     work: Work,
 }
 
@@ -95,7 +95,7 @@
     down_until: u64,
     partitions: Vec<(u64, u64)>,
     /// When the VM was last down or partitioned, in milliseconds.
-    last_unsound_at: u64,
+    last_disturbed_at: u64,
     /// Store changes in transit to the VM, and when they arrive.
     inbox: VecDeque<(u64, StoreChange)>,
     reported: VecDeque<RolloutPartialSums>,
@@ -106,7 +106,7 @@
     Order(Option<RolloutOrder>),
     Record(RolloutRecord),
     Server(usize),
-    Gone(usize),
+    Removed(usize),
 }
 
 /// The result of a simulated roll-out.
@@ -127,7 +127,7 @@
     pub(crate) last_sent: u64,
     /// Answers that were truncated as the old servers stopped.
     pub(crate) truncated: u64,
-    pub(crate) refused: u64,
+    pub(crate) rejected: u64,
     pub(crate) phases: Vec<(u64, Phase)>,
     pub(crate) figures: String,
 }
@@ -205,7 +205,7 @@
                 name: name.as_str().into(),
                 is_new,
                 listed_at,
-                gone_at: u64::MAX,
+                stops_at: u64::MAX,
                 down: Vec::new(),
                 fails: 0.0,
                 faulty_answer_rate: 0.0,
@@ -307,13 +307,13 @@
         let starts = self.vms[vm].starts + 1;
         let mut new = new_vm(&self.plan, starts);
         new.down_until = self.now + down;
-        new.last_unsound_at = self.now + down;
+        new.last_disturbed_at = self.now + down;
         new.partitions = std::mem::take(&mut self.vms[vm].partitions);
         // The VM reads the store at its start.
         let back = self.now + down + 60;
         for at in 0..self.servers.len() {
             let server = &self.servers[at];
-            if server.gone_at > back {
+            if server.stops_at > back {
                 new.inbox.push_back((server.listed_at.max(back), StoreChange::Server(at)));
             }
         }
@@ -364,7 +364,7 @@
         }
         for vm in &mut self.vms {
             if self.now < vm.down_until || is_partitioned(vm, self.now) {
-                vm.last_unsound_at = self.now;
+                vm.last_disturbed_at = self.now;
             }
         }
     }
@@ -409,11 +409,11 @@
             }
             StoreChange::Server(at) => {
                 let server = &self.servers[at];
-                if server.gone_at > self.now {
+                if server.stops_at > self.now {
                     vm.table.apply_entry(&server.name, entry(server.is_new), now);
                 }
             }
-            StoreChange::Gone(at) => {
+            StoreChange::Removed(at) => {
                 vm.table.remove_entry(&self.servers[at].name, now);
             }
         }
@@ -431,7 +431,7 @@
         vm.rollouts.refresh(&self.service, &vm.table, &context, at(self.now));
     }
 
-    /// Each VM reports its partial sums, and receives those that all others reported some digests ago.
+    /// Makes each VM report its partial sums and receive those that all others reported some digests ago.
     fn exchange_digests(&mut self) {
         let now = at(self.now);
         let mut sum = RolloutPartialSums::default();
@@ -480,10 +480,10 @@
             self.holder_lost = self.now;
         }
         if self.holder.is_none() && self.now >= self.holder_lost + TAKE_OVER_MS {
-            let is_sound = |it: &usize| {
+            let is_available = |it: &usize| {
                 self.now >= self.vms[*it].down_until && !is_partitioned(&self.vms[*it], self.now)
             };
-            self.holder = (0..self.vms.len()).filter(is_sound).max();
+            self.holder = (0..self.vms.len()).filter(is_available).max();
         }
         let Some(holder) = self.holder else { return };
         if self.is_store_unreachable() || self.now < self.read_back_at {
@@ -516,7 +516,7 @@
             has_old_servers: old > 0,
             vms: PromotionProgress {
                 vms: self.vms.len(),
-                reachable: reachable,
+                reachable,
                 switched: reported.switched as usize
                     + usize::from(vm.rollouts.has_switched(&self.service, now)),
                 old_in_flight: reported.old_in_flight,
@@ -550,17 +550,17 @@
 
     fn stop_servers(&mut self, phase: Phase) {
         let is_completed = phase == Phase::Completed;
-        let gone_at =
+        let stops_at =
             self.now + if is_completed { WRITE_TIME_MS } else { NEW_SERVERS_STOP_DELAY_MS };
         for at in 0..self.servers.len() {
             if self.servers[at].is_new != is_completed {
-                self.servers[at].gone_at = gone_at;
-                self.publish_change(StoreChange::Gone(at), gone_at);
+                self.servers[at].stops_at = stops_at;
+                self.publish_change(StoreChange::Removed(at), stops_at);
             }
         }
     }
 
-    /// The naive baseline: a tenth of the traffic and a fixed threshold on failures.
+    /// Decides as the naive baseline: a tenth of the traffic and a fixed threshold on failures.
     fn run_naive_holder(&mut self) {
         let Some(order) = &self.order else { return };
         if self.outcome.phase.is_some() {
@@ -584,12 +584,12 @@
 
     fn end_runs(&mut self) {
         let now = self.now;
-        for at_run in (0..self.runs.len()).rev() {
-            let run = &mut self.runs[at_run];
+        for run_index in (0..self.runs.len()).rev() {
+            let run = &mut self.runs[run_index];
             let server = &self.servers[run.server];
             let is_down = !server.is_up(now);
-            if !run.first_noted && now >= run.first_at && !is_down {
-                run.first_noted = true;
+            if !run.first_recorded && now >= run.first_at && !is_down {
+                run.first_recorded = true;
                 let vm = &mut self.vms[run.vm];
                 if let Some(tracking_id) = run.tracking_id {
                     if !run.fails {
@@ -600,19 +600,19 @@
                 }
             }
             if is_down || now >= run.ends {
-                let stopped = server.gone_at <= now && !server.is_new && now < run.ends;
+                let stopped = server.stops_at <= now && !server.is_new && now < run.ends;
                 if is_down && stopped {
                     self.outcome.truncated += 1;
                 }
-                self.remove_run(at_run);
+                self.remove_run(run_index);
                 continue;
             }
-            self.migrate_run(at_run);
+            self.migrate_run(run_index);
         }
     }
 
-    fn remove_run(&mut self, at_run: usize) {
-        let run = self.runs.swap_remove(at_run);
+    fn remove_run(&mut self, run_index: usize) {
+        let run = self.runs.swap_remove(run_index);
         let server = &mut self.servers[run.server];
         server.running = server.running.saturating_sub(1);
         let vm = &mut self.vms[run.vm];
@@ -625,8 +625,8 @@
     }
 
     /// Migrates a stream away from a server that is expected to stop.
-    fn migrate_run(&mut self, at_run: usize) {
-        let run = &self.runs[at_run];
+    fn migrate_run(&mut self, run_index: usize) {
+        let run = &self.runs[run_index];
         if !run.is_stream || self.servers[run.server].is_new || self.now < run.first_at {
             return;
         }
@@ -642,7 +642,7 @@
         let (vm, vm_start, ends, work) = (run.vm, run.vm_start, run.ends, run.work);
         let choice = self.vms[vm].rollouts.choice_for_retry(&self.service);
         let Some(to) = self.pick(vm, &choice) else { return };
-        self.remove_run(at_run);
+        self.remove_run(run_index);
         if self.rng.random::<f64>() > MIGRATION_SUCCESS_RATE {
             return;
         }
@@ -658,7 +658,7 @@
             ends,
             fails: false,
             is_stream: true,
-            first_noted: true,
+            first_recorded: true,
             work,
         });
     }
@@ -701,8 +701,8 @@
         if !self.servers[server].is_new {
             return;
         }
-        let has_contact = self.vms[vm].last_unsound_at + MIN_CONTACT_MS < self.now
-            || self.vms[vm].last_unsound_at == 0;
+        let has_contact = self.vms[vm].last_disturbed_at + MIN_CONTACT_MS < self.now
+            || self.vms[vm].last_disturbed_at == 0;
         let is_counted = self.now >= self.plan.order_at && self.now <= self.outcome.deadline;
         if has_contact && is_counted {
             self.outcome.exposed += 1;
@@ -715,23 +715,23 @@
     /// Sends the callers' requests of this step.
     fn send_requests(&mut self) {
         let routes = self.plan.routes.clone();
-        for (at_route, route) in routes.iter().enumerate() {
+        for (route_index, route) in routes.iter().enumerate() {
             let mut left = route.rate / 100.0;
             while left > 0.0 {
                 if self.rng.random::<f64>() < left.min(1.0) {
-                    self.send_request(at_route);
+                    self.send_request(route_index);
                 }
                 left -= 1.0;
             }
         }
     }
 
-    fn send_request(&mut self, at_route: usize) {
+    fn send_request(&mut self, route_index: usize) {
         let vm = self.rng.random_range(0..self.vms.len());
         if self.now < self.vms[vm].down_until {
             return;
         }
-        let route = self.plan.routes[at_route].clone();
+        let route = self.plan.routes[route_index].clone();
         if self.now >= self.plan.order_at && self.now <= self.outcome.deadline {
             self.outcome.requests += 1;
         }
@@ -744,7 +744,7 @@
             self.naive_choice(draw)
         };
         let Some(server) = self.pick(vm, &choice) else {
-            self.outcome.refused += 1;
+            self.outcome.rejected += 1;
             return;
         };
         let is_new = self.servers[server].is_new;
@@ -756,7 +756,7 @@
         if !self.servers[server].is_up(self.now) {
             return;
         }
-        self.run(vm, server, at_route);
+        self.run(vm, server, route_index);
     }
 
     fn naive_choice(&self, draw: f64) -> VersionChoice {
@@ -770,18 +770,18 @@
         }
     }
 
-    fn run(&mut self, vm: usize, server: usize, at_route: usize) {
-        let route = self.plan.routes[at_route].clone();
-        let at_server = &self.servers[server];
-        let load = f64::from(at_server.running) / self.plan.slots();
+    fn run(&mut self, vm: usize, server: usize, route_index: usize) {
+        let route = self.plan.routes[route_index].clone();
+        let server_state = &self.servers[server];
+        let load = f64::from(server_state.running) / self.plan.slots();
         let noise = (LOG_TIME_DEVIATION * normal(&mut self.rng)).exp();
-        let (bad_fails, bad_slow) = self.version_fault_effect(server, at_route, load);
-        let slow = at_server.slow * bad_slow;
+        let (bad_fails, bad_slow) = self.version_fault_effect(server, route_index, load);
+        let slow = server_state.slow * bad_slow;
         let fails = 1.0
             - (1.0 - route.failure_rate)
-                * (1.0 - at_server.fails)
+                * (1.0 - server_state.fails)
                 * (1.0 - bad_fails)
-                * (1.0 - at_server.faulty_answer_rate);
+                * (1.0 - server_state.faulty_answer_rate);
         let fails = self.rng.random::<f64>() < fails;
         let expected = route.first_ms;
         let first = expected * noise * slow;
@@ -790,7 +790,7 @@
         } else {
             0.0
         };
-        let is_bad = at_server.is_new && (fails && bad_fails > 0.0 || bad_slow > 1.0);
+        let is_bad = server_state.is_new && (fails && bad_fails > 0.0 || bad_slow > 1.0);
         if is_bad {
             self.outcome.bad += 1;
             if self.outcome.bad == 50 {
@@ -818,13 +818,13 @@
             ends: self.now + (first + length) as u64,
             fails,
             is_stream: route.is_stream,
-            first_noted: false,
+            first_recorded: false,
             work,
         });
     }
 
     /// Returns the failure rate and the slowdown that a server's version causes.
-    fn version_fault_effect(&self, server: usize, at_route: usize, load: f64) -> (f64, f64) {
+    fn version_fault_effect(&self, server: usize, route_index: usize, load: f64) -> (f64, f64) {
         if !self.servers[server].is_new {
             return (0.0, 1.0);
         }
@@ -836,7 +836,7 @@
             FaultOnset::Immediate => true,
             FaultOnset::Late => served >= 5_000,
             FaultOnset::UnderLoad => load > USUAL_LOAD / 2.0,
-            FaultOnset::OneRoute => at_route == 0,
+            FaultOnset::OneRoute => route_index == 0,
         };
         if shows { (failure_rate, slowdown) } else { (0.0, 1.0) }
     }
@@ -851,7 +851,7 @@
         starts,
         down_until: 0,
         partitions: Vec::new(),
-        last_unsound_at: 0,
+        last_disturbed_at: 0,
         inbox: VecDeque::new(),
         reported: VecDeque::new(),
     }
--- a/crates/quincevalve_forwarding/tests/signals_world/world.rs
+++ b/crates/quincevalve_forwarding/tests/signals_world/world.rs
@@ -14,10 +14,10 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Length of a step in milliseconds.
+/// Length of a simulation step in milliseconds.
 const STEP: u64 = 10;
-/// Interval in milliseconds at which a VM reports to others.
-const PERIOD: u64 = 60;
+/// Interval in milliseconds at which a VM reports to other VMs.
+const REPORT_INTERVAL: u64 = 60;
 /// Range of a datagram's delay in milliseconds.
 const DATAGRAM_DELAY: Range<u64> = 1..8;
 /// Range of a request's delay to a server in milliseconds.
@@ -26,82 +26,85 @@
 const ANSWER_TIME: Range<u64> = 20..300;
 /// Maximum error of a VM's wall clock in milliseconds, in either direction.
 const CLOCK_ERROR: i64 = 50;
-/// Up to this many VMs, every VM reports to every other; beyond, each group has a collector.
-const SMALL: usize = 16;
+/// Maximum number of VMs at which every VM reports to every other; with more, each group has a collector.
+const MAX_UNGROUPED_VMS: usize = 16;
 /// VMs per group.
-const GROUP: usize = 50;
-/// Milliseconds for which a VM must have run undisturbed before limits are checked against it.
-const CONTACT: u64 = 3_000;
-/// Milliseconds from an answer that a VM relayed until its signals are checked against that VM.
-const HEARD: u64 = 500;
-/// Window in milliseconds over which a server counts requests, and what it tolerates beyond its limit: a factor and a
-/// constant.
-const SPAN: u64 = 4_000;
-const FACTOR: f64 = 1.5;
-const SLACK: f64 = 5.0;
+const GROUP_SIZE: usize = 50;
+/// Milliseconds for which a VM must have run undisturbed before its requests are checked against limits.
+const SETTLING_TIME: u64 = 3_000;
+/// Milliseconds from the first answer with a signal until the VM that received it must comply.
+const REACTION_TIME: u64 = 500;
+/// Window in milliseconds over which a limited server's requests are counted.
+const LIMIT_WINDOW: u64 = 4_000;
+/// Factor by which requests may exceed a limit in a window.
+const LIMIT_TOLERANCE: f64 = 1.5;
+/// Requests that are tolerated in a window in addition.
+const LIMIT_SLACK: f64 = 5.0;
 
 /// Mean requests per second of a VM.
-const REQUESTS_OF_VM: f64 = 6.0;
-/// Number of shared prompt prefixes.
-const SHARED: u64 = 2_000;
+const REQUEST_RATE_PER_VM: f64 = 6.0;
+/// Number of distinct shared prompt prefixes.
+const SHARED_PREFIXES: u64 = 2_000;
 
-/// Milliseconds from an answer that a VM relayed until requests of callers must no longer reach the leaving server.
+/// Milliseconds from the first answer that announces leaving until the VM must no longer send to that server.
 const LEAVING_TIME: u64 = 2_000;
-/// Requests that a VM may send to a server during its rest period.
-const IN_REST: usize = 2;
-/// Interval in milliseconds at which a list without the servers' signals is read.
-const STALE_LIST: u64 = 1_000;
-/// Milliseconds until a request is rejected.
-const TURN_AWAY_TIME: u64 = 5;
+/// Maximum number of requests that a VM may send to a server during its rest period.
+const MAX_REQUESTS_IN_REST: usize = 2;
+/// Interval in milliseconds at which VMs read a server list that contains no signals.
+const SERVER_LIST_INTERVAL: u64 = 1_000;
+/// Milliseconds that a resting server takes to reject a request.
+const REJECTION_TIME: u64 = 5;
 
 /// A span of time, in milliseconds.
 pub(crate) type Span = Range<u64>;
 
 /// Safeguards that are active.
-#[expect(clippy::struct_excessive_bools, reason = "a test takes out each of them by itself")]
+#[expect(clippy::struct_excessive_bools, reason = "tests deactivate each of them separately")]
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Safeguards {
-    /// VMs keep to their shares of limits.
-    pub(crate) parts: bool,
-    /// VMs know their ranks; without, each divides a limit as if it were the only VM.
-    pub(crate) seats: bool,
+    /// VMs send at most their shares of limits.
+    pub(crate) shares: bool,
+    /// VMs know their ranks; otherwise each uses the whole limit as if it were the only VM.
+    pub(crate) ranks: bool,
     /// VMs report signals of servers to each other.
-    pub(crate) told: bool,
-    /// VMs believe a server that says that it leaves.
+    pub(crate) reports: bool,
+    /// VMs exclude a server that signals that it is leaving.
     pub(crate) leaving: bool,
     /// VMs send nothing to a resting server.
     pub(crate) rest: bool,
 }
 
 pub(crate) const ALL: Safeguards =
-    Safeguards { parts: true, seats: true, told: true, leaving: true, rest: true };
+    Safeguards { shares: true, ranks: true, reports: true, leaving: true, rest: true };
 
-/// Events of a simulation.
+/// Size of a simulated fleet, its load and its disturbances.
 #[derive(Clone, Debug)]
 pub(crate) struct Plan {
     pub(crate) vms: usize,
     pub(crate) servers: usize,
-    /// Requests a second of all callers together.
+    /// Requests per second of all callers together.
     pub(crate) rate: f64,
-    /// The limits that the first `limited` servers name, each from a time in milliseconds on.
+    /// Number of servers that signal limits, counted from the first.
     pub(crate) limited: usize,
+    /// Limits that these servers signal, in requests per second, each with its start in milliseconds.
     pub(crate) limits: Vec<(u64, Option<f64>)>,
     pub(crate) safeguards: Safeguards,
-    /// The first servers, so many, say from that time on that they leave.
+    /// Number of servers, counted from the first, that signal leaving, and the start in milliseconds.
     pub(crate) leaving: Option<(usize, u64)>,
-    /// The first servers, this many, reject all requests in that span and ask for a rest of this many milliseconds.
+    /// Number of servers, counted from the first, that reject all requests; the span in which they do; and the rest
+    /// period that they ask for, in milliseconds.
     pub(crate) resting: Option<(usize, Span, u64)>,
-    /// Fraction of datagrams that is lost.
+    /// Fraction of datagrams that are lost.
     pub(crate) loss: f64,
-    /// The first VMs, this many, are partitioned from the others in that span.
-    pub(crate) cut: Option<(usize, Span)>,
-    /// The first VMs, this many, are frozen in that span.
+    /// Number of VMs, counted from the first, that are partitioned from the other VMs, and the span.
+    pub(crate) partitioned: Option<(usize, Span)>,
+    /// Number of VMs, counted from the first, that are frozen, and the span.
     pub(crate) frozen: Option<(usize, Span)>,
-    /// The first VMs, this many, are killed at that time and restart without state.
+    /// Number of VMs, counted from the first, that are killed and restart without state, and the time in milliseconds.
     pub(crate) killed: Option<(usize, u64)>,
-    /// This many VMs are added at that time; others learn of them up to a second later.
+    /// Number of VMs that are added, and the time in milliseconds; the other VMs discover them within a second.
     pub(crate) added: Option<(usize, u64)>,
-    /// Milliseconds until the end.
+    /// Duration of the simulation in milliseconds.
     pub(crate) length: u64,
 }
 
@@ -110,14 +113,14 @@
         Self {
             vms,
             servers,
-            rate: vms as f64 * REQUESTS_OF_VM,
+            rate: vms as f64 * REQUEST_RATE_PER_VM,
             limited: 1,
             limits: vec![(3_000, Some(1.2))],
             safeguards: ALL,
             leaving: None,
             resting: None,
             loss: 0.02,
-            cut: None,
+            partitioned: None,
             frozen: None,
             killed: None,
             added: None,
@@ -132,17 +135,17 @@
         self.limits.iter().rev().find(|(from, _)| *from <= at)?.1
     }
 
-    fn says_it_leaves(&self, server: usize, at: u64) -> bool {
+    fn signals_leaving(&self, server: usize, at: u64) -> bool {
         self.leaving.is_some_and(|(count, from)| server < count && at >= from)
     }
 
-    /// The milliseconds for which a server wants rest that turns a request away at that time.
+    /// Returns the rest period in milliseconds that a server asks for if it rejects requests at that time.
     fn rest_at(&self, server: usize, at: u64) -> Option<u64> {
         let (count, span, rest) = self.resting.as_ref()?;
         (server < *count && span.contains(&at)).then_some(*rest)
     }
 
-    /// Requests that a server's limits allow in a span of time.
+    /// Returns the number of requests that a server's limits allow in a span of time.
     fn allowed_in(&self, server: usize, span: Span) -> f64 {
         let steps = span.step_by(STEP as usize);
         steps.filter_map(|at| self.limit_at(server, at)).sum::<f64>() * STEP as f64 / 1_000.0
@@ -152,42 +155,44 @@
 /// Results of a simulation.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct Outcome {
-    /// Spans in which a server got more than its limit allows.
-    pub(crate) broken: usize,
-    /// The largest part of what a limit allows that a server got.
-    pub(crate) worst: f64,
-    /// Requests that limited servers got of those that their limits name.
-    pub(crate) used: f64,
-    /// Requests that callers sent too late to a server that leaves.
+    /// Number of windows in which a server received more requests than its limit allows.
+    pub(crate) exceeded_limits: usize,
+    /// Maximum ratio of received to allowed requests over all windows.
+    pub(crate) worst_ratio: f64,
+    /// Fraction of the requests allowed by limits that limited servers received.
+    pub(crate) used_fraction: f64,
+    /// Number of requests sent to a leaving server after [`LEAVING_TIME`].
     pub(crate) to_leaving: usize,
-    /// Rests in which a VM sent more than it may.
-    pub(crate) rests_broken: usize,
-    /// The most requests that a server that had rested got in a second, of what it got in any second before.
+    /// Number of rest periods in which a VM sent more than [`MAX_REQUESTS_IN_REST`] requests.
+    pub(crate) violated_rests: usize,
+    /// Maximum requests per second of a server after its rest, relative to its maximum before.
     pub(crate) after_rest: f64,
-    /// Milliseconds until all VMs knew the first limit of the first server.
+    /// Milliseconds until all VMs knew the first limit of the first server; `None` if they never did.
     pub(crate) known_after: Option<u64>,
-    /// Requests that were placed, and that were refused.
+    /// Number of requests that were placed on a server.
     pub(crate) placed: usize,
-    pub(crate) refused: usize,
-    pub(crate) bytes_told: usize,
+    /// Number of requests for which placement found no server.
+    pub(crate) rejected: usize,
+    /// Bytes of all reports that were delivered.
+    pub(crate) reported_bytes: usize,
 }
 
 impl fmt::Display for Outcome {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "broken {:4}  to leaving {:3}  rests broken {:3}  after rest {:4.2}  worst {:4.2} of the bound  used {:4.2} of the limits  known to all after {:>5} ms  \
-             placed {:5}  refused {:5}  told {} kB",
-            self.broken,
+            "limits exceeded {:4}  to leaving {:3}  rests violated {:3}  after rest {:4.2}  worst {:4.2} of the bound  used {:4.2} of the limits  known to all after {:>5} ms  \
+             placed {:5}  rejected {:5}  reported {} kB",
+            self.exceeded_limits,
             self.to_leaving,
-            self.rests_broken,
+            self.violated_rests,
             self.after_rest,
-            self.worst,
-            self.used,
+            self.worst_ratio,
+            self.used_fraction,
             self.known_after.map_or("-".to_owned(), |it| it.to_string()),
             self.placed,
-            self.refused,
-            self.bytes_told / 1_000,
+            self.rejected,
+            self.reported_bytes / 1_000,
         )
     }
 }
@@ -195,33 +200,41 @@
 struct Vm {
     table: ServerTable,
     outbox: SignalOutbox,
+    /// Error of its wall clock in milliseconds.
     clock_error: i64,
-    /// Its part of the callers.
+    /// Relative share of callers' requests.
     weight: f64,
-    starts: u32,
-    /// Until when it is excused, and until when it does nothing.
-    excused_until: u64,
-    still_until: u64,
-    /// When it passed on the first answer with a limit, by server.
-    told_at: Vec<Option<u64>>,
-    /// When it passed on the first answer that says that a server leaves, by server.
-    leaving_at: Vec<Option<u64>>,
+    /// Number of restarts.
+    restarts: u32,
+    /// Time until which this VM's requests aren't checked against limits, because of a disturbance.
+    unchecked_until: u64,
+    /// Time until which this VM does nothing.
+    stopped_until: u64,
+    /// Time of the first answer with a limit, by server.
+    limit_received_at: Vec<Option<u64>>,
+    /// Time of the first answer that announces leaving, by server.
+    leaving_received_at: Vec<Option<u64>>,
+    /// Whether the VM has been added.
     present: bool,
 }
 
+/// A request that reached a server.
 struct Arrival {
     at: u64,
     vm: usize,
-    /// For how long the server then wanted rest, if it turned the request away.
+    /// Rest period in milliseconds that the server asked for, if it rejected the request.
     rest: Option<u64>,
-    /// Whether its VM is held to what the server said.
-    counts: bool,
+    /// Whether the VM must comply with the server's limit at that time.
+    is_checked: bool,
 }
 
 enum Event {
+    /// A request reaches a server. `start` is the number of restarts of the VM when it was sent.
     Request { vm: usize, start: u32, server: usize, sent: u64 },
+    /// An answer reaches the VM.
     Answer { vm: usize, start: u32, server: usize, signals: ServerSignals },
-    News { to: usize, from: SignalSource, news: Vec<(ServerKey, ReportedSignals)> },
+    /// A report of signals reaches the VM `to`.
+    Report { to: usize, from: SignalSource, reports: Vec<(ServerKey, ReportedSignals)> },
 }
 
 struct World {
@@ -235,7 +248,7 @@
 }
 
 fn at(millis: u64) -> TimePoint {
-    // Far from the origin, as a VM's clock is.
+    // A VM's clock isn't near its origin either.
     TimePoint::from_millis(1_000_000 + millis)
 }
 
@@ -251,7 +264,7 @@
     table
 }
 
-/// Takes a list in which no server leaves.
+/// Applies a server list in which no server is leaving.
 fn list_servers(table: &mut ServerTable, servers: usize, now: u64) {
     for server in 0..servers {
         let entry = ServerEntry {
@@ -271,7 +284,7 @@
 }
 
 /// Runs a simulation.
-pub(crate) fn play(plan: &Plan, seed: u64) -> Outcome {
+pub(crate) fn simulate(plan: &Plan, seed: u64) -> Outcome {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let added = plan.added.map_or(0, |(count, _)| count);
     let vms = (0..plan.vms).map(|vm| Vm {
@@ -279,11 +292,11 @@
         outbox: SignalOutbox::default(),
         clock_error: rng.random_range(-CLOCK_ERROR..=CLOCK_ERROR),
         weight: rng.random_range(0.3..2.5),
-        starts: 0,
-        excused_until: 0,
-        still_until: 0,
-        told_at: vec![None; plan.servers],
-        leaving_at: vec![None; plan.servers],
+        restarts: 0,
+        unchecked_until: 0,
+        stopped_until: 0,
+        limit_received_at: vec![None; plan.servers],
+        leaving_received_at: vec![None; plan.servers],
         present: vm + added < plan.vms,
     });
     let vms = vms.collect();
@@ -301,14 +314,14 @@
         world.step();
         world.now += STEP;
     }
-    world.judge();
+    world.evaluate();
     world.outcome
 }
 
 impl World {
     fn step(&mut self) {
-        self.disturb();
-        if self.now.is_multiple_of(STALE_LIST) {
+        self.apply_disturbances();
+        if self.now.is_multiple_of(SERVER_LIST_INTERVAL) {
             let now = self.now;
             let servers = self.plan.servers;
             self.vms.iter_mut().for_each(|it| list_servers(&mut it.table, servers, now));
@@ -316,36 +329,38 @@
         self.deliver();
         for vm in 0..self.vms.len() {
             if self.is_active(vm) {
-                self.ask(vm);
-                if (self.now / STEP + vm as u64).is_multiple_of(PERIOD / STEP) {
-                    self.turn(vm);
+                self.generate_requests(vm);
+                if (self.now / STEP + vm as u64).is_multiple_of(REPORT_INTERVAL / STEP) {
+                    self.send_reports(vm);
                 }
             }
         }
-        self.look_who_knows();
+        self.measure_limit_propagation();
     }
 
     fn is_active(&self, vm: usize) -> bool {
-        self.vms[vm].present && self.vms[vm].still_until <= self.now
+        self.vms[vm].present && self.vms[vm].stopped_until <= self.now
     }
 
-    fn is_cut(&self, vm: usize) -> bool {
-        let cut = self.plan.cut.as_ref();
-        cut.is_some_and(|(count, span)| vm < *count && span.contains(&self.now))
+    fn is_partitioned(&self, vm: usize) -> bool {
+        let partitioned = self.plan.partitioned.as_ref();
+        partitioned.is_some_and(|(count, span)| vm < *count && span.contains(&self.now))
     }
 
-    fn disturb(&mut self) {
-        if let Some((count, span)) = self.plan.cut.clone()
+    fn apply_disturbances(&mut self) {
+        if let Some((count, span)) = self.plan.partitioned.clone()
             && span.contains(&self.now)
         {
-            self.vms[..count].iter_mut().for_each(|it| it.excused_until = span.end + CONTACT);
+            self.vms[..count]
+                .iter_mut()
+                .for_each(|it| it.unchecked_until = span.end + SETTLING_TIME);
         }
         if let Some((count, span)) = self.plan.frozen.clone()
             && span.contains(&self.now)
         {
             for vm in &mut self.vms[..count] {
-                vm.still_until = span.end;
-                vm.excused_until = span.end + CONTACT;
+                vm.stopped_until = span.end;
+                vm.unchecked_until = span.end + SETTLING_TIME;
             }
         }
         if let Some((count, when)) = self.plan.killed
@@ -353,13 +368,13 @@
         {
             let (servers, now) = (self.plan.servers, self.now);
             for vm in &mut self.vms[..count] {
-                vm.starts += 1;
+                vm.restarts += 1;
                 vm.table = table(servers, now);
                 vm.outbox = SignalOutbox::default();
-                vm.still_until = now + 800;
-                vm.excused_until = now + 800 + CONTACT;
-                vm.told_at.fill(None);
-                vm.leaving_at.fill(None);
+                vm.stopped_until = now + 800;
+                vm.unchecked_until = now + 800 + SETTLING_TIME;
+                vm.limit_received_at.fill(None);
+                vm.leaving_received_at.fill(None);
             }
         }
         if let Some((_, when)) = self.plan.added
@@ -369,9 +384,9 @@
         }
     }
 
-    /// Returns a VM's rank among all VMs that it knows. VMs learn of new ones one after the other within a second.
-    fn seat(&self, vm: usize) -> VmRank {
-        if !self.plan.safeguards.seats {
+    /// Returns a VM's rank among all VMs that it knows. VMs discover added VMs one after the other within a second.
+    fn rank(&self, vm: usize) -> VmRank {
+        if !self.plan.safeguards.ranks {
             return VmRank::ALONE;
         }
         let Some((count, when)) = self.plan.added else {
@@ -382,58 +397,60 @@
         VmRank { rank: vm, vm_count: if knows || vm >= old { self.plan.vms } else { old } }
     }
 
-    /// A VM's periodic work: its rank, its clock, and reports to others.
-    fn turn(&mut self, vm: usize) {
-        let (seat, now) = (self.seat(vm), self.now);
-        let true_ms = 1_700_000_000_000 + now.cast_signed() + self.vms[vm].clock_error;
-        self.vms[vm].table.set_rank(seat, true_ms, at(now));
-        if !self.plan.safeguards.told {
+    /// Performs a VM's periodic work: updates its rank and wall-clock time, then reports to other VMs.
+    fn send_reports(&mut self, vm: usize) {
+        let (rank, now) = (self.rank(vm), self.now);
+        let wall_clock_ms = 1_700_000_000_000 + now.cast_signed() + self.vms[vm].clock_error;
+        self.vms[vm].table.set_rank(rank, wall_clock_ms, at(now));
+        if !self.plan.safeguards.reports {
             return;
         }
-        let wide = self.vms[vm].outbox.take_for_collectors();
-        let near = self.vms[vm].outbox.take_for_members();
-        let (collectors, members, scope) = self.audience(vm);
-        self.tell(vm, wide, &collectors, scope);
-        self.tell(vm, near, &members, SignalSource::OwnCollector);
+        let for_collectors = self.vms[vm].outbox.take_for_collectors();
+        let for_members = self.vms[vm].outbox.take_for_members();
+        let (collectors, members, source) = self.recipients(vm);
+        self.report(vm, for_collectors, &collectors, source);
+        self.report(vm, for_members, &members, SignalSource::OwnCollector);
     }
 
-    /// Returns the recipients of a VM's reports, its collector or the other collectors and its members, and its role
-    /// for the former.
-    fn audience(&self, vm: usize) -> (Vec<usize>, Vec<usize>, SignalSource) {
+    /// Returns the recipients of a VM's reports and the source as which it reports to the first of them.
+    ///
+    /// A collector reports to the other collectors and to its members, a member to its collector.
+    fn recipients(&self, vm: usize) -> (Vec<usize>, Vec<usize>, SignalSource) {
         let all = self.plan.vms;
-        if all <= SMALL {
+        if all <= MAX_UNGROUPED_VMS {
             let others = (0..all).filter(|it| *it != vm).collect();
             return (others, Vec::new(), SignalSource::Collector);
         }
-        let collector = vm / GROUP * GROUP;
+        let collector = vm / GROUP_SIZE * GROUP_SIZE;
         if collector != vm {
             return (vec![collector], Vec::new(), SignalSource::Member);
         }
-        let others = (0..all).step_by(GROUP).filter(|it| *it != vm).collect();
-        let members = (vm + 1..all.min(vm + GROUP)).collect();
+        let others = (0..all).step_by(GROUP_SIZE).filter(|it| *it != vm).collect();
+        let members = (vm + 1..all.min(vm + GROUP_SIZE)).collect();
         (others, members, SignalSource::Collector)
     }
 
-    fn tell(&mut self, vm: usize, keys: Vec<ServerKey>, to: &[usize], from: SignalSource) {
+    /// Sends reports on servers' signals to other VMs; some datagrams are lost.
+    fn report(&mut self, vm: usize, keys: Vec<ServerKey>, to: &[usize], from: SignalSource) {
         let now = at(self.now);
         let table = &self.vms[vm].table;
-        let news = keys.into_iter().filter_map(|key| {
-            let told = table.get(&key.0)?.signals_to_report(now)?;
-            Some((key, told))
+        let reports = keys.into_iter().filter_map(|key| {
+            let signals = table.get(&key.0)?.signals_to_report(now)?;
+            Some((key, signals))
         });
-        let news: Vec<_> = news.collect();
-        if news.is_empty() {
+        let reports: Vec<_> = reports.collect();
+        if reports.is_empty() {
             return;
         }
         for to in to {
             let lost = self.rng.random::<f64>() < self.plan.loss;
-            if lost || self.is_cut(vm) != self.is_cut(*to) {
+            if lost || self.is_partitioned(vm) != self.is_partitioned(*to) {
                 continue;
             }
-            self.outcome.bytes_told += 100 + 30 * news.len();
+            self.outcome.reported_bytes += 100 + 30 * reports.len();
             let delay = self.rng.random_range(DATAGRAM_DELAY);
-            let news = news.clone();
-            self.events.push((self.now + delay, Event::News { to: *to, from, news }));
+            let reports = reports.clone();
+            self.events.push((self.now + delay, Event::Report { to: *to, from, reports }));
         }
     }
 
@@ -444,62 +461,67 @@
         self.events = later;
         for (_, event) in due {
             match event {
-                Event::Request { vm, start, server, sent } => self.arrive(vm, start, server, sent),
+                Event::Request { vm, start, server, sent } => self.serve(vm, start, server, sent),
                 Event::Answer { vm, start, server, signals } => {
-                    self.hear(vm, start, server, signals);
+                    self.receive_answer(vm, start, server, signals);
                 }
-                Event::News { to, from, news } if self.is_active(to) => {
+                Event::Report { to, from, reports } if self.is_active(to) => {
                     let vm = &mut self.vms[to];
-                    for (key, told) in news {
+                    for (key, signals) in reports {
                         let Some(server) = vm.table.get_mut(&key.0, key.1) else { continue };
-                        if !server.apply_report(&told, at(now)).is_empty() {
+                        if !server.apply_report(&signals, at(now)).is_empty() {
                             vm.outbox.push(key, from);
                         }
                     }
                 }
-                Event::News { .. } => {}
+                Event::Report { .. } => {}
             }
         }
     }
 
-    fn arrive(&mut self, vm: usize, start: u32, server: usize, sent: u64) {
+    /// Records a request at a server and schedules its answer.
+    fn serve(&mut self, vm: usize, start: u32, server: usize, sent: u64) {
         let now = self.now;
-        let is_held = self.vms[vm].excused_until <= now && self.vms[vm].starts == start;
-        let told = self.vms[vm].told_at[server];
-        let counts = is_held && told.is_some_and(|it| now >= it + HEARD);
-        let left = self.vms[vm].leaving_at[server];
-        if self.vms[vm].starts == start && left.is_some_and(|it| sent > it + LEAVING_TIME) {
+        let is_undisturbed = self.vms[vm].unchecked_until <= now && self.vms[vm].restarts == start;
+        let limit_received = self.vms[vm].limit_received_at[server];
+        let is_checked =
+            is_undisturbed && limit_received.is_some_and(|it| now >= it + REACTION_TIME);
+        let leaving_received = self.vms[vm].leaving_received_at[server];
+        if self.vms[vm].restarts == start
+            && leaving_received.is_some_and(|it| sent > it + LEAVING_TIME)
+        {
             self.outcome.to_leaving += 1;
         }
         let rest = self.plan.rest_at(server, now);
-        self.arrivals[server].push(Arrival { at: now, vm, rest, counts });
+        self.arrivals[server].push(Arrival { at: now, vm, rest, is_checked });
         let when = match rest {
-            Some(_) => now + TURN_AWAY_TIME,
+            Some(_) => now + REJECTION_TIME,
             None => now + self.rng.random_range(ANSWER_TIME),
         };
         let signals = ServerSignals {
             limit: self.plan.limit_at(server, when).and_then(RequestRate::new),
-            leaving: self.plan.says_it_leaves(server, when),
+            leaving: self.plan.signals_leaving(server, when),
             rest: rest.map(Duration::from_millis),
         };
         self.events.push((when, Event::Answer { vm, start, server, signals }));
     }
 
-    fn hear(&mut self, vm: usize, start: u32, server: usize, mut signals: ServerSignals) {
+    /// Applies an answer's signals to the VM that sent the request.
+    fn receive_answer(&mut self, vm: usize, start: u32, server: usize, mut signals: ServerSignals) {
         let now = self.now;
-        if self.vms[vm].starts != start {
+        if self.vms[vm].restarts != start {
             return;
         }
         if !self.is_active(vm) {
-            let when = self.vms[vm].still_until;
+            let when = self.vms[vm].stopped_until;
             return self.events.push((when, Event::Answer { vm, start, server, signals }));
         }
         let vm = &mut self.vms[vm];
         if signals.limit.is_some() {
-            vm.told_at[server].get_or_insert(now);
+            vm.limit_received_at[server].get_or_insert(now);
         }
         if signals.leaving {
-            vm.leaving_at[server].get_or_insert(now);
+            vm.leaving_received_at[server].get_or_insert(now);
         }
         signals.leaving &= self.plan.safeguards.leaving;
         let key = (name(server), START);
@@ -512,24 +534,24 @@
         }
     }
 
-    /// Callers of a VM ask.
-    fn ask(&mut self, vm: usize) {
+    /// Generates the requests of a VM's callers for one step.
+    fn generate_requests(&mut self, vm: usize) {
         let weights: f64 = self.vms.iter().map(|it| it.weight).sum();
         let rate = self.plan.rate * self.vms[vm].weight / weights * STEP as f64 / 1_000.0;
-        let mut left = rate;
-        while left > 0.0 && self.rng.random::<f64>() < left.min(1.0) {
+        let mut remaining = rate;
+        while remaining > 0.0 && self.rng.random::<f64>() < remaining.min(1.0) {
             self.place(vm);
-            left -= 1.0;
+            remaining -= 1.0;
         }
     }
 
     fn place(&mut self, vm: usize) {
         let service: ServiceName = "engines".into();
         let data_centre: DataCentreName = "a".into();
-        let shared = Some((self.rng.random_range(0..SHARED), 800));
+        let shared = Some((self.rng.random_range(0..SHARED_PREFIXES), 800));
         let prompt = Prompt { input: 1_000, max_output: 100, expected_output: None, shared };
         let engine = Engine { slots: 128, kv_tokens: 800_000, supports_migration: true };
-        let ask = PlacementRequest {
+        let request = PlacementRequest {
             service: &service,
             prompt: Some((prompt, engine)),
             urgency: 1,
@@ -539,44 +561,45 @@
             scope: None,
         };
         let now = at(self.now);
-        let start = self.vms[vm].starts;
+        let start = self.vms[vm].restarts;
         let table = &mut self.vms[vm].table;
-        let Ok(place) = table.place(&ask, &mut self.rng, now) else {
-            self.outcome.refused += 1;
+        let Ok(placement) = table.place(&request, &mut self.rng, now) else {
+            self.outcome.rejected += 1;
             return;
         };
-        if self.plan.safeguards.parts {
-            table.spend_allowance(&place.server, place.start, now);
+        if self.plan.safeguards.shares {
+            table.spend_allowance(&placement.server, placement.start, now);
         }
         self.outcome.placed += 1;
-        let server = place.server.as_str().trim_start_matches("server-");
+        let server = placement.server.as_str().trim_start_matches("server-");
         let server = server.parse().expect("a number");
         let when = self.now + self.rng.random_range(REQUEST_DELAY);
         self.events.push((when, Event::Request { vm, start, server, sent: self.now }));
     }
 
-    fn look_who_knows(&mut self) {
-        let Some((named, Some(_))) = self.plan.limits.first().copied() else { return };
+    /// Records the time after which all VMs know the first limit.
+    fn measure_limit_propagation(&mut self) {
+        let Some((limit_start, Some(_))) = self.plan.limits.first().copied() else { return };
         let knows = |it: &Vm| it.table.get(&name(0)).is_some_and(|it| it.limit().is_some());
         let all = || self.vms.iter().filter(|it| it.present).all(knows);
-        if self.outcome.known_after.is_none() && self.now > named && all() {
-            self.outcome.known_after = Some(self.now - named);
+        if self.outcome.known_after.is_none() && self.now > limit_start && all() {
+            self.outcome.known_after = Some(self.now - limit_start);
         }
     }
 
-    fn judge(&mut self) {
-        self.judge_limits();
-        self.judge_rests();
+    fn evaluate(&mut self) {
+        self.evaluate_limits();
+        self.evaluate_rests();
     }
 
-    /// Holds what servers got against the rest that they wanted.
-    fn judge_rests(&mut self) {
+    /// Compares the requests that servers received with the rest periods that they asked for.
+    fn evaluate_rests(&mut self) {
         let Some((count, span, rest)) = self.plan.resting.clone() else { return };
-        let disturbed = [self.plan.cut.as_ref(), self.plan.frozen.as_ref()];
-        let excused = |vm: usize, from: u64, to: u64| {
-            let struck = disturbed.into_iter().flatten();
-            let mut struck = struck.filter(|(count, _)| vm < *count);
-            struck.any(|(_, span)| from < span.end + CONTACT && to > span.start)
+        let disturbances = [self.plan.partitioned.as_ref(), self.plan.frozen.as_ref()];
+        let is_disturbed = |vm: usize, from: u64, to: u64| {
+            let spans_of_vm = disturbances.into_iter().flatten();
+            let mut spans_of_vm = spans_of_vm.filter(|(count, _)| vm < *count);
+            spans_of_vm.any(|(_, span)| from < span.end + SETTLING_TIME && to > span.start)
                 || self
                     .plan
                     .killed
@@ -584,51 +607,53 @@
         };
         for arrivals in &self.arrivals[..count] {
             for first in arrivals.iter().filter(|it| it.rest.is_some()) {
-                let (from, to) = (first.at + HEARD, first.at + rest);
+                let (from, to) = (first.at + REACTION_TIME, first.at + rest);
                 let in_rest = |it: &&Arrival| it.vm == first.vm && (from..to).contains(&it.at);
-                let got = arrivals.iter().filter(in_rest).count();
-                let broken = got > IN_REST && !excused(first.vm, first.at, to);
-                self.outcome.rests_broken += usize::from(broken);
+                let received = arrivals.iter().filter(in_rest).count();
+                let is_violated =
+                    received > MAX_REQUESTS_IN_REST && !is_disturbed(first.vm, first.at, to);
+                self.outcome.violated_rests += usize::from(is_violated);
             }
             let per_second = |from: u64| {
                 let second = from..from + 1_000;
                 arrivals.iter().filter(|it| second.contains(&it.at)).count() as f64
             };
-            let usual =
+            let before =
                 (0..span.start / 1_000).map(|it| per_second(it * 1_000)).fold(1.0, f64::max);
             let after = (span.end..self.plan.length - 1_000).step_by(100).map(per_second);
             self.outcome.after_rest =
-                self.outcome.after_rest.max(after.fold(0.0, f64::max) / usual);
+                self.outcome.after_rest.max(after.fold(0.0, f64::max) / before);
         }
     }
 
-    /// Holds what servers got against their limits.
-    fn judge_limits(&mut self) {
+    /// Compares the requests that servers received with their limits.
+    fn evaluate_limits(&mut self) {
         let plan = &self.plan;
         let mut used = (0.0, 0.0);
         for (server, arrivals) in self.arrivals.iter().enumerate().take(plan.limited) {
             let first = plan.limits[0].0;
-            let counted: Vec<_> = arrivals.iter().filter(|it| it.counts).map(|it| it.at).collect();
-            for (index, end) in counted.iter().enumerate() {
-                let span = end.saturating_sub(SPAN)..*end;
+            let checked: Vec<_> =
+                arrivals.iter().filter(|it| it.is_checked).map(|it| it.at).collect();
+            for (index, end) in checked.iter().enumerate() {
+                let span = end.saturating_sub(LIMIT_WINDOW)..*end;
                 let is_limited = |at: &u64| plan.limit_at(server, *at).is_some();
-                let binds = span.start >= first + CONTACT
+                let is_in_force = span.start >= first + SETTLING_TIME
                     && is_limited(&span.start)
                     && is_limited(&span.end);
-                if !binds {
+                if !is_in_force {
                     continue;
                 }
-                let got = index + 1 - counted.partition_point(|it| *it < span.start);
-                let shifted = span.start - HEARD..span.end - HEARD;
+                let received = index + 1 - checked.partition_point(|it| *it < span.start);
+                let shifted = span.start - REACTION_TIME..span.end - REACTION_TIME;
                 let sum = plan.allowed_in(server, span).max(plan.allowed_in(server, shifted));
-                let allowed = FACTOR * sum + SLACK;
-                self.outcome.worst = self.outcome.worst.max(got as f64 / allowed);
-                self.outcome.broken += usize::from(got as f64 > allowed);
+                let allowed = LIMIT_TOLERANCE * sum + LIMIT_SLACK;
+                self.outcome.worst_ratio = self.outcome.worst_ratio.max(received as f64 / allowed);
+                self.outcome.exceeded_limits += usize::from(received as f64 > allowed);
             }
-            let binding = first + CONTACT..plan.length;
-            used.0 += arrivals.iter().filter(|it| binding.contains(&it.at)).count() as f64;
-            used.1 += plan.allowed_in(server, binding);
+            let in_force = first + SETTLING_TIME..plan.length;
+            used.0 += arrivals.iter().filter(|it| in_force.contains(&it.at)).count() as f64;
+            used.1 += plan.allowed_in(server, in_force);
         }
-        self.outcome.used = if used.1 > 0.0 { used.0 / used.1 } else { 0.0 };
+        self.outcome.used_fraction = if used.1 > 0.0 { used.0 / used.1 } else { 0.0 };
     }
 }
--- a/crates/quincevalve_forwarding/tests/store_pacing.rs
+++ b/crates/quincevalve_forwarding/tests/store_pacing.rs
@@ -17,7 +17,7 @@
 const CENTRES: usize = 6;
 const IN_FORCE: Duration = Duration::from_secs(4);
 
-fn card(at: usize) -> VmDescriptor {
+fn descriptor(at: usize) -> VmDescriptor {
     VmDescriptor {
         name: format!("vm-{at}"),
         address: ([10, 0, (at / 200) as u8, (at % 200) as u8], 7600).into(),
@@ -26,14 +26,14 @@
     }
 }
 
-fn book(me: usize) -> PeerTable {
-    let mut book = PeerTable::new(card(me));
-    book.replace_all((0..VMS).map(card).collect());
-    book
+fn table(me: usize) -> PeerTable {
+    let mut table = PeerTable::new(descriptor(me));
+    table.replace_all((0..VMS).map(descriptor).collect());
+    table
 }
 
 fn vms_with_role(role: StoreReadRole) -> Vec<usize> {
-    (0..VMS).filter(|me| book(*me).store_read_role(false, ms(0)) == role).collect()
+    (0..VMS).filter(|me| table(*me).store_read_role(false, ms(0)) == role).collect()
 }
 
 /// Returns the number of calls in an outage that begins at 0, when all VMs have just had a freshness confirmation.
@@ -57,7 +57,7 @@
     let centres: HashSet<_> = readers.iter().map(|it| it % CENTRES).collect();
     assert_eq!(centres.len(), 2, "a data centre that is cut off contains only one reader");
     assert_eq!(vms_with_role(StoreReadRole::Standby).len(), CENTRES - 2);
-    let relays = (0..VMS).filter(|me| book(*me).relays_store(false, ms(0))).count();
+    let relays = (0..VMS).filter(|me| table(*me).relays_store(false, ms(0))).count();
     assert_eq!(relays, CENTRES);
 }
 
@@ -67,12 +67,12 @@
 fn standbys_replace_silent_readers() {
     let readers = vms_with_role(StoreReadRole::Reader);
     let next = vms_with_role(StoreReadRole::Standby).into_iter().filter(|me| {
-        let mut book = book(*me);
+        let mut table = table(*me);
         for reader in &readers {
-            book.record_datagram_sent(card(*reader).address, ms(0));
+            table.record_datagram_sent(descriptor(*reader).address, ms(0));
         }
-        book.store_read_role(false, ms(500)) == StoreReadRole::Standby
-            && book.store_read_role(false, ms(900)) == StoreReadRole::Reader
+        table.store_read_role(false, ms(500)) == StoreReadRole::Standby
+            && table.store_read_role(false, ms(900)) == StoreReadRole::Reader
     });
     assert!((1..=2).contains(&next.count()));
 }
@@ -84,7 +84,7 @@
     let collectors = CENTRES;
     let at_once = (0..VMS)
         .filter(|me| {
-            book(*me).store_read_role(false, ms(0)).duty_takeover_delay(VMS, 0.0).is_zero()
+            table(*me).store_read_role(false, ms(0)).duty_takeover_delay(VMS, 0.0).is_zero()
         })
         .count();
     assert_eq!(at_once, collectors);
--- a/crates/quincevalve_forwarding/tests/sums.rs
+++ b/crates/quincevalve_forwarding/tests/sums.rs
@@ -169,7 +169,7 @@
     assert!(!before.has_changed_since(&before));
     assert!(
         !partial_sum(&[(1, work(1, 600)), (2, work(2, 0))]).has_changed_since(&before),
-        "faded"
+        "decayed"
     );
     assert!(
         partial_sum(&[(1, work(2, 900)), (2, work(2, 0))]).has_changed_since(&before),
--- a/crates/quincevalve_forwarding/tests/support/mod.rs
+++ b/crates/quincevalve_forwarding/tests/support/mod.rs
@@ -1,5 +1,5 @@
 //! Builders shared by the tests of the forwarding cores.
-#![allow(dead_code, unreachable_pub, reason = "each test file uses its own part")]
+#![allow(dead_code, unreachable_pub, reason = "each test file uses only some of them")]
 
 use std::time::Duration;
 
--- a/crates/quincevalve_node/src/store/state_copy.rs
+++ b/crates/quincevalve_node/src/store/state_copy.rs
@@ -193,7 +193,7 @@
 
     /// The parts at these places, and the age of the proof.
     fn parts(&self, is_wanted: impl Fn(u32) -> bool, now: TimePoint) -> Vec<(Duration, Chunk)> {
-        let wanted = self.parts.iter().filter(|it| is_wanted(it.at));
+        let wanted = self.parts.iter().filter(|it| is_wanted(it.index));
         wanted.map(|it| (now.since(self.proved), it.clone())).collect()
     }
 }
