--- a/crates/quincevalve_forwarding/src/change_log.rs
+++ b/crates/quincevalve_forwarding/src/change_log.rs
@@ -59,8 +59,8 @@
         }
     }
 
-    /// Returns the changes after the revision `reached`, up to a total weight of `budget` as measured by `weigh`; `None`
-    /// if the log doesn't go back that far.
+    /// Returns the changes after the revision `reached`, up to a total weight of `budget` as measured by `weigh`;
+    /// `None` if the log doesn't go back that far.
     ///
     /// The changes of the first revision are returned whatever they weigh, so that a reader always makes progress.
     pub fn since<W>(&self, reached: u64, budget: usize, weigh: W) -> Option<ChangeBatch<C>>
--- a/crates/quincevalve_forwarding/src/demand.rs
+++ b/crates/quincevalve_forwarding/src/demand.rs
@@ -27,8 +27,8 @@
 }
 
 impl MeasuredDemand {
-    /// Records the current rate of work of the entry VMs, in fully utilized servers. `reachable_fraction` is the fraction
-    /// of the VMs whose reports it contains.
+    /// Records the current rate of work of the entry VMs, in fully utilized servers. `reachable_fraction` is the
+    /// fraction of the VMs whose reports it contains.
     pub fn observe(&mut self, rate: f64, reachable_fraction: f64, now: TimePoint) {
         if self.last_observed_at.is_some_and(|it| now.since(it) < MIN_OBSERVATION_INTERVAL) {
             return;
--- a/crates/quincevalve_forwarding/src/fleet_size.rs
+++ b/crates/quincevalve_forwarding/src/fleet_size.rs
@@ -53,16 +53,17 @@
 
 /// Target utilization of a server in a fleet of the wanted size; the rest is headroom for bursts of callers.
 const TARGET_UTILIZATION: f64 = 0.65;
-/// Maximum utilization of a server while a data centre is lost; the remaining servers have to recompute the prompts that
-/// were cached there.
+/// Maximum utilization of a server while a data centre is lost; the remaining servers have to recompute the prompts
+/// that were cached there.
 const DEGRADED_UTILIZATION: f64 = 0.72;
 /// Utilization of reclaimable servers above which additional on-demand servers are ordered, which cost several times as
 /// much.
 const ON_DEMAND_UTILIZATION: f64 = 0.72;
-/// Maximum utilization for the few seconds that an on-demand server takes to start after the next reclaim; the remaining
-/// servers have to recompute the prompts that the reclaimed ones had cached.
+/// Maximum utilization for the few seconds that an on-demand server takes to start after the next reclaim; the
+/// remaining servers have to recompute the prompts that the reclaimed ones had cached.
 const TRANSIENT_UTILIZATION: f64 = 0.72;
-/// Number of data centres that may lose their reclaimable servers at the same time without on-demand servers being needed.
+/// Number of data centres that may lose their reclaimable servers at the same time without on-demand servers being
+/// needed.
 const TOLERATED_LOST_CENTRES: usize = 1;
 /// Maximum fraction of all on-demand servers in one data centre.
 ///
@@ -75,7 +76,8 @@
 /// Number of quota tokens that keep one server busy for a second. Prompts are partly cached, and requests seldom
 /// generate the maximum number of tokens.
 const QUOTA_TOKENS_PER_SERVER: f64 = 65_000.0;
-/// Maximum initial demand, as a multiple of the demand derived from quotas; above 1 since not all accounts have a quota.
+/// Maximum initial demand, as a multiple of the demand derived from quotas; above 1 since not all accounts have a
+/// quota.
 const MAX_INITIAL_DEMAND_FACTOR: f64 = 1.5;
 /// Time that a starting VM needs to discover all servers; they renew their entries within it.
 const DISCOVERY_WINDOW: Duration = Duration::from_millis(2_800);
@@ -182,9 +184,9 @@
 impl FleetPlanner {
     /// Creates a planner for a VM that has known the servers since `since`.
     ///
-    /// A VM that has known the servers for long need not discover them again when it becomes the duty holder. Otherwise,
-    /// while entry VMs are restarted one after the other, no holder would plan for long enough to release servers, and
-    /// unneeded on-demand servers would stay until the restarts are over.
+    /// A VM that has known the servers for long need not discover them again when it becomes the duty holder.
+    /// Otherwise, while entry VMs are restarted one after the other, no holder would plan for long enough to release
+    /// servers, and unneeded on-demand servers would stay until the restarts are over.
     pub fn new(since: TimePoint) -> Self {
         Self {
             since,
@@ -196,7 +198,8 @@
         }
     }
 
-    /// Records the current rate of work of the entry VMs, in fully utilized servers, and returns the demand to plan for.
+    /// Records the current rate of work of the entry VMs, in fully utilized servers, and returns the demand to plan
+    /// for.
     ///
     /// `reachable_fraction` is the fraction of the VMs whose reports `rate` contains; `quota_demand` is the demand
     /// expected from quotas.
@@ -228,16 +231,16 @@
 
     /// Replaces the planner's demand by one that was measured on this VM before, or by another planner.
     ///
-    /// Each VM receives the reports of all VMs and measures the demand all the time. If the holder's lease expires during
-    /// a store outage, or the holder dies, a successor without a measured demand would assume that the whole fleet has
-    /// the right size. It would order replacements on demand for each lost server, several times what is needed, until
-    /// it has measured the demand itself.
+    /// Each VM receives the reports of all VMs and measures the demand all the time. If the holder's lease expires
+    /// during a store outage, or the holder dies, a successor without a measured demand would assume that the whole
+    /// fleet has the right size. It would order replacements on demand for each lost server, several times what is
+    /// needed, until it has measured the demand itself.
     pub fn set_demand(&mut self, demand: MeasuredDemand) {
         self.demand = demand;
     }
 
-    /// Returns the orders to send now for a demand of `busy` fully utilized servers. Orders for reclaimable servers come
-    /// first; on-demand ones follow at the next call, when the outcomes of the former are known.
+    /// Returns the orders to send now for a demand of `busy` fully utilized servers. Orders for reclaimable servers
+    /// come first; on-demand ones follow at the next call, when the outcomes of the former are known.
     pub fn due_orders(
         &mut self,
         scaling: &Scaling,
@@ -281,12 +284,13 @@
     /// Returns the orders for on-demand servers in each data centre.
     ///
     /// Starting reclaimable servers prevent further on-demand orders, but on-demand servers are released only when
-    /// reclaimable ones are ready to serve, or while there is no demand yet. If they were released as soon as reclaimable
-    /// servers are ordered again after a wave, there would be far too few servers until the new ones have started, or
-    /// the next reclaim takes them too.
+    /// reclaimable ones are ready to serve, or while there is no demand yet. If they were released as soon as
+    /// reclaimable servers are ordered again after a wave, there would be far too few servers until the new ones have
+    /// started, or the next reclaim takes them too.
     ///
     /// A new duty holder that has sent no on-demand order counts the servers present as ordered. Otherwise it would
-    /// release them all as soon as reclaimable servers are available again, and for five seconds no server would be left.
+    /// release them all as soon as reclaimable servers are available again, and for five seconds no server would be
+    /// left.
     fn on_demand_orders(&self, scaling: &Scaling, busy: f64, now: TimePoint) -> Vec<Order> {
         let ready: Vec<u32> = self.present.values().map(|it| it.reclaimable).collect();
         let ready_soon: Vec<u32> = self
@@ -353,9 +357,9 @@
         }
     }
 
-    /// Returns the number of reclaimable servers in a data centre that are ordered while the order's servers may still be
-    /// starting. A reclaim takes starting servers too: if fewer servers are present than at the time of the order, none
-    /// are expected.
+    /// Returns the number of reclaimable servers in a data centre that are ordered while the order's servers may still
+    /// be starting. A reclaim takes starting servers too: if fewer servers are present than at the time of the order,
+    /// none are expected.
     fn starting(&self, centre: &DataCentreName, scaling: &Scaling, now: TimePoint) -> u32 {
         let sent = self.sent_orders.get(&(centre.clone(), ServerKind::Reclaimable));
         let start_time = scaling.boot_time + LISTING_DELAY;
@@ -376,11 +380,12 @@
     /// Returns whether to send an order: it differs from the last one, its servers are missing, or fewer servers have
     /// sufficed for long enough.
     ///
-    /// An order is sent again if its servers are missing after their start time. Otherwise, nothing would replace servers
-    /// that were reclaimed or crashed permanently while their order stands.
+    /// An order is sent again if its servers are missing after their start time. Otherwise, nothing would replace
+    /// servers that were reclaimed or crashed permanently while their order stands.
     ///
     /// Without a last order, the servers present stand for it. Otherwise, a new holder that takes over during a lull
-    /// would order only what the lull needs, and the next burst of callers would find only half of the servers that it needs.
+    /// would order only what the lull needs, and the next burst of callers would find only half of the servers that it
+    /// needs.
     fn is_due(&mut self, order: &Order, start_time: Duration, now: TimePoint) -> bool {
         let present = self.present_count(&order.data_centre, order.kind);
         let is_short = present < order.count;
--- a/crates/quincevalve_forwarding/src/placement.rs
+++ b/crates/quincevalve_forwarding/src/placement.rs
@@ -158,10 +158,11 @@
 const CROSS_CENTRE_CALL_PENALTY_MS: f64 = 25.0;
 /// Number of servers with affinity to a shared prefix: a primary one and one for overflow.
 const AFFINITY_SERVERS: usize = 2;
-/// Number of random candidates in addition to the affinity servers; small, so that VMs with the same view pick different
-/// servers.
+/// Number of random candidates in addition to the affinity servers; small, so that VMs with the same view pick
+/// different servers.
 const RANDOM_CANDIDATES: usize = 3;
-/// Maximum random increase of a prediction, as a fraction, so that VMs with the same view don't all pick the same server.
+/// Maximum random increase of a prediction, as a fraction, so that VMs with the same view don't all pick the same
+/// server.
 const JITTER: f64 = 0.1;
 
 impl ServerTable {
@@ -338,8 +339,8 @@
     top.into_iter().flatten().map(|(_, at)| at).collect()
 }
 
-/// Returns the weighted number of tokens that a server would compute although another has them cached. The second server
-/// in affinity order receives the overflow of hot prefixes, and often has them cached too.
+/// Returns the weighted number of tokens that a server would compute although another has them cached. The second
+/// server in affinity order receives the overflow of hot prefixes, and often has them cached too.
 fn recomputed_tokens(request: &PlacementRequest<'_>, affinity_rank: usize) -> f64 {
     let shared = request.prompt.and_then(|(prompt, _)| prompt.shared);
     let weight = if affinity_rank == 0 {
--- a/crates/quincevalve_forwarding/src/rollout/evidence.rs
+++ b/crates/quincevalve_forwarding/src/rollout/evidence.rs
@@ -18,11 +18,11 @@
     }
 }
 
-/// Steps per unit of a natural logarithm. Logarithms are summed as integers in hundredths, so that the sum doesn't depend
-/// on the order in which VMs' reports are added.
+/// Steps per unit of a natural logarithm. Logarithms are summed as integers in hundredths, so that the sum doesn't
+/// depend on the order in which VMs' reports are added.
 const STEPS_PER_UNIT: f64 = 100.0;
-/// Bounds to which the logarithm of a ratio is clamped, so that an answer that takes a minute weighs no more than one that
-/// takes about ten times as long as expected.
+/// Bounds to which the logarithm of a ratio is clamped, so that an answer that takes a minute weighs no more than one
+/// that takes about ten times as long as expected.
 const MIN_LOG: f64 = -2.5;
 const MAX_LOG: f64 = 2.5;
 
@@ -235,8 +235,8 @@
 
 /// Time covered by one slice of the sliding windows.
 const SLICE_LENGTH: Duration = Duration::from_millis(500);
-/// Lengths of the sliding windows. A version that turns bad at many requests per second is detected at once in the short
-/// window, and one with few requests, or that is only a little worse, in the long one.
+/// Lengths of the sliding windows. A version that turns bad at many requests per second is detected at once in the
+/// short window, and one with few requests, or that is only a little worse, in the long one.
 const SHORT_WINDOW: Duration = Duration::from_millis(1_500);
 const LONG_WINDOW: Duration = Duration::from_secs(6);
 
--- a/crates/quincevalve_forwarding/src/rollout/exposure.rs
+++ b/crates/quincevalve_forwarding/src/rollout/exposure.rs
@@ -8,8 +8,8 @@
 
 /// One VM's share of the requests that a new version may get.
 ///
-/// If many VMs may each send a fraction of a request and all round alike, a version gets nothing and can't be judged, or
-/// with 295 VMs gets six times its limit. Each VM rounds by its rank among all VMs, so that the sum is rounded once.
+/// If many VMs may each send a fraction of a request and all round alike, a version gets nothing and can't be judged,
+/// or with 295 VMs gets six times its limit. Each VM rounds by its rank among all VMs, so that the sum is rounded once.
 ///
 /// If VMs restart repeatedly during a roll-out, each start would use its share of the slack again. Only a VM that was
 /// running when the order came has a share of the slack.
@@ -49,7 +49,8 @@
         self.sent
     }
 
-    /// Returns whether one more request may be sent to the new version, where `fraction` of the limit may be used so far.
+    /// Returns whether one more request may be sent to the new version, where `fraction` of the limit may be used so
+    /// far.
     pub fn may_send(&self, limit: &SharedLimit, vm_rank: VmRank, fraction: f64) -> bool {
         let slack = if self.has_slack { limit.slack_share(vm_rank.vm_count) } else { 0.0 };
         let allowed = USED_FRACTION * fraction * (limit.ratio_share(self.requests) + slack);
--- a/crates/quincevalve_forwarding/src/rollout/steps.rs
+++ b/crates/quincevalve_forwarding/src/rollout/steps.rs
@@ -148,9 +148,9 @@
 
 /// Returns the phase that follows the promotion, if it ends now.
 ///
-/// Old servers stop once the roll-out is completed. A VM that still has a stream there, or hasn't received the promotion,
-/// would have its callers' answers truncated. So completion waits for all VMs, even past the deadline. Later than
-/// [`COMPLETION_GRACE`] past the deadline it waits only for reachable VMs, if few are unreachable.
+/// Old servers stop once the roll-out is completed. A VM that still has a stream there, or hasn't received the
+/// promotion, would have its callers' answers truncated. So completion waits for all VMs, even past the deadline. Later
+/// than [`COMPLETION_GRACE`] past the deadline it waits only for reachable VMs, if few are unreachable.
 fn phase_after_promoting(input: &StepInput<'_>, record: &RolloutRecord) -> Option<Phase> {
     match input.verdict {
         Verdict::Fails => return Some(Phase::RolledBack(RollbackCause::Failures)),
--- a/crates/quincevalve_forwarding/src/rollout/table.rs
+++ b/crates/quincevalve_forwarding/src/rollout/table.rs
@@ -34,7 +34,7 @@
     Any,
     /// Only servers of this scope.
     One(Arc<VersionScope>),
-    /// Servers of the first scope, or of the second if none of the first has room.
+    /// Servers of the first scope, or of the second if none of the first has capacity.
     WithFallback(Arc<VersionScope>, Arc<VersionScope>),
 }
 
@@ -195,7 +195,8 @@
         self.rollouts.iter_mut().filter_map(report).collect()
     }
 
-    /// Updates a service's roll-out by the current servers and evidence. Returns the new version if it was just found bad.
+    /// Updates a service's roll-out by the current servers and evidence. Returns the new version if it was just found
+    /// bad.
     pub fn refresh(
         &mut self,
         service: &ServiceName,
--- a/crates/quincevalve_forwarding/src/rollout/table/attempts.rs
+++ b/crates/quincevalve_forwarding/src/rollout/table/attempts.rs
@@ -27,8 +27,8 @@
     pub expected: Option<Duration>,
 }
 
-/// Factor of the expected time after which an answer counts as late before it arrives. If only answers that have arrived
-/// counted, the fast ones would be overrepresented.
+/// Factor of the expected time after which an answer counts as late before it arrives. If only answers that have
+/// arrived counted, the fast ones would be overrepresented.
 const OVERDUE_THRESHOLD: f64 = 2.5;
 /// Factor by which the final time of a late answer is assumed to exceed the time waited so far.
 const OVERDUE_FACTOR: f64 = 2.0;
--- a/crates/quincevalve_forwarding/src/rollout/table/halt.rs
+++ b/crates/quincevalve_forwarding/src/rollout/table/halt.rs
@@ -6,8 +6,8 @@
 
 use crate::rollout::record::RollbackCause;
 
-/// Time for which a VM that has reported its switch to the new version keeps sending there, while the holder of the duties
-/// receives the finding and rolls back.
+/// Time for which a VM that has reported its switch to the new version keeps sending there, while the holder of the
+/// duties receives the finding and rolls back.
 const REPORT_PERIOD: Duration = Duration::from_secs(1);
 
 /// Whether the new version was found bad. Only another order resets it.
@@ -24,8 +24,8 @@
 impl HaltState {
     /// Returns the state after the version was found bad.
     ///
-    /// If all VMs have reported that they no longer send to the old servers, the holder may complete the roll-out and the
-    /// old servers stop. A VM that sent there again at once would have its answers truncated.
+    /// If all VMs have reported that they no longer send to the old servers, the holder may complete the roll-out and
+    /// the old servers stop. A VM that sent there again at once would have its answers truncated.
     pub(super) fn after_detection(
         cause: RollbackCause,
         has_reported_switched: bool,
--- a/crates/quincevalve_forwarding/src/rollout/table/state.rs
+++ b/crates/quincevalve_forwarding/src/rollout/table/state.rs
@@ -22,8 +22,8 @@
     shared_limit::{SharedLimit, VmRank},
 };
 
-/// Fraction of the exposure limit that may be used when the first server of the new version appears. It rises to 1 until
-/// the canary ends, so that some requests are left to detect faults that show late.
+/// Fraction of the exposure limit that may be used when the first server of the new version appears. It rises to 1
+/// until the canary ends, so that some requests are left to detect faults that show late.
 const INITIAL_FRACTION: f64 = 0.3;
 /// Number of canary servers at a time, relative to the number of old servers times the new version's share. With this
 /// factor each has about the load of an old server.
@@ -455,8 +455,8 @@
         is_sampled && self.exposure.may_send(limit, vm_rank, self.allowed_fraction)
     }
 
-    /// Returns the servers for a new request during the promotion: a rising share prefers the new version, the rest the old
-    /// one.
+    /// Returns the servers for a new request during the promotion: a rising share prefers the new version, the rest the
+    /// old one.
     fn choose_while_promoting(&self, draw: f64, now: TimePoint) -> VersionChoice {
         let (Some(old), Some(new)) = (self.old.clone(), self.new.clone()) else {
             return VersionChoice::Any;
--- a/crates/quincevalve_forwarding/src/rollout/verdict.rs
+++ b/crates/quincevalve_forwarding/src/rollout/verdict.rs
@@ -8,14 +8,15 @@
 //! *Slowness*: the difference of the mean logarithms of measured over expected times, by route, is compared with its
 //! standard error over answers and, before the promotion, also over servers.
 //!
-//! A few servers may be bad whatever their version. Servers that are outliers among those of their version are excluded.
+//! A few servers may be bad whatever their version. Servers that are outliers among those of their version are
+//! excluded.
 
 use crate::rollout::evidence::{Evidence, LogSum, Observations, RouteKey, Tally, VersionTallies};
 
 /// Excess failure rate over the old version's from which a version is bad.
 const MIN_EXCESS_RATE: f64 = 0.05;
-/// Minimum failure rate assumed of a version. With a lower estimate, a few failures that the old version didn't happen to
-/// have would look like an excess.
+/// Minimum failure rate assumed of a version. With a lower estimate, a few failures that the old version didn't happen
+/// to have would look like an excess.
 const MIN_FAILURE_RATE: f64 = 0.005;
 /// `α` for the evidence since the start.
 const FALSE_ALARM_PROBABILITY: f64 = 1e-3;
@@ -123,8 +124,8 @@
 /// Compares the versions by the observations of their answers. `is_promoting` says whether the promotion has begun, and
 /// `servers` is the number of servers of the new version.
 ///
-/// If the first servers that get requests are bad ones of a good version, the version would be rolled back. So if it has
-/// more than one server, the worst of them isn't counted as evidence against it.
+/// If the first servers that get requests are bad ones of a good version, the version would be rolled back. So if it
+/// has more than one server, the worst of them isn't counted as evidence against it.
 ///
 /// # Examples
 ///
@@ -271,14 +272,14 @@
         Difference { mean: mean - contribution, error: error.sqrt(), count }
     }
 
-    /// Returns what excluded servers add to the mean. Their answers aren't counted by route, so the same is assumed of each
-    /// route.
+    /// Returns what excluded servers add to the mean. Their answers aren't counted by route, so the same is assumed of
+    /// each route.
     fn outlier_contribution(&self, times: impl Fn(&Tally) -> LogSum) -> f64 {
         (times(&self.evidence.new_version()).mean() - times(&self.kept).mean()).max(0.0)
     }
 
-    /// Returns the standard error of the mean over servers, which differ whatever their version. It is a jackknife estimate:
-    /// how far the mean moves without each server. `None` if only one of several servers remains.
+    /// Returns the standard error of the mean over servers, which differ whatever their version. It is a jackknife
+    /// estimate: how far the mean moves without each server. `None` if only one of several servers remains.
     fn standard_error_over_servers(&self, times: impl Fn(&Tally) -> LogSum) -> Option<f64> {
         let remaining = self.evidence.servers.iter().filter(|(it, _)| !self.outliers.contains(it));
         let sums: Vec<_> = remaining.map(|(_, it)| times(it)).filter(|it| it.count() > 0).collect();
@@ -292,8 +293,8 @@
     }
 
     fn is_slow(&self, is_promoting: bool) -> bool {
-        // During the promotion a slow version has to be detected at once, and the higher bound allows for differences of
-        // servers.
+        // During the promotion a slow version has to be detected at once, and the higher bound allows for differences
+        // of servers.
         let (factor, error_factor) =
             if is_promoting { (MIN_SLOWDOWN_PROMOTING, 0.0) } else { (MIN_SLOWDOWN, 1.0) };
         let is_above = |times: fn(&Tally) -> LogSum| {
--- a/crates/quincevalve_forwarding/src/servers.rs
+++ b/crates/quincevalve_forwarding/src/servers.rs
@@ -194,8 +194,8 @@
     }
 }
 
-/// Time from the announcement to the end of a server that states no time: the period for which a server must be served
-/// without new requests, plus a margin.
+/// Time from the announcement to the end of a server that states no time: the period for which a leaving server must
+/// still complete its requests without getting new ones, plus a margin.
 const DEFAULT_TIME_TO_END: Duration = Duration::from_millis(2_600);
 
 /// Time from the removal of a reclaimable server's entry to its end.
--- a/crates/quincevalve_forwarding/tests/fleet_size.rs
+++ b/crates/quincevalve_forwarding/tests/fleet_size.rs
@@ -89,8 +89,9 @@
     }
 }
 
-// Guards against rejecting callers for seconds when reclaims hit one data centre after the other and each on-demand server
-// starts only when the next data centre is gone. While one is lost, the largest other one is replaced in advance.
+// Guards against rejecting callers for seconds when reclaims hit one data centre after the other and each on-demand
+// server starts only when the next data centre is gone. While one is lost, the largest other one is replaced in
+// advance.
 #[test]
 fn orders_on_demand_servers_one_step_ahead_of_a_reclaim_wave() {
     let present = fleet([0, 3, 3, 0], [0; 4]);
@@ -114,8 +115,8 @@
     assert!(orders.iter().all(|it| it.count <= 6));
 }
 
-// Guards against rejecting or delaying most callers for seconds when the reclaimable servers are gone and the data centre
-// with all on-demand servers is partitioned. No data centre has more than half of the on-demand servers.
+// Guards against rejecting or delaying most callers for seconds when the reclaimable servers are gone and the data
+// centre with all on-demand servers is partitioned. No data centre has more than half of the on-demand servers.
 #[test]
 fn does_not_place_all_on_demand_servers_in_one_data_centre() {
     for busy in [2.0, 3.0, 5.0, 7.0] {
@@ -129,8 +130,8 @@
     }
 }
 
-// Guards against releasing the fleet when a VM takes over the duty without a measured demand. The present fleet is assumed
-// to have the right size, and nothing is released before all servers are discovered.
+// Guards against releasing the fleet when a VM takes over the duty without a measured demand. The present fleet is
+// assumed to have the right size, and nothing is released before all servers are discovered.
 #[test]
 fn a_new_planner_releases_no_servers() {
     let present = fleet([4; 4], [1, 0, 0, 0]);
@@ -150,8 +151,9 @@
     assert!((busy - 3.0).abs() < 1e-9);
 }
 
-// Guards against ordering three times the needed servers on demand for ten seconds and more after all VMs were killed, or
-// after the holder's lease expired in a store outage. Each VM measures the demand from its start, so a new holder knows it.
+// Guards against ordering three times the needed servers on demand for ten seconds and more after all VMs were killed,
+// or after the holder's lease expired in a store outage. Each VM measures the demand from its start, so a new holder
+// knows it.
 #[test]
 fn a_new_holder_plans_by_the_demand_that_it_measured_before() {
     let gone = fleet([0, 4, 4, 0], [0; 4]);
@@ -189,8 +191,8 @@
     }
 }
 
-// Guards against unneeded on-demand servers that stay while entry VMs are restarted in turn, because each new duty holder
-// waits to discover all servers and is restarted before it releases any.
+// Guards against unneeded on-demand servers that stay while entry VMs are restarted in turn, because each new duty
+// holder waits to discover all servers and is restarted before it releases any.
 #[test]
 fn a_new_holder_that_has_long_known_the_servers_releases_them_soon() {
     let present = fleet([12; 4], [10; 4]);
@@ -226,8 +228,8 @@
     assert!(fewer(&mut planner, 10_200), "never released");
 }
 
-// Guards against a fleet that grows to its limits for minutes because a new holder counts each VM's whole past as new demand
-// when its first report arrives. Reports arrive one after the other, and each contributes only its current rate.
+// Guards against a fleet that grows to its limits for minutes because a new holder counts each VM's whole past as new
+// demand when its first report arrives. Reports arrive one after the other, and each contributes only its current rate.
 #[test]
 fn vms_whose_reports_arrive_one_after_the_other_do_not_inflate_the_demand() {
     let present = fleet([3; 4], [0; 4]);
@@ -253,8 +255,8 @@
     }
 }
 
-// Guards against releasing half of the fleet because a network partition hides the VMs that have work. A lower demand is
-// accepted only while nearly all VMs are reachable.
+// Guards against releasing half of the fleet because a network partition hides the VMs that have work. A lower demand
+// is accepted only while nearly all VMs are reachable.
 #[test]
 fn demand_does_not_fall_while_vms_are_unreachable() {
     let present = fleet([3; 4], [0; 4]);
@@ -279,8 +281,8 @@
     assert!(next.is_empty(), "{next:?}");
 }
 
-// Guards against a fleet that permanently runs on expensive on-demand servers, because the order for its reclaimed servers
-// isn't sent again.
+// Guards against a fleet that permanently runs on expensive on-demand servers, because the order for its reclaimed
+// servers isn't sent again.
 #[test]
 fn orders_reclaimed_servers_again() {
     let whole = fleet([3; 4], [0; 4]);
@@ -308,8 +310,8 @@
     assert_eq!((orders[0].data_centre.as_str(), orders[0].count), ("b", 2));
 }
 
-// Guards against releasing four in ten servers just before the next burst of callers, when a new holder takes over in a lull
-// and orders only what the lull needs. The present servers count as ordered, and are released with the same delay.
+// Guards against releasing four in ten servers just before the next burst of callers, when a new holder takes over in a
+// lull and orders only what the lull needs. The present servers count as ordered, and are released with the same delay.
 #[test]
 fn a_new_holder_releases_reclaimable_servers_with_the_same_delay() {
     let present = fleet([5; 4], [0; 4]);
@@ -326,8 +328,8 @@
     assert!(!orders.is_empty());
 }
 
-// Guards against a data centre whose reclaimed servers are not replaced for four seconds, because the planner still expects
-// servers that were ordered there just before. A reclaim takes starting servers too.
+// Guards against a data centre whose reclaimed servers are not replaced for four seconds, because the planner still
+// expects servers that were ordered there just before. A reclaim takes starting servers too.
 #[test]
 fn does_not_wait_for_starting_servers_in_a_reclaimed_data_centre() {
     let whole = fleet([3; 4], [0; 4]);
@@ -343,8 +345,8 @@
     assert!(count(&orders, ServerKind::OnDemand) >= 4, "{orders:?}");
 }
 
-// Guards against losing most of the fleet for seconds, when reclaimable servers are ordered again and the on-demand servers
-// that replaced them are released while the reclaimable ones are still starting.
+// Guards against losing most of the fleet for seconds, when reclaimable servers are ordered again and the on-demand
+// servers that replaced them are released while the reclaimable ones are still starting.
 #[test]
 fn on_demand_servers_stay_until_starting_ones_are_ready() {
     let none = fleet([0; 4], [0; 4]);
@@ -367,8 +369,8 @@
     assert_eq!(count(&orders, ServerKind::OnDemand), 0);
 }
 
-// Guards against ordering twice the needed servers on demand, when half of the callers are rejected for a while, retry once
-// each, and are counted as new demand.
+// Guards against ordering twice the needed servers on demand, when half of the callers are rejected for a while, retry
+// once each, and are counted as new demand.
 #[test]
 fn retries_of_rejected_callers_are_not_new_demand() {
     let present = fleet([1; 4], [0; 4]);
--- a/crates/quincevalve_forwarding/tests/leaving.rs
+++ b/crates/quincevalve_forwarding/tests/leaving.rs
@@ -105,8 +105,8 @@
     assert!(usable(&table, ms(200)));
 }
 
-// An address was reassigned to a new server, which revealed that when it rejected a request, while the entry of the old one is
-// still listed. Requests would be answered by a server of another service.
+// An address was reassigned to a new server, which revealed that when it rejected a request, while the entry of the old
+// one is still listed. Requests would be answered by a server of another service.
 #[test]
 fn a_server_whose_address_was_reassigned_is_not_used() {
     let mut table = ServerTable::default();
--- a/crates/quincevalve_forwarding/tests/placement.rs
+++ b/crates/quincevalve_forwarding/tests/placement.rs
@@ -19,7 +19,7 @@
 }
 
 fn place(table: &ServerTable, request: &TestRequest) -> Result<Placement, PlacementError> {
-    table.place(&request.ask(), &mut rng(), ms(0))
+    table.place(&request.as_request(), &mut rng(), ms(0))
 }
 
 fn load(table: &mut ServerTable, at: usize, prefill: u32, count: u32) {
@@ -83,9 +83,9 @@
     assert!(matches!(place(&table, &other), Err(PlacementError::Busy { .. })));
 }
 
-// Guards against long answers that miss their deadlines although their first tokens came in time. An engine that is busy
-// with prefill generates tokens only between prefill chunks, so the sustained prompt rate is limited even if the queue
-// is empty.
+// Guards against long answers that miss their deadlines although their first tokens came in time. An engine that is
+// busy with prefill generates tokens only between prefill chunks, so the sustained prompt rate is limited even if the
+// queue is empty.
 #[test]
 fn rejects_prompts_when_prefill_leaves_no_time_for_tokens() {
     let mut table = table(1);
@@ -97,7 +97,7 @@
     }
     assert!(matches!(place(&table, &TestRequest::default()), Err(PlacementError::Busy { .. })));
     let later = ms(1_000);
-    let placed = table.place(&TestRequest::default().ask(), &mut rng(), later);
+    let placed = table.place(&TestRequest::default().as_request(), &mut rng(), later);
     assert!(placed.is_ok());
 }
 
@@ -118,7 +118,8 @@
     assert!(matches!(place(&table, &TestRequest::default()), Err(PlacementError::Busy { .. })));
 }
 
-/// Places requests with `prefixes` different shared prefixes on 12 idle servers, and returns the servers used for each prefix.
+/// Places requests with `prefixes` different shared prefixes on 12 idle servers, and returns the servers used for each
+/// prefix.
 fn servers_by_prefix(prefixes: u64) -> HashMap<u64, Vec<BackendServerName>> {
     let table = table(12);
     let mut rng = rng();
@@ -127,7 +128,7 @@
         let prefix = index % prefixes;
         let prompt = Some(prompt(12_000, Some((prefix, 5_400))));
         let request = TestRequest { prompt, ..TestRequest::default() };
-        let placed = table.place(&request.ask(), &mut rng, ms(0)).expect("idle servers");
+        let placed = table.place(&request.as_request(), &mut rng, ms(0)).expect("idle servers");
         let servers = by_prefix.entry(prefix).or_default();
         if !servers.contains(&placed.server) {
             servers.push(placed.server);
@@ -165,7 +166,7 @@
     table.get_mut(&server(0), START).unwrap().load.record_unreachable(TimePoint::ZERO);
     for seed in 0..20 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let placed = table.place(&TestRequest::default().ask(), &mut rng, ms(0)).unwrap();
+        let placed = table.place(&TestRequest::default().as_request(), &mut rng, ms(0)).unwrap();
         assert_eq!(placed.server, server(1));
     }
 }
@@ -203,7 +204,7 @@
     assert_eq!(table.mark_unreachable(&server(5), START, ms(100)), centre);
     let placed = |seed| {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        table.place(&TestRequest::default().ask(), &mut rng, ms(200)).map(|it| it.server)
+        table.place(&TestRequest::default().as_request(), &mut rng, ms(200)).map(|it| it.server)
     };
     for seed in 0..50 {
         let name = placed(seed).unwrap();
@@ -259,15 +260,16 @@
     assert_eq!(place(&table, &call).unwrap().server, server(1));
 }
 
-// Guards against first tokens that come four times later than predicted from servers that have just started, because they
-// were assumed to have cached the prompts with affinity to them. The estimated cache fill grows with the time in use.
+// Guards against first tokens that come four times later than predicted from servers that have just started, because
+// they were assumed to have cached the prompts with affinity to them. The estimated cache fill grows with the time in
+// use.
 #[test]
 fn assumes_no_cached_prompts_on_a_server_that_just_started() {
     let mut table = table(1);
     let request =
         TestRequest { prompt: Some(prompt(17_000, Some((7, 13_000)))), ..TestRequest::default() };
     let predicted = |table: &ServerTable, at| {
-        let placement = table.place(&request.ask(), &mut rng(), at).expect("a free server");
+        let placement = table.place(&request.as_request(), &mut rng(), at).expect("a free server");
         (placement.predicted.as_millis(), placement.work.prefill)
     };
     let (cold_ms, cold) = predicted(&table, ms(0));
--- a/crates/quincevalve_forwarding/tests/quota_restarts.rs
+++ b/crates/quincevalve_forwarding/tests/quota_restarts.rs
@@ -164,8 +164,8 @@
         self.run_with_load(3.6, steps, stopping).into_iter().map(|(_, admitted)| admitted).collect()
     }
 
-    /// Returns the tokens sent to running VMs and the tokens admitted in each step, for callers who send `requested` times
-    /// the quota. `stopping` returns how many VMs stop at a step, one after the other.
+    /// Returns the tokens sent to running VMs and the tokens admitted in each step, for callers who send `requested`
+    /// times the quota. `stopping` returns how many VMs stop at a step, one after the other.
     fn run_with_load<F>(&mut self, requested: f64, steps: u64, stopping: F) -> Vec<(f64, f64)>
     where
         F: Fn(u64) -> usize,
@@ -219,8 +219,8 @@
 }
 
 // When VMs restart in turn, an account could get a seventh more than its quota: nobody receives the reports of a
-// restarting collector's members for a second, and restarted VMs could begin with a full bucket. The last reported spending counts until
-// new reports arrive, and a VM starts with a fraction of the burst.
+// restarting collector's members for a second, and restarted VMs could begin with a full bucket. The last reported
+// spending counts until new reports arrive, and a VM starts with a fraction of the burst.
 #[test]
 fn restarts_in_turn_do_not_raise_the_quota() {
     let admitted = Fleet::new(STRICT).run(1_000, 4);
@@ -264,8 +264,8 @@
     if step == KILL_STEP { VMS } else { 0 }
 }
 
-/// Returns the fraction of requests rejected in the first second after all VMs are back, for callers who send `requested`
-/// times the quota.
+/// Returns the fraction of requests rejected in the first second after all VMs are back, for callers who send
+/// `requested` times the quota.
 fn rejected_after_all_are_back(requested: f64) -> f64 {
     let results = Fleet::new(STRICT).run_with_load(requested, 1_000, stop_all);
     let back = (KILL_STEP + DOWN_STEPS) as usize;
--- a/crates/quincevalve_forwarding/tests/restraints.rs
+++ b/crates/quincevalve_forwarding/tests/restraints.rs
@@ -108,7 +108,7 @@
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let mut placed = 0;
     for _ in 0..requests {
-        if let Ok(placement) = table.place(&TestRequest::default().ask(), &mut rng, now) {
+        if let Ok(placement) = table.place(&TestRequest::default().as_request(), &mut rng, now) {
             table.spend_allowance(&placement.server, placement.start, now);
             placed += usize::from(placement.server == server(0));
         }
@@ -133,7 +133,8 @@
     table.set_rank(VmRank { rank: 0, vm_count: 2 }, 1_000_000, ms(0));
     set_limit_of_server_0(&mut table, Some(4.0));
     assert!(placed_on_0(&mut table, 100, ms(0)) <= 4);
-    let result = table.place(&TestRequest::default().ask(), &mut Pcg64Mcg::seed_from_u64(1), ms(0));
+    let result =
+        table.place(&TestRequest::default().as_request(), &mut Pcg64Mcg::seed_from_u64(1), ms(0));
     assert_eq!(result, Err(PlacementError::Limited { wait: millis(500) }));
 }
 
@@ -153,7 +154,7 @@
 
 fn place(table: &ServerTable, now: u64) -> Result<usize, PlacementError> {
     let placement =
-        table.place(&TestRequest::default().ask(), &mut Pcg64Mcg::seed_from_u64(1), ms(now));
+        table.place(&TestRequest::default().as_request(), &mut Pcg64Mcg::seed_from_u64(1), ms(now));
     placement.map(|it| usize::from(it.server != server(0)))
 }
 
--- a/crates/quincevalve_forwarding/tests/rollout.rs
+++ b/crates/quincevalve_forwarding/tests/rollout.rs
@@ -160,8 +160,8 @@
     assert_eq!(judgement.outliers, 2);
 }
 
-// The first server that gets requests is a bad one of a good version. All evidence comes from it, and the version would be
-// rolled back although it has other servers.
+// The first server that gets requests is a bad one of a good version. All evidence comes from it, and the version would
+// be rolled back although it has other servers.
 #[test]
 fn stays_undecided_when_only_one_failing_server_of_several_has_answered() {
     let only = Answers { new: (40, 20), servers: 1, ..GOOD_ANSWERS };
@@ -465,7 +465,8 @@
     assert!(rollouts.partial_sums(&servers_of_both_versions(), ms(0)).is_empty());
 }
 
-/// Adds answers of the new version at four servers, a third of them failures if `failing`, and successes of the old one.
+/// Adds answers of the new version at four servers, a third of them failures if `failing`, and successes of the old
+/// one.
 fn add_answers(rollouts: &mut RolloutTable, failing: bool, now: TimePoint) {
     for at in 0..200_u64 {
         for (version, fails) in [("v2", failing && at % 3 == 0), ("v1", false)] {
@@ -568,8 +569,8 @@
     assert!(rollouts.partial_sums(&server_table, ms(4_010)).is_empty());
 }
 
-// A VM that has reported its switch finds the new version bad. If it sent to the old servers again at once, the holder might
-// be completing the roll-out, so that they stop.
+// A VM that has reported its switch finds the new version bad. If it sent to the old servers again at once, the holder
+// might be completing the roll-out, so that they stop.
 #[test]
 fn keeps_to_a_reported_switch_until_the_holder_received_the_halt() {
     let server_table = servers_of_both_versions();
--- a/crates/quincevalve_forwarding/tests/rollout_world/main.rs
+++ b/crates/quincevalve_forwarding/tests/rollout_world/main.rs
@@ -1,7 +1,7 @@
 //! Simulated roll-outs of good and bad versions over many VMs in virtual time, with other faults at the same time.
 //!
-//! `cargo test --release -p quincevalve_forwarding --test rollout_world table -- --ignored --nocapture` prints the results
-//! of all combinations; `ROLLOUT_VMS`, `ROLLOUT_SECONDS` and `ROLLOUT_SEEDS` set other sizes.
+//! `cargo test --release -p quincevalve_forwarding --test rollout_world table -- --ignored --nocapture` prints the
+//! results of all combinations; `ROLLOUT_VMS`, `ROLLOUT_SECONDS` and `ROLLOUT_SEEDS` set other sizes.
 
 mod plan;
 mod world;
--- a/crates/quincevalve_forwarding/tests/store_contact.rs
+++ b/crates/quincevalve_forwarding/tests/store_contact.rs
@@ -126,7 +126,7 @@
     assert_eq!(table.remove_entry(&server(1), ms(9_800)), Some(Removal::Leaving));
 }
 
-// After a VM got no processor time for three seconds, its first answer of the store looks like the end of an outage,
+// After a VM got no processor time for three seconds, its first answer from the store looks like the end of an outage,
 // and reports of other VMs that there was none arrive a moment later. Until these had time to arrive, servers with
 // missing entries are used only if no other server is listed; otherwise requests would reach servers that left.
 #[test]
--- a/crates/quincevalve_forwarding/tests/support/mod.rs
+++ b/crates/quincevalve_forwarding/tests/support/mod.rs
@@ -150,7 +150,7 @@
 }
 
 impl TestRequest {
-    pub fn ask(&self) -> PlacementRequest<'_> {
+    pub fn as_request(&self) -> PlacementRequest<'_> {
         PlacementRequest {
             service: &self.service,
             prompt: self.prompt.map(|it| (it, engine())),
