--- a/crates/quincevalve_forwarding/tests/fleet_size.rs
+++ b/crates/quincevalve_forwarding/tests/fleet_size.rs
@@ -89,8 +89,9 @@
     }
 }
 
-// Guards against rejecting callers for seconds when reclaims hit one data centre after the other and each on-demand server
-// starts only when the next data centre is gone. While one is lost, the largest other one is replaced in advance.
+// Guards against rejecting callers for seconds when reclaims hit one data centre after the other and each on-demand
+// server starts only when the next data centre is gone. While one is lost, the largest other one is replaced in
+// advance.
 #[test]
 fn orders_on_demand_servers_one_step_ahead_of_a_reclaim_wave() {
     let present = fleet([0, 3, 3, 0], [0; 4]);
@@ -98,7 +99,11 @@
     let orders = send(&mut planner, 5.0, &present, OrderOutcome::NoneAvailable);
     assert!(count(&orders, ServerKind::OnDemand) >= 2, "{orders:?}");
     let first = orders.iter().find(|it| it.kind == ServerKind::OnDemand && it.count > 0);
-    assert_eq!(first.map(|it| it.data_centre.as_str()), Some("b"), "not the cheapest");
+    assert_eq!(
+        first.map(|it| it.data_centre.as_str()),
+        Some("b"),
+        "the data centre is not the cheapest"
+    );
 }
 
 #[test]
@@ -110,8 +115,8 @@
     assert!(orders.iter().all(|it| it.count <= 6));
 }
 
-// Guards against rejecting or delaying most callers for seconds when the reclaimable servers are gone and the data centre
-// with all on-demand servers is partitioned. No data centre has more than half of the on-demand servers.
+// Guards against rejecting or delaying most callers for seconds when the reclaimable servers are gone and the data
+// centre with all on-demand servers is partitioned. No data centre has more than half of the on-demand servers.
 #[test]
 fn does_not_place_all_on_demand_servers_in_one_data_centre() {
     for busy in [2.0, 3.0, 5.0, 7.0] {
@@ -120,13 +125,13 @@
         let orders = send(&mut planner, busy, &present, OrderOutcome::NoneAvailable);
         let all = count(&orders, ServerKind::OnDemand);
         let on_demand = orders.iter().filter(|it| it.kind == ServerKind::OnDemand);
-        let most = on_demand.map(|it| it.count).max().unwrap();
-        assert!(2 * most <= all + 1, "{busy}: {orders:?}");
+        let max_count = on_demand.map(|it| it.count).max().unwrap();
+        assert!(2 * max_count <= all + 1, "{busy}: {orders:?}");
     }
 }
 
-// Guards against releasing the fleet when a VM takes over the duty without a measured demand. The present fleet is assumed
-// to have the right size, and nothing is released before all servers are discovered.
+// Guards against releasing the fleet when a VM takes over the duty without a measured demand. The present fleet is
+// assumed to have the right size, and nothing is released before all servers are discovered.
 #[test]
 fn a_new_planner_releases_no_servers() {
     let present = fleet([4; 4], [1, 0, 0, 0]);
@@ -146,8 +151,9 @@
     assert!((busy - 3.0).abs() < 1e-9);
 }
 
-// Guards against ordering three times the needed servers on demand for ten seconds and more after all VMs were killed, or
-// after the holder's lease expired in a store outage. Each VM measures the demand from its start, so a new holder knows it.
+// Guards against ordering three times the needed servers on demand for ten seconds and more after all VMs were killed,
+// or after the holder's lease expired in a store outage. Each VM measures the demand from its start, so a new holder
+// knows it.
 #[test]
 fn a_new_holder_plans_by_the_demand_that_it_measured_before() {
     let gone = fleet([0, 4, 4, 0], [0; 4]);
@@ -163,8 +169,9 @@
     assert!(on_demand <= 4, "{on_demand}");
 }
 
-// Guards against rejecting all callers for five seconds: a holder that took over during a reclaim wave had ordered no
-// on-demand servers itself, and released all of them as soon as reclaimable ones were available, before those were ready.
+// Guards against rejecting all callers for five seconds: a holder that takes over during a reclaim wave has ordered no
+// on-demand servers itself, and could release all of them as soon as reclaimable ones are available, before those are
+// ready.
 #[test]
 fn a_new_holder_keeps_on_demand_servers_until_starting_ones_are_ready() {
     let substitutes = fleet([0; 4], [0, 5, 0, 5]);
@@ -184,8 +191,8 @@
     }
 }
 
-// Guards against unneeded on-demand servers that stay while entry VMs are restarted in turn: each new duty holder waited to
-// discover all servers, and was restarted before it released any.
+// Guards against unneeded on-demand servers that stay while entry VMs are restarted in turn, because each new duty
+// holder waits to discover all servers and is restarted before it releases any.
 #[test]
 fn a_new_holder_that_has_long_known_the_servers_releases_them_soon() {
     let present = fleet([12; 4], [10; 4]);
@@ -198,8 +205,9 @@
     assert!(released.is_some(), "a holder of three seconds releases nothing");
 }
 
-// Guards against callers that are late for five seconds: half of the on-demand servers were released because the demand was
-// half of what was expected, and a second later the next data centre was reclaimed. They stay between the steps of a wave.
+// Guards against answers that are late for five seconds, because half of the on-demand servers are released when the
+// demand is half of what was expected, and a second later the next data centre is reclaimed. On-demand servers stay
+// between the steps of a wave.
 #[test]
 fn on_demand_servers_stay_between_the_steps_of_a_reclaim_wave() {
     let none = fleet([0; 4], [0; 4]);
@@ -216,12 +224,12 @@
         orders.iter().any(|it| it.kind == ServerKind::OnDemand)
     };
     assert!(!fewer(&mut planner, 100));
-    assert!(!fewer(&mut planner, 8_000), "they are released between two steps");
-    assert!(fewer(&mut planner, 10_200), "they are never released");
+    assert!(!fewer(&mut planner, 8_000), "released between two steps");
+    assert!(fewer(&mut planner, 10_200), "never released");
 }
 
-// Guards against a fleet that grows to its limits for minutes because a new holder counts each VM's whole past as new demand
-// when its first report arrives. Reports arrive one after the other, and each contributes only its current rate.
+// Guards against a fleet that grows to its limits for minutes because a new holder counts each VM's whole past as new
+// demand when its first report arrives. Reports arrive one after the other, and each contributes only its current rate.
 #[test]
 fn vms_whose_reports_arrive_one_after_the_other_do_not_inflate_the_demand() {
     let present = fleet([3; 4], [0; 4]);
@@ -247,8 +255,8 @@
     }
 }
 
-// Guards against releasing half of the fleet because a network partition hides the VMs that have work. A lower demand is
-// accepted only while nearly all VMs are reachable.
+// Guards against releasing half of the fleet because a network partition hides the VMs that have work. A lower demand
+// is accepted only while nearly all VMs are reachable.
 #[test]
 fn demand_does_not_fall_while_vms_are_unreachable() {
     let present = fleet([3; 4], [0; 4]);
@@ -273,8 +281,8 @@
     assert!(next.is_empty(), "{next:?}");
 }
 
-// Guards against a fleet that permanently runs on expensive on-demand servers, because the order for its reclaimed servers
-// was not sent again.
+// Guards against a fleet that permanently runs on expensive on-demand servers, because the order for its reclaimed
+// servers isn't sent again.
 #[test]
 fn orders_reclaimed_servers_again() {
     let whole = fleet([3; 4], [0; 4]);
@@ -288,8 +296,8 @@
     assert_eq!((orders[0].data_centre.as_str(), orders[0].count), ("b", 3));
 }
 
-// Guards against a data centre that lacks servers for half a minute after a reclaim: the demand had fallen a little since
-// the last order, and the smaller order was delayed like a reduction. Missing servers are ordered at once.
+// Guards against a data centre that lacks servers for half a minute after a reclaim, because the demand has fallen a
+// little since the last order and the smaller order is delayed like a reduction. Missing servers are ordered at once.
 #[test]
 fn orders_reclaimed_servers_again_when_fewer_suffice() {
     let whole = fleet([3; 4], [0; 4]);
@@ -302,8 +310,8 @@
     assert_eq!((orders[0].data_centre.as_str(), orders[0].count), ("b", 2));
 }
 
-// Guards against releasing four in ten servers just before the next burst of callers, when a new holder takes over in a lull
-// and orders only what the lull needs. The present servers count as ordered, and are released with the same delay.
+// Guards against releasing four in ten servers just before the next burst of callers, when a new holder takes over in a
+// lull and orders only what the lull needs. The present servers count as ordered, and are released with the same delay.
 #[test]
 fn a_new_holder_releases_reclaimable_servers_with_the_same_delay() {
     let present = fleet([5; 4], [0; 4]);
@@ -320,8 +328,8 @@
     assert!(!orders.is_empty());
 }
 
-// Guards against a data centre whose reclaimed servers are not replaced for four seconds, because the planner still expects
-// servers that were ordered there just before. A reclaim takes starting servers too.
+// Guards against a data centre whose reclaimed servers are not replaced for four seconds, because the planner still
+// expects servers that were ordered there just before. A reclaim takes starting servers too.
 #[test]
 fn does_not_wait_for_starting_servers_in_a_reclaimed_data_centre() {
     let whole = fleet([3; 4], [0; 4]);
@@ -337,8 +345,8 @@
     assert!(count(&orders, ServerKind::OnDemand) >= 4, "{orders:?}");
 }
 
-// Guards against losing most of the fleet for seconds, when reclaimable servers are ordered again and the on-demand servers
-// that replaced them are released while the reclaimable ones are still starting.
+// Guards against losing most of the fleet for seconds, when reclaimable servers are ordered again and the on-demand
+// servers that replaced them are released while the reclaimable ones are still starting.
 #[test]
 fn on_demand_servers_stay_until_starting_ones_are_ready() {
     let none = fleet([0; 4], [0; 4]);
@@ -361,8 +369,8 @@
     assert_eq!(count(&orders, ServerKind::OnDemand), 0);
 }
 
-// Guards against ordering twice the needed servers on demand, when half of the callers are rejected for a while, retry once
-// each, and are counted as new demand.
+// Guards against ordering twice the needed servers on demand, when half of the callers are rejected for a while, retry
+// once each, and are counted as new demand.
 #[test]
 fn retries_of_rejected_callers_are_not_new_demand() {
     let present = fleet([1; 4], [0; 4]);
--- a/crates/quincevalve_node/src/store/state_copy.rs
+++ b/crates/quincevalve_node/src/store/state_copy.rs
@@ -205,7 +205,7 @@
 
     /// Returns the wanted chunks, each with the age of the freshness confirmation.
     fn chunks(&self, is_wanted: impl Fn(u32) -> bool, now: TimePoint) -> Vec<(Duration, Chunk)> {
-        let wanted = self.chunks.iter().filter(|it| is_wanted(it.at));
+        let wanted = self.chunks.iter().filter(|it| is_wanted(it.index));
         wanted.map(|it| (now.since(self.confirmed_at), it.clone())).collect()
     }
 }
