--- a/crates/quincevalve_admission/src/admission.rs
+++ b/crates/quincevalve_admission/src/admission.rs
@@ -38,12 +38,12 @@
     /// Maximum number of waiting requests over all accounts.
     pub max_waiting: u32,
     /// Assumed service time of a request until service times have been observed.
-    pub first_hold: Duration,
+    pub initial_service_time: Duration,
 }
 
 impl Default for AdmissionSettings {
     fn default() -> Self {
-        Self { max_waiting: 4_096, first_hold: Duration::from_millis(500) }
+        Self { max_waiting: 4_096, initial_service_time: Duration::from_millis(500) }
     }
 }
 
@@ -59,14 +59,14 @@
     /// Time by which the latency objective of the request's class must be met.
     pub deadline: TimePoint,
     /// Predicted time from the start of the request until its latency objective is met.
-    pub needs: Duration,
+    pub required_time: Duration,
     /// Cost charged to the account's fair share, in units of a small request.
     pub cost: u32,
 }
 
 /// Reason for refusing a request. A refused request did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum RefusalReason {
     /// The account has reached its limit of concurrent requests.
     AccountLimit,
     /// The queue over all accounts is full.
@@ -85,7 +85,7 @@
     /// Refuse the request.
     Refuse {
         /// Reason for the refusal.
-        reason: Refused,
+        reason: RefusalReason,
         /// Time after which a retry is likely to be admitted.
         retry_after: Duration,
     },
@@ -114,7 +114,7 @@
 ///     account,
 ///     urgency: Urgency::Interactive,
 ///     deadline: TimePoint::from_millis(2_000),
-///     needs: Duration::from_millis(100),
+///     required_time: Duration::from_millis(100),
 ///     cost: 1,
 /// };
 /// assert_eq!(admission.arrive(TimePoint::ZERO, &arrival(1)), Decision::Run);
@@ -144,7 +144,7 @@
             running: 0,
             accounts: Vec::new(),
             queue: FairQueue::default(),
-            mean_service_seconds: settings.first_hold.as_secs_f64(),
+            mean_service_seconds: settings.initial_service_time.as_secs_f64(),
         }
     }
 
@@ -180,26 +180,35 @@
         let waiting = self.waiting_for(arrival.account);
         let start_interval = self.start_interval(arrival.account);
         if account.running + waiting >= account.limits.max_concurrent {
-            return Decision::Refuse { reason: Refused::AccountLimit, retry_after: start_interval };
+            return Decision::Refuse {
+                reason: RefusalReason::AccountLimit,
+                retry_after: start_interval,
+            };
         }
         let time_left = arrival.deadline.since(now);
-        if arrival.needs > time_left {
-            return Decision::Refuse { reason: Refused::TooLate, retry_after: start_interval };
+        if arrival.required_time > time_left {
+            return Decision::Refuse {
+                reason: RefusalReason::TooLate,
+                retry_after: start_interval,
+            };
         }
         if self.running < self.capacity && waiting == 0 {
             self.start(arrival.account, arrival.cost);
             return Decision::Run;
         }
         if self.queue.queued() >= self.settings.max_waiting {
-            return Decision::Refuse { reason: Refused::QueueFull, retry_after: start_interval };
+            return Decision::Refuse {
+                reason: RefusalReason::QueueFull,
+                retry_after: start_interval,
+            };
         }
         let wait = self.predicted_wait(arrival);
-        if wait + arrival.needs > time_left {
-            let retry_after = (wait + arrival.needs).saturating_sub(time_left);
-            return Decision::Refuse { reason: Refused::TooLate, retry_after };
+        if wait + arrival.required_time > time_left {
+            let retry_after = (wait + arrival.required_time).saturating_sub(time_left);
+            return Decision::Refuse { reason: RefusalReason::TooLate, retry_after };
         }
         // Latest time at which the request can start and still meet its deadline.
-        let latest_start = TimePoint(arrival.deadline.0 - arrival.needs.as_micros() as u64);
+        let latest_start = TimePoint(arrival.deadline.0 - arrival.required_time.as_micros() as u64);
         let entry = QueuedRequest { ticket: arrival.ticket, latest_start, cost: arrival.cost };
         self.queue.push(arrival.account, arrival.urgency, entry);
         Decision::Wait
@@ -267,7 +276,7 @@
     }
 
     /// Removes a waiting request whose caller disconnected; returns `false` if it isn't waiting.
-    pub fn withdraw(&mut self, ticket: Ticket) -> bool {
+    pub fn cancel(&mut self, ticket: Ticket) -> bool {
         self.queue.cancel(ticket)
     }
 
--- a/crates/quincevalve_admission/src/lib.rs
+++ b/crates/quincevalve_admission/src/lib.rs
@@ -6,8 +6,8 @@
 
 pub use crate::{
     admission::{
-        AccountIndex, AccountLimits, Admission, AdmissionSettings, Arrival, Decision, Refused,
-        Ticket, Urgency,
+        AccountIndex, AccountLimits, Admission, AdmissionSettings, Arrival, Decision,
+        RefusalReason, Ticket, Urgency,
     },
     shares::{Demand, own_share},
 };
--- a/crates/quincevalve_admission/tests/properties.rs
+++ b/crates/quincevalve_admission/tests/properties.rs
@@ -69,7 +69,7 @@
                         account: AccountIndex(account),
                         urgency: if bulk { Urgency::Bulk } else { Urgency::Interactive },
                         deadline: now + Duration::from_millis(patience_ms),
-                        needs: Duration::from_millis(50),
+                        required_time: Duration::from_millis(50),
                         cost: 1,
                     };
                     match admission.arrive(now, &arrival) {
@@ -91,7 +91,7 @@
                 Step::Cancel => {
                     let ticket = model.waiting.keys().min().copied();
                     if let Some(ticket) = ticket {
-                        prop_assert!(admission.withdraw(ticket));
+                        prop_assert!(admission.cancel(ticket));
                         model.waiting.remove(&ticket);
                     }
                 }
@@ -126,7 +126,7 @@
             account,
             urgency,
             deadline: TimePoint::from_millis(600_000),
-            needs: Duration::ZERO,
+            required_time: Duration::ZERO,
             cost: 1,
         };
         admission.arrive(TimePoint::ZERO, &arrival)
--- a/crates/quincevalve_control/src/plan_task.rs
+++ b/crates/quincevalve_control/src/plan_task.rs
@@ -4,7 +4,7 @@
 
 use quincevalve_inventory::{Fencing, Format, Inventory, Serves, read_inventory};
 use quincevalve_names::{BackendServerName, FencingNumber, ModelName, TimePoint};
-use quincevalve_plan::{OrderAction, OrderEvent, OrderFencing, OrderSettings, Orderer};
+use quincevalve_plan::{OrderAction, OrderDispatcher, OrderEvent, OrderFencing, OrderSettings};
 use quincevalve_ports::{
     HttpClient,
     engine::{EngineClient, EngineOrder, Role},
@@ -48,7 +48,7 @@
 struct Planner {
     shared: Shared,
     engines: EngineClient,
-    orderers: HashMap<BackendServerName, Orderer<Held>>,
+    orderers: HashMap<BackendServerName, OrderDispatcher<Held>>,
 }
 
 /// Plans for as long as the process runs.
@@ -107,9 +107,9 @@
         }
         let settings = OrderSettings {
             lease: self.shared.settings.plan.lease(),
-            flight: self.shared.settings.plan.flight(),
+            max_delivery_time: self.shared.settings.plan.flight(),
         };
-        let fresh = || Orderer::new(settings, wanted.fencing);
+        let fresh = || OrderDispatcher::new(settings, wanted.fencing);
         let mut orderer = self.orderers.remove(&wanted.name).unwrap_or_else(fresh);
         let event = OrderEvent::Wanted {
             state: wanted.held.clone(),
--- a/crates/quincevalve_entry/src/attempt.rs
+++ b/crates/quincevalve_entry/src/attempt.rs
@@ -6,7 +6,9 @@
 use quincevalve_names::{Outcome, TimePoint};
 use quincevalve_ports::engine::KvHandle;
 use quincevalve_recovery::Relay as RelayCore;
-use quincevalve_retries::{Failure, FailureReach, NextStep, RetryRules, decide};
+use quincevalve_retries::{
+    ExecutionStatus, FailedAttempt, RetryDecision, RetryPolicy, decide_retry,
+};
 use quincevalve_routing::ServerIndex;
 
 use crate::{
@@ -77,7 +79,7 @@
 pub(crate) struct Failed {
     pub(crate) attempt: Attempt,
     pub(crate) cause: Cause,
-    reach: FailureReach,
+    reach: ExecutionStatus,
     announced: bool,
     resumable: bool,
     last: bool,
@@ -86,12 +88,12 @@
 impl Failed {
     /// No byte reached a server, or the server said that nothing ran.
     pub(crate) const fn not_run(attempt: Attempt, cause: Cause) -> Self {
-        let reach = FailureReach::NotRun;
+        let reach = ExecutionStatus::NotRun;
         Self { attempt, cause, reach, announced: false, resumable: false, last: false }
     }
 
     pub(crate) const fn may_have_run(attempt: Attempt, cause: Cause) -> Self {
-        let reach = FailureReach::MayHaveRun;
+        let reach = ExecutionStatus::MayHaveRun;
         Self { attempt, cause, reach, announced: false, resumable: false, last: false }
     }
 
@@ -125,8 +127,8 @@
     let mut attempts = 0;
     // A request that another VM had sent may have run there.
     let mut earlier = match answer.server() {
-        Some(_) => FailureReach::MayHaveRun,
-        None => FailureReach::NotRun,
+        Some(_) => ExecutionStatus::MayHaveRun,
+        None => ExecutionStatus::NotRun,
     };
     let (end, first_token_at) = loop {
         attempts += 1;
@@ -144,14 +146,14 @@
             Ok(done) => break (End::Whole, done.first_token_at),
             Err(failed) => {
                 let step = next_step(&shared, &failed, earlier, attempts);
-                if failed.reach == FailureReach::MayHaveRun {
-                    earlier = FailureReach::MayHaveRun;
+                if failed.reach == ExecutionStatus::MayHaveRun {
+                    earlier = ExecutionStatus::MayHaveRun;
                 }
                 attempt = failed.attempt;
                 log::debug!("request={} attempt={attempts} failed: {:?}", request.id, failed.cause);
                 match step {
-                    NextStep::Retry { after } => shared.timer.after(after).await,
-                    NextStep::GiveUp { outcome } => {
+                    RetryDecision::Retry { after } => shared.timer.after(after).await,
+                    RetryDecision::GiveUp { outcome } => {
                         let end = End::Refused(give_up(failed.cause, outcome, &request));
                         break (end, attempt.first_token_at);
                     }
@@ -182,23 +184,28 @@
     }
 }
 
-fn next_step(shared: &Shared, failed: &Failed, earlier: FailureReach, attempts: u32) -> NextStep {
+fn next_step(
+    shared: &Shared,
+    failed: &Failed,
+    earlier: ExecutionStatus,
+    attempts: u32,
+) -> RetryDecision {
     let request = &failed.attempt.request;
     if failed.last || failed.cause == Cause::Abandoned {
-        return NextStep::GiveUp { outcome: Outcome::MayHaveRun };
+        return RetryDecision::GiveUp { outcome: Outcome::MayHaveRun };
     }
     let moved = failed.attempt.import.is_some();
     let execution = rule_for(request.execution, failed.resumable, moved, failed.reach);
-    let failure = Failure {
-        reach: failed.reach,
-        earlier,
+    let failure = FailedAttempt {
+        status: failed.reach,
+        earlier_status: earlier,
         execution,
-        announced: failed.announced,
+        server_was_leaving: failed.announced,
         attempts,
-        left: request.gives_up_at() - shared.timer.now(),
-        needs: std::time::Duration::ZERO,
+        time_left: request.gives_up_at() - shared.timer.now(),
+        required_time: std::time::Duration::ZERO,
     };
-    decide(&failure, &RetryRules::default(), &mut shared.budget())
+    decide_retry(&failure, &RetryPolicy::default(), &mut shared.budget())
 }
 
 /// The rule that holds for the next attempt.
@@ -206,8 +213,8 @@
 /// A resumed run is the same run, so the rule against a second one doesn't concern it. Nor does it concern
 /// a run whose state was moved off its server, when the next server says that nothing ran there: without
 /// this a billed answer was lost when a second wave met its new server.
-fn rule_for(own: Execution, resumable: bool, moved: bool, reach: FailureReach) -> Execution {
-    let is_same_run = resumable || (moved && reach == FailureReach::NotRun);
+fn rule_for(own: Execution, resumable: bool, moved: bool, reach: ExecutionStatus) -> Execution {
+    let is_same_run = resumable || (moved && reach == ExecutionStatus::NotRun);
     if is_same_run { Execution::Idempotent } else { own }
 }
 
@@ -229,9 +236,12 @@
     #[test]
     fn a_refusal_does_not_end_a_moved_run() {
         let billed = Execution::NonIdempotent;
-        assert_eq!(rule_for(billed, false, true, FailureReach::NotRun), Execution::Idempotent);
-        assert_eq!(rule_for(billed, false, true, FailureReach::MayHaveRun), billed);
-        assert_eq!(rule_for(billed, false, false, FailureReach::NotRun), billed);
-        assert_eq!(rule_for(billed, true, false, FailureReach::MayHaveRun), Execution::Idempotent);
+        assert_eq!(rule_for(billed, false, true, ExecutionStatus::NotRun), Execution::Idempotent);
+        assert_eq!(rule_for(billed, false, true, ExecutionStatus::MayHaveRun), billed);
+        assert_eq!(rule_for(billed, false, false, ExecutionStatus::NotRun), billed);
+        assert_eq!(
+            rule_for(billed, true, false, ExecutionStatus::MayHaveRun),
+            Execution::Idempotent
+        );
     }
 }
--- a/crates/quincevalve_entry/src/filters/admit.rs
+++ b/crates/quincevalve_entry/src/filters/admit.rs
@@ -8,13 +8,13 @@
 
 use indexmap::IndexSet;
 use quincevalve_admission::{
-    AccountIndex, AccountLimits, Admission, AdmissionSettings, Arrival, Decision, Refused, Ticket,
-    Urgency,
+    AccountIndex, AccountLimits, Admission, AdmissionSettings, Arrival, Decision, RefusalReason,
+    Ticket, Urgency,
 };
 use quincevalve_inventory::Promise;
 use quincevalve_names::{ClientAccountName, Outcome, TimePoint};
 use quincevalve_recovery::Work;
-use quincevalve_routing::{Ask, NoServer, Target};
+use quincevalve_routing::{NoServer, RoutingRequest, Target};
 use quincevalve_timer::Timer;
 use tokio::sync::oneshot;
 
@@ -40,7 +40,7 @@
         }
         let needs = self.predict(&request)?;
         let place = self.shared.admission.enter(&request, needs).await?;
-        self.shared.budget().earn();
+        self.shared.budget().deposit();
         Ok(Admitted { request, place })
     }
 }
@@ -51,7 +51,7 @@
 impl Admit {
     /// The predicted time from the start to what the class promises.
     fn predict(&self, request: &Identified) -> Result<Duration, Refusal> {
-        let ask = Ask {
+        let ask = RoutingRequest {
             now: self.shared.timer.now(),
             pool: &request.target(),
             data_centre: &self.shared.settings.data_centre,
@@ -69,7 +69,7 @@
             }
             _ => Duration::ZERO,
         };
-        Ok(choice.first_token + rest)
+        Ok(choice.predicted_first_token + rest)
     }
 }
 
@@ -188,17 +188,17 @@
             Ok(Called::Expired) | Err(_) => {
                 place.state = PlaceState::Left;
                 let retry_after = self.lock().core(&target).retry_after(place.account);
-                Err(refuse(Refused::TooLate, retry_after, request))
+                Err(refuse(RefusalReason::TooLate, retry_after, request))
             }
         }
     }
 }
 
-fn refuse(reason: Refused, retry_after: Duration, request: &Identified) -> Refusal {
+fn refuse(reason: RefusalReason, retry_after: Duration, request: &Identified) -> Refusal {
     let kind = match reason {
-        Refused::AccountLimit => RefusalKind::AccountLimit,
-        Refused::QueueFull => RefusalKind::QueueFull,
-        Refused::TooLate => RefusalKind::TooLate,
+        RefusalReason::AccountLimit => RefusalKind::AccountLimit,
+        RefusalReason::QueueFull => RefusalKind::QueueFull,
+        RefusalReason::TooLate => RefusalKind::TooLate,
     };
     Refusal::new(kind, Outcome::NotRun).with_retry_after(retry_after).with_request(request.id)
 }
@@ -228,7 +228,7 @@
                 quincevalve_routing::Urgency::Bulk => Urgency::Bulk,
             },
             deadline: request.promised_by(),
-            needs,
+            required_time: needs,
             cost: 1 + request.prompt_tokens() / COST_TOKENS,
         }
     }
@@ -271,7 +271,7 @@
             PlaceState::Running => desk.core(&self.target).finish(self.account, held),
             PlaceState::Waiting => {
                 desk.waiting.remove(&self.ticket);
-                if !desk.core(&self.target).withdraw(self.ticket) {
+                if !desk.core(&self.target).cancel(self.ticket) {
                     // It was called in the moment its caller went away.
                     desk.core(&self.target).finish(self.account, held);
                 }
--- a/crates/quincevalve_entry/src/filters/dispatch.rs
+++ b/crates/quincevalve_entry/src/filters/dispatch.rs
@@ -48,7 +48,7 @@
         let request = &routed.attempt.request;
         let prompt_tokens = request.prompt_tokens();
         let now = shared.timer.now();
-        shared.router().sent(now, routed.server, request.prefix(), prompt_tokens);
+        shared.router().record_sent(now, routed.server, request.prefix(), prompt_tokens);
         Self {
             shared: Arc::clone(shared),
             server: routed.server,
@@ -63,7 +63,7 @@
     pub(crate) fn prompt_done(&mut self) {
         if !self.prompt_done {
             self.prompt_done = true;
-            self.shared.router().prompt_done(self.server, self.prompt_tokens);
+            self.shared.router().record_prefill_finished(self.server, self.prompt_tokens);
         }
     }
 }
@@ -71,7 +71,7 @@
 impl Drop for Sent {
     fn drop(&mut self) {
         self.prompt_done();
-        self.shared.router().done(self.server);
+        self.shared.router().record_finished(self.server);
     }
 }
 
@@ -162,7 +162,7 @@
         if leaving {
             let incarnation = incarnation_of(headers);
             let mut router = self.shared.router();
-            router.leaving(sent.server, incarnation, LeavingEvidence::OwnAnswer);
+            router.mark_leaving(sent.server, incarnation, LeavingEvidence::OwnAnswer);
         }
         if header_is(headers, RAN_HEADER, "no") {
             let failed = Failed::not_run(attempt.tried(sent.server), Cause::Refused);
@@ -179,7 +179,7 @@
     fn not_reached(&self, attempt: Attempt, sent: &Sent, error: &CallError) -> Failed {
         log::debug!("{} {}: {error}", attempt.request.id, sent.name);
         let announced = self.shared.departures.gone_at(sent.name.as_str()).is_some();
-        self.shared.router().failed(self.shared.timer.now(), sent.server);
+        self.shared.router().record_failure(self.shared.timer.now(), sent.server);
         let attempt = attempt.tried(sent.server);
         let failed = match error.reach() {
             Reach::NotSent => Failed::not_run(attempt, Cause::Transport),
@@ -197,7 +197,7 @@
         if http.probe(sent.address, "/v1/load", limit).await {
             return ask_again(attempt, sent);
         }
-        self.shared.router().failed(self.shared.timer.now(), sent.server);
+        self.shared.router().record_failure(self.shared.timer.now(), sent.server);
         Failed::may_have_run(attempt.tried(sent.server), Cause::Silent)
     }
 }
--- a/crates/quincevalve_entry/src/filters/relay.rs
+++ b/crates/quincevalve_entry/src/filters/relay.rs
@@ -121,7 +121,7 @@
                     match progress {
                         Progress::More => {}
                         Progress::Whole => {
-                            self.shared.router().succeeded(sent.server);
+                            self.shared.router().record_success(sent.server);
                             return Ok(attempt);
                         }
                         Progress::Unsound => {
@@ -198,7 +198,7 @@
             attempt.resumes += 1;
             return Failed::may_have_run(attempt, cause).announced().resumable();
         }
-        self.shared.router().failed(self.shared.timer.now(), sent.server);
+        self.shared.router().record_failure(self.shared.timer.now(), sent.server);
         let began = attempt.relay.next().0 > 0;
         let failed = Failed::may_have_run(attempt.tried(sent.server), cause);
         // A stream that began is bound by the number of servers lost, not by load: no budget for it.
@@ -305,13 +305,13 @@
                     if !began {
                         attempt.answer.set_head(head);
                     }
-                    self.shared.router().succeeded(sent.server);
+                    self.shared.router().record_success(sent.server);
                     return Ok(attempt);
                 }
                 // The head went out with the first bytes; from then on another server's answer can't
                 // be joined to them, so the attempt is the last.
                 Some(Some(Err(_))) | None => {
-                    self.shared.router().failed(self.shared.timer.now(), sent.server);
+                    self.shared.router().record_failure(self.shared.timer.now(), sent.server);
                     let failed = Failed::may_have_run(attempt.tried(sent.server), Cause::Transport);
                     return Err(if began { failed.last() } else { failed });
                 }
--- a/crates/quincevalve_entry/src/filters/route.rs
+++ b/crates/quincevalve_entry/src/filters/route.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
 use quincevalve_names::BackendServerName;
-use quincevalve_routing::{Ask, NoServer, ServerIndex, Urgency};
+use quincevalve_routing::{NoServer, RoutingRequest, ServerIndex, Urgency};
 
 use crate::{
     attempt::{Attempt, Cause, Failed},
@@ -66,7 +66,7 @@
     fn choose(&self, attempt: &Attempt, urgency: Urgency) -> Result<ServerIndex, NoServer> {
         let request = &attempt.request;
         let target = request.target();
-        let ask = |tried| Ask {
+        let ask = |tried| RoutingRequest {
             now: self.shared.timer.now(),
             pool: &target,
             data_centre: &self.shared.settings.data_centre,
--- a/crates/quincevalve_entry/src/observe.rs
+++ b/crates/quincevalve_entry/src/observe.rs
@@ -58,10 +58,14 @@
     let near: Vec<_> = near.map(|it| Demand { requests: it.demand }).collect();
     shared.router().set_routers(near.len() as u32 + 1);
     for target in targets {
-        let local = shared.router().slots(now, &target, &shared.settings.data_centre);
+        let local = shared.router().available_slots(now, &target, &shared.settings.data_centre);
         let all: u32 = {
             let router = shared.router();
-            view.inventory.data_centre.keys().map(|it| router.slots(now, &target, it)).sum()
+            view.inventory
+                .data_centre
+                .keys()
+                .map(|it| router.available_slots(now, &target, it))
+                .sum()
         };
         // A data centre without such servers lives on the others' spare places.
         let slots = if local > 0 { local } else { all / 2 };
@@ -111,7 +115,7 @@
     let Ok(events) = shared.engines.cache_events(address, *after, limit).await else { return };
     let mut router = shared.router();
     for event in events {
-        router.cached(index, event.prefix, event.holds);
+        router.update_cache_hint(index, event.prefix, event.holds);
         *after = event.number.max(*after);
     }
 }
@@ -120,11 +124,11 @@
     let mut router = shared.router();
     let at = shared.timer.now();
     if load.leaving {
-        router.leaving(index, Some(load.incarnation), LeavingEvidence::OwnAnswer);
+        router.mark_leaving(index, Some(load.incarnation), LeavingEvidence::OwnAnswer);
     } else {
-        router.live(index, load.incarnation);
+        router.mark_live(index, load.incarnation);
     }
-    router.reported(
+    router.update_load(
         index,
         LoadReport { at, running: load.running, queued_tokens: load.queued_tokens },
     );
@@ -162,7 +166,7 @@
         let mut router = shared.router();
         for vm in &notice.vms {
             if let Some(index) = router.find(&vm.as_str().into()) {
-                router.leaving(index, None, LeavingEvidence::Notice);
+                router.mark_leaving(index, None, LeavingEvidence::Notice);
             }
         }
     }
@@ -182,9 +186,9 @@
             let Some(index) = router.find(&vm.name.as_str().into()) else { continue };
             match vm.state {
                 VmState::Leaving => {
-                    router.leaving(index, Some(vm.incarnation), LeavingEvidence::VmList);
+                    router.mark_leaving(index, Some(vm.incarnation), LeavingEvidence::VmList);
                 }
-                VmState::Live => router.live(index, vm.incarnation),
+                VmState::Live => router.mark_live(index, vm.incarnation),
             }
         }
     }
--- a/crates/quincevalve_entry/src/shared.rs
+++ b/crates/quincevalve_entry/src/shared.rs
@@ -11,7 +11,7 @@
 use quincevalve_ports::{engine::EngineClient, store::HttpStore};
 use quincevalve_program::Metrics;
 use quincevalve_recovery::{HandOverId, HandOverReceiver};
-use quincevalve_retries::{HedgeClock, RetryBudget};
+use quincevalve_retries::{HedgeDelay, RetryBudget};
 use quincevalve_routing::{PredictedFirstToken, Router};
 use quincevalve_timer::Timer;
 use rand::{RngExt, SeedableRng};
@@ -30,7 +30,7 @@
     pub(crate) router: Mutex<Router<PredictedFirstToken>>,
     pub(crate) admission: AdmissionDesk,
     pub(crate) budget: Mutex<RetryBudget>,
-    pub(crate) hedge: Mutex<HedgeClock>,
+    pub(crate) hedge: Mutex<HedgeDelay>,
     pub(crate) answers: Answers,
     pub(crate) departures: Departures,
     pub(crate) engines: EngineClient,
@@ -55,7 +55,7 @@
         self.budget.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(crate) fn hedge(&self) -> MutexGuard<'_, HedgeClock> {
+    pub(crate) fn hedge(&self) -> MutexGuard<'_, HedgeDelay> {
         self.hedge.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
--- a/crates/quincevalve_entry/src/start.rs
+++ b/crates/quincevalve_entry/src/start.rs
@@ -16,7 +16,7 @@
 use quincevalve_peers::{BindError, Callers, EntryPeer, PeerListener, PeerSecurity, PeerTlsError};
 use quincevalve_ports::{HttpClient, engine::EngineClient, store::HttpStore};
 use quincevalve_program::{Metrics, MetricsError};
-use quincevalve_retries::{HedgeClock, RetryBudget};
+use quincevalve_retries::{HedgeDelay, RetryBudget};
 use quincevalve_routing::{PredictedFirstToken, Router};
 use quincevalve_timer::Timer;
 use snafu::{ResultExt, Snafu};
@@ -224,7 +224,7 @@
         router: Mutex::new(Router::new(PredictedFirstToken, seed)),
         admission: AdmissionDesk::new(timer.clone()),
         budget: Mutex::new(RetryBudget::default()),
-        hedge: Mutex::new(HedgeClock::default()),
+        hedge: Mutex::new(HedgeDelay::default()),
         answers: Answers::new(settings.limits),
         departures: Departures::default(),
         engines: EngineClient::new(http),
--- a/crates/quincevalve_measure/src/arena.rs
+++ b/crates/quincevalve_measure/src/arena.rs
@@ -5,8 +5,8 @@
 use quincevalve_names::{RequestId, Sequence, TimePoint};
 use quincevalve_recovery::{Costs, Way, WayOptions, choose_way, move_time};
 use quincevalve_routing::{
-    Ask, LeavingEvidence, LoadReport, NoServer, Policy, Router, ServerIndex, ServerSpec, Target,
-    Urgency,
+    LeavingEvidence, LoadReport, NoServer, Policy, Router, RoutingRequest, ServerIndex, ServerSpec,
+    Target, Urgency,
 };
 use quincevalve_standins::{EngineModel, EngineSpeed, Job, ModelOutput};
 use rustc_hash::FxHashMap;
@@ -201,7 +201,7 @@
         let facts = self.kind(question);
         let asked = &self.questions[question];
         let prompt = facts.prefix_tokens + facts.own_tokens;
-        let ask = Ask {
+        let ask = RoutingRequest {
             now,
             pool: &self.pool,
             data_centre: &DATA_CENTRE.into(),
@@ -218,7 +218,7 @@
             }
             Err(_) => return,
         };
-        self.routers[router].sent(now, choice.server, asked.prefix, prompt + from);
+        self.routers[router].record_sent(now, choice.server, asked.prefix, prompt + from);
         let job = Job {
             id: asked.id,
             prefix: asked.prefix,
@@ -256,7 +256,7 @@
                 ModelOutput::Cache { prefix, holds } => {
                     let index = ServerIndex(server as u32);
                     for router in &mut self.routers {
-                        router.cached(index, prefix, holds);
+                        router.update_cache_hint(index, prefix, holds);
                     }
                 }
             }
@@ -284,7 +284,7 @@
             flight.prompt_done = true;
             let facts = &self.mix.kinds[self.questions[flight.question].kind];
             let prompt = facts.prefix_tokens + facts.own_tokens;
-            self.routers[flight.router].prompt_done(flight.server, prompt);
+            self.routers[flight.router].record_prefill_finished(flight.server, prompt);
         }
         let outcome = &mut self.run.outcomes[flight.question];
         let began = self.questions[flight.question].at;
@@ -296,10 +296,10 @@
         let began = self.questions[flight.question].at;
         self.run.outcomes[flight.question].end = Some(now - began);
         let router = &mut self.routers[flight.router];
-        router.done(flight.server);
+        router.record_finished(flight.server);
         if !flight.prompt_done {
             let facts = &self.mix.kinds[self.questions[flight.question].kind];
-            router.prompt_done(flight.server, facts.prefix_tokens + facts.own_tokens);
+            router.record_prefill_finished(flight.server, facts.prefix_tokens + facts.own_tokens);
         }
     }
 
@@ -328,7 +328,7 @@
                 let due = self.reports.remove(0);
                 for router in &mut self.routers {
                     for (server, load) in due.iter().enumerate() {
-                        router.reported(ServerIndex(server as u32), *load);
+                        router.update_load(ServerIndex(server as u32), *load);
                     }
                 }
             }
@@ -351,7 +351,7 @@
         let Some(wave) = self.setup.wave.filter(|it| it.weighs) else { return };
         for server in self.wave_servers() {
             for router in &mut self.routers {
-                router.leaving(ServerIndex(server), None, LeavingEvidence::Notice);
+                router.mark_leaving(ServerIndex(server), None, LeavingEvidence::Notice);
             }
         }
         // The caches of one server leave it one after the other.
@@ -417,7 +417,7 @@
         let Some(flight) = self.flights.remove(&id) else { return };
         self.run.moved += 1;
         let server = flight.server.0 as usize;
-        self.routers[flight.router].done(flight.server);
+        self.routers[flight.router].record_finished(flight.server);
         let mut outputs = Vec::new();
         self.engines[server].cancel(now, id, &mut outputs);
         self.take(now, server, &outputs);
@@ -429,7 +429,7 @@
         for server in self.wave_servers() {
             self.alive[server as usize] = false;
             for router in &mut self.routers {
-                router.leaving(ServerIndex(server), None, LeavingEvidence::VmList);
+                router.mark_leaving(ServerIndex(server), None, LeavingEvidence::VmList);
             }
         }
         for id in self.flights_on_wave() {
@@ -445,7 +445,7 @@
     fn start_over(&mut self, now: TimePoint, id: RequestId) {
         let Some(flight) = self.flights.remove(&id) else { return };
         self.run.moved += 1;
-        self.routers[flight.router].done(flight.server);
+        self.routers[flight.router].record_finished(flight.server);
         // The tokens that the caller has are generated a second time.
         self.run.recomputed += u64::from(flight.tokens);
         self.dispatch(now, flight.question, flight.router, 0, 0);
--- a/crates/quincevalve_measure/src/experiments/admission.rs
+++ b/crates/quincevalve_measure/src/experiments/admission.rs
@@ -123,7 +123,7 @@
             account: AccountIndex(request.account as u32),
             urgency: if request.bulk { Urgency::Bulk } else { Urgency::Interactive },
             deadline: request.at + promise_of(request),
-            needs: if request.bulk { request.held } else { Duration::ZERO },
+            required_time: if request.bulk { request.held } else { Duration::ZERO },
             cost: if request.bulk { 10 } else { 1 },
         };
         match admission.arrive(request.at, &arrival) {
--- a/crates/quincevalve_measure/src/experiments/plan.rs
+++ b/crates/quincevalve_measure/src/experiments/plan.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use quincevalve_names::TimePoint;
-use quincevalve_plan::{Buyer, BuyerAction, BuyerSettings, Desired, Offer};
+use quincevalve_plan::{Desired, Offer, ProvisionAction, Provisioner, ProvisionerSettings};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -93,7 +93,7 @@
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 1);
     let waves: Vec<_> =
         (0..WAVES).map(|_| (rng.random_range(0..STEPS), rng.random_range(0..PLACES))).collect();
-    let mut buyer = Buyer::new(BuyerSettings::default(), offers.clone());
+    let mut buyer = Provisioner::new(ProvisionerSettings::default(), offers.clone());
     let mut held = Desired::new();
     let mut bought = Desired::new();
     let mut day = Day { cost: 0.0, short_machine_hours: 0.0, short_steps: 0, refused: 0 };
@@ -139,7 +139,7 @@
 }
 
 fn step_ours(
-    buyer: &mut Buyer,
+    buyer: &mut Provisioner,
     now: TimePoint,
     step: u64,
     held: &mut Desired,
@@ -154,19 +154,19 @@
         let mut refused = false;
         for action in buyer.plan(now, needed, held, bought) {
             match action {
-                BuyerAction::Buy { data_centre, vm_class, .. } => {
+                ProvisionAction::Create { data_centre, vm_class, .. } => {
                     if vm_class == SPOT && is_dry(data_centre.as_str()) {
-                        buyer.refused(now, &data_centre, &vm_class);
+                        buyer.record_refusal(now, &data_centre, &vm_class);
                         day.refused += 1;
                         refused = true;
                         break;
                     }
-                    buyer.given(&data_centre, &vm_class);
+                    buyer.record_grant(&data_centre, &vm_class);
                     let key = (data_centre, vm_class);
                     *held.entry(key.clone()).or_default() += 1;
                     *bought.entry(key).or_default() += 1;
                 }
-                BuyerAction::GiveBack { data_centre, vm_class } => {
+                ProvisionAction::Release { data_centre, vm_class } => {
                     if let Some(count) = held.get_mut(&(data_centre, vm_class)) {
                         *count = count.saturating_sub(1);
                     }
--- a/crates/quincevalve_measure/src/experiments/retries.rs
+++ b/crates/quincevalve_measure/src/experiments/retries.rs
@@ -8,7 +8,9 @@
 
 use quincevalve_inventory::Execution;
 use quincevalve_names::TimePoint;
-use quincevalve_retries::{Failure, FailureReach, NextStep, RetryBudget, RetryRules, decide};
+use quincevalve_retries::{
+    ExecutionStatus, FailedAttempt, RetryBudget, RetryDecision, RetryPolicy, decide_retry,
+};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -157,7 +159,7 @@
         self.attempts += 1;
         self.current[request as usize] = attempt;
         if attempt == 1 {
-            self.budget.earn();
+            self.budget.deposit();
         }
         // Early refusal: what can't be done in time isn't queued. The naive version queues everything.
         let rounds = self.waiting.len() / self.places;
@@ -178,18 +180,18 @@
         let retry = match self.way {
             Way::Naive => (attempt < NAIVE_ATTEMPTS).then_some(Duration::ZERO),
             Way::Ours => {
-                let failure = Failure {
-                    reach: FailureReach::MayHaveRun,
-                    earlier: FailureReach::NotRun,
+                let failure = FailedAttempt {
+                    status: ExecutionStatus::MayHaveRun,
+                    earlier_status: ExecutionStatus::NotRun,
                     execution: Execution::Idempotent,
-                    announced: false,
+                    server_was_leaving: false,
                     attempts: attempt,
-                    left: Duration::from_secs(5),
-                    needs: WORK,
+                    time_left: Duration::from_secs(5),
+                    required_time: WORK,
                 };
-                match decide(&failure, &RetryRules::default(), &mut self.budget) {
-                    NextStep::Retry { after } => Some(after),
-                    NextStep::GiveUp { .. } => None,
+                match decide_retry(&failure, &RetryPolicy::default(), &mut self.budget) {
+                    RetryDecision::Retry { after } => Some(after),
+                    RetryDecision::GiveUp { .. } => None,
                 }
             }
         };
--- a/crates/quincevalve_measure/src/experiments/routing.rs
+++ b/crates/quincevalve_measure/src/experiments/routing.rs
@@ -4,7 +4,7 @@
 
 use quincevalve_names::{TimePoint, mix};
 use quincevalve_routing::{
-    Ask, LeastOutstanding, LoadReport, Policy, PredictedFirstToken, Router, ServerIndex,
+    LeastOutstanding, LoadReport, Policy, PredictedFirstToken, Router, RoutingRequest, ServerIndex,
     ServerSpec, Target, Urgency,
 };
 use quincevalve_standins::EngineSpeed;
@@ -63,7 +63,7 @@
             drained: false,
         });
         let report = LoadReport { at: TimePoint(1), running: 8, queued_tokens: server % 900 };
-        router.reported(ServerIndex(server), report);
+        router.update_load(ServerIndex(server), report);
     }
     let data_centre = "dc-0".into();
     let mut times = Vec::new();
@@ -73,7 +73,7 @@
         let began = Instant::now();
         for at in 0..BATCH {
             let prefix = mix(seed, u64::from(batch * BATCH + at) % 5_000);
-            let ask = Ask {
+            let ask = RoutingRequest {
                 now: TimePoint(2),
                 pool: &pool,
                 data_centre: &data_centre,
@@ -130,10 +130,14 @@
 
 impl Policy for LeastReported {
     const SCANS_ALL: bool = true;
-    const HOLDS_BULK: bool = false;
+    const DEFERS_BULK: bool = false;
 
-    fn cost(&self, _ask: &Ask<'_>, candidate: &quincevalve_routing::Candidate<'_>) -> f64 {
-        f64::from(candidate.reported())
+    fn cost(
+        &self,
+        _ask: &RoutingRequest<'_>,
+        candidate: &quincevalve_routing::Candidate<'_>,
+    ) -> f64 {
+        f64::from(candidate.reported_running())
     }
 }
 
--- a/crates/quincevalve_plan/src/lib.rs
+++ b/crates/quincevalve_plan/src/lib.rs
@@ -3,12 +3,12 @@
 //! Planning is a pure function of demand, prices and the running VMs. Provisioning and sending orders are
 //! state machines whose steps are idempotent.
 
-mod buying;
 mod orders;
 mod plan;
+mod provisioning;
 
 pub use crate::{
-    buying::{Buyer, BuyerAction, BuyerSettings, Offer},
-    orders::{OrderAction, OrderEvent, OrderFencing, OrderSettings, Orderer},
+    orders::{OrderAction, OrderDispatcher, OrderEvent, OrderFencing, OrderSettings},
     plan::{Desired, Market, cheapest_mix},
+    provisioning::{Offer, ProvisionAction, Provisioner, ProvisionerSettings},
 };
--- a/crates/quincevalve_plan/src/orders.rs
+++ b/crates/quincevalve_plan/src/orders.rs
@@ -13,22 +13,22 @@
     Ignored,
 }
 
-/// Settings of an [`Orderer`].
+/// Settings of an [`OrderDispatcher`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OrderSettings {
     /// Duration of a lease.
     pub lease: Duration,
     /// Maximum time between the decision to send an order and its arrival; calls time out by then.
-    pub flight: Duration,
+    pub max_delivery_time: Duration,
 }
 
 impl Default for OrderSettings {
     fn default() -> Self {
-        Self { lease: Duration::from_secs(10), flight: Duration::from_secs(2) }
+        Self { lease: Duration::from_secs(10), max_delivery_time: Duration::from_secs(2) }
     }
 }
 
-/// Input of [`Orderer::handle`].
+/// Input of [`OrderDispatcher::handle`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderEvent<S> {
     /// The engine's state differs from the desired one.
@@ -90,7 +90,7 @@
 /// - The engine's state is read back, which corrects the effect of an order that arrived late because its
 ///   sender was paused during the call.
 #[derive(Clone, Debug)]
-pub struct Orderer<S> {
+pub struct OrderDispatcher<S> {
     settings: OrderSettings,
     fencing_by_engine: OrderFencing,
     phase: Phase,
@@ -99,7 +99,7 @@
     cleared_fencing: Option<FencingNumber>,
 }
 
-impl<S> Orderer<S>
+impl<S> OrderDispatcher<S>
 where
     S: Clone + PartialEq,
 {
@@ -117,7 +117,7 @@
                 matches!(self.phase, Phase::Idle).then(|| self.start(now))
             }
             OrderEvent::IntentWritten => {
-                let until = now + self.settings.lease + self.settings.flight;
+                let until = now + self.settings.lease + self.settings.max_delivery_time;
                 self.phase = Phase::AwaitingOldOrders { until };
                 None
             }
@@ -150,7 +150,7 @@
         let Some((state, fencing, lease_until)) = self.wanted.clone() else { return self.stop() };
         // The clock is read immediately before the call. The delivery limit covers short pauses in between; the
         // wait of the next holder and reading back the state cover longer ones.
-        if now + self.settings.flight > lease_until {
+        if now + self.settings.max_delivery_time > lease_until {
             return self.stop();
         }
         self.phase = Phase::Sending;
@@ -188,10 +188,13 @@
     use super::*;
 
     const LEASE: Duration = Duration::from_secs(10);
-    const FLIGHT: Duration = Duration::from_secs(2);
+    const MAX_DELIVERY_TIME: Duration = Duration::from_secs(2);
 
-    fn orderer(fencing: OrderFencing) -> Orderer<&'static str> {
-        Orderer::new(OrderSettings { lease: LEASE, flight: FLIGHT }, fencing)
+    fn dispatcher(fencing: OrderFencing) -> OrderDispatcher<&'static str> {
+        OrderDispatcher::new(
+            OrderSettings { lease: LEASE, max_delivery_time: MAX_DELIVERY_TIME },
+            fencing,
+        )
     }
 
     fn wanted(state: &'static str, fencing: u64, until: u64) -> OrderEvent<&'static str> {
@@ -206,38 +209,41 @@
     // sends its order. It must stop because its lease no longer outlasts the delivery.
     #[test]
     fn holder_sends_nothing_when_its_lease_ends_before_delivery() {
-        let mut orderer = orderer(OrderFencing::Checked);
+        let mut dispatcher = dispatcher(OrderFencing::Checked);
         let late = TimePoint::from_millis(9_000);
-        assert_eq!(orderer.handle(late, wanted("old", 1, 10_000)), Some(OrderAction::Stop));
+        assert_eq!(dispatcher.handle(late, wanted("old", 1, 10_000)), Some(OrderAction::Stop));
     }
 
     // An order of the previous holder could arrive after the new holder's order at an engine that ignores fencing
     // numbers. The new holder must wait until the old order must have arrived.
     #[test]
     fn new_holder_waits_until_orders_of_the_previous_holder_have_arrived() {
-        let mut orderer = orderer(OrderFencing::Ignored);
+        let mut dispatcher = dispatcher(OrderFencing::Ignored);
         let now = TimePoint::from_millis(1_000);
-        let action = orderer.handle(now, wanted("new", 2, 60_000));
+        let action = dispatcher.handle(now, wanted("new", 2, 60_000));
         assert_eq!(action, Some(OrderAction::WriteIntent(FencingNumber(2))));
-        assert_eq!(orderer.handle(now, OrderEvent::IntentWritten), None);
+        assert_eq!(dispatcher.handle(now, OrderEvent::IntentWritten), None);
         let before_deadline = TimePoint::from_millis(12_999);
-        assert_eq!(orderer.handle(before_deadline, OrderEvent::Tick), None);
+        assert_eq!(dispatcher.handle(before_deadline, OrderEvent::Tick), None);
         let deadline = TimePoint::from_millis(13_000);
-        let action = orderer.handle(deadline, OrderEvent::Tick);
+        let action = dispatcher.handle(deadline, OrderEvent::Tick);
         assert_eq!(action, Some(OrderAction::Send("new", FencingNumber(2))));
-        assert_eq!(orderer.handle(deadline, OrderEvent::Sent), Some(OrderAction::ReadBack));
+        assert_eq!(dispatcher.handle(deadline, OrderEvent::Sent), Some(OrderAction::ReadBack));
         // A late order of the previous holder arrived nevertheless, so the order is sent again.
-        let action = orderer.handle(deadline, OrderEvent::ReadBack("old"));
+        let action = dispatcher.handle(deadline, OrderEvent::ReadBack("old"));
         assert_eq!(action, Some(OrderAction::Send("new", FencingNumber(2))));
-        orderer.handle(deadline, OrderEvent::Sent);
-        assert_eq!(orderer.handle(deadline, OrderEvent::ReadBack("new")), Some(OrderAction::Done));
+        dispatcher.handle(deadline, OrderEvent::Sent);
+        assert_eq!(
+            dispatcher.handle(deadline, OrderEvent::ReadBack("new")),
+            Some(OrderAction::Done)
+        );
     }
 
     #[test]
     fn stops_when_the_intent_is_refused() {
-        let mut orderer = orderer(OrderFencing::Ignored);
-        orderer.handle(TimePoint::ZERO, wanted("new", 2, 60_000));
-        let action = orderer.handle(TimePoint::ZERO, OrderEvent::IntentRefused);
+        let mut dispatcher = dispatcher(OrderFencing::Ignored);
+        dispatcher.handle(TimePoint::ZERO, wanted("new", 2, 60_000));
+        let action = dispatcher.handle(TimePoint::ZERO, OrderEvent::IntentRefused);
         assert_eq!(action, Some(OrderAction::Stop));
     }
 }
--- a/crates/quincevalve_plan/src/buying.rs
+++ b/crates/quincevalve_plan/src/provisioning.rs
@@ -18,26 +18,26 @@
     pub price_milli: u64,
 }
 
-/// Settings of a [`Buyer`].
+/// Settings of a [`Provisioner`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct BuyerSettings {
+pub struct ProvisionerSettings {
     /// Backoff of an offer after its first refusal; doubles with each further one.
     pub backoff: Duration,
     /// Maximum backoff of an offer.
-    pub most_backoff: Duration,
+    pub max_backoff: Duration,
 }
 
-impl Default for BuyerSettings {
+impl Default for ProvisionerSettings {
     fn default() -> Self {
-        Self { backoff: Duration::from_secs(60), most_backoff: Duration::from_secs(3_600) }
+        Self { backoff: Duration::from_secs(60), max_backoff: Duration::from_secs(3_600) }
     }
 }
 
 /// Provisioning action.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum BuyerAction {
+pub enum ProvisionAction {
     /// Request a VM from the cloud.
-    Buy {
+    Create {
         /// Idempotency token: requests with the same token create one VM.
         token: String,
         /// Data centre of the VM.
@@ -46,7 +46,7 @@
         vm_class: String,
     },
     /// Drain a VM and return it to the cloud.
-    GiveBack {
+    Release {
         /// Data centre of the VM.
         data_centre: DataCentreName,
         /// Class of the VM.
@@ -63,22 +63,22 @@
 
 type OfferKey = (DataCentreName, String);
 
-/// Provisioning state machine: `(now, needed, held) -> actions`.
+/// Provisioning state machine: `(now, needed, running) -> actions`.
 ///
 /// If the VM that executes the plan crashes after requesting a VM and before recording the request, its
 /// successor requests the VM again, which would create and bill two. The idempotency token is therefore derived
 /// from the data centre, the class and the number of VMs ever created there, which every successor can read
 /// from the cloud's list. The successor uses the same token and the cloud returns the same VM.
 #[derive(Clone, Debug)]
-pub struct Buyer {
-    settings: BuyerSettings,
+pub struct Provisioner {
+    settings: ProvisionerSettings,
     offers: Vec<Offer>,
     refusals: IndexMap<OfferKey, Refusals>,
 }
 
-impl Buyer {
+impl Provisioner {
     /// Creates an instance for the cloud's offers.
-    pub fn new(settings: BuyerSettings, offers: Vec<Offer>) -> Self {
+    pub fn new(settings: ProvisionerSettings, offers: Vec<Offer>) -> Self {
         Self { settings, offers, refusals: IndexMap::new() }
     }
 
@@ -93,30 +93,30 @@
 
     /// Computes the desired VMs and returns the actions that lead to them.
     ///
-    /// `held` counts the current VMs, `bought` all VMs ever created, both by data centre and class.
+    /// `running` counts the current VMs, `created` all VMs ever created, both by data centre and class.
     pub fn plan(
         &self,
         now: TimePoint,
         needed: u32,
-        held: &Desired,
-        bought: &Desired,
-    ) -> Vec<BuyerAction> {
+        running: &Desired,
+        created: &Desired,
+    ) -> Vec<ProvisionAction> {
         let desired = cheapest_mix(needed, &self.market(now));
         let mut actions = Vec::new();
         for (key, target) in &desired {
-            let current = held.get(key).copied().unwrap_or(0);
-            let first = bought.get(key).copied().unwrap_or(0);
+            let current = running.get(key).copied().unwrap_or(0);
+            let first = created.get(key).copied().unwrap_or(0);
             for number in 0..target.saturating_sub(current) {
-                actions.push(buy(key, first + number));
+                actions.push(create(key, first + number));
             }
         }
         // Surplus VMs are released only once all desired VMs exist, so that saving cost never reduces capacity.
         if actions.is_empty() {
-            for (key, current) in held {
+            for (key, current) in running {
                 let target = desired.get(key).copied().unwrap_or(0);
                 for _ in target..*current {
                     let (data_centre, vm_class) = key.clone();
-                    actions.push(BuyerAction::GiveBack { data_centre, vm_class });
+                    actions.push(ProvisionAction::Release { data_centre, vm_class });
                 }
             }
         }
@@ -124,16 +124,16 @@
     }
 
     /// Records that the cloud refused an offer, and starts or extends its backoff.
-    pub fn refused(&mut self, now: TimePoint, data_centre: &DataCentreName, vm_class: &str) {
-        let BuyerSettings { backoff, most_backoff } = self.settings;
+    pub fn record_refusal(&mut self, now: TimePoint, data_centre: &DataCentreName, vm_class: &str) {
+        let ProvisionerSettings { backoff, max_backoff } = self.settings;
         let entry = self.refusals.entry((data_centre.clone(), vm_class.to_owned())).or_default();
         let doubled = backoff * (1 << entry.count.min(MAX_DOUBLINGS));
-        entry.until = now + doubled.min(most_backoff);
+        entry.until = now + doubled.min(max_backoff);
         entry.count += 1;
     }
 
     /// Records that the cloud provided a VM, which ends the backoff of its offer.
-    pub fn given(&mut self, data_centre: &DataCentreName, vm_class: &str) {
+    pub fn record_grant(&mut self, data_centre: &DataCentreName, vm_class: &str) {
         self.refusals.shift_remove(&(data_centre.clone(), vm_class.to_owned()));
     }
 }
@@ -141,8 +141,8 @@
 /// Maximum number of times that the backoff is doubled.
 const MAX_DOUBLINGS: u32 = 16;
 
-fn buy((data_centre, vm_class): &OfferKey, number: u32) -> BuyerAction {
-    BuyerAction::Buy {
+fn create((data_centre, vm_class): &OfferKey, number: u32) -> ProvisionAction {
+    ProvisionAction::Create {
         token: format!("{data_centre}-{vm_class}-{number}"),
         data_centre: data_centre.clone(),
         vm_class: vm_class.clone(),
@@ -158,9 +158,9 @@
         Offer { data_centre: data_centre.into(), vm_class, price_milli }
     }
 
-    fn buyer() -> Buyer {
+    fn provisioner() -> Provisioner {
         let offers = vec![offer("a", 100), offer("b", 110), offer("c", 120)];
-        Buyer::new(BuyerSettings::default(), offers)
+        Provisioner::new(ProvisionerSettings::default(), offers)
     }
 
     // Two VMs are created instead of one if the executor of the plan requests a VM and crashes, and its successor
@@ -168,8 +168,8 @@
     #[test]
     fn successor_uses_the_same_token() {
         let nothing = Desired::new();
-        let first = buyer().plan(TimePoint::ZERO, 2, &nothing, &nothing);
-        let second = buyer().plan(TimePoint::from_millis(9), 2, &nothing, &nothing);
+        let first = provisioner().plan(TimePoint::ZERO, 2, &nothing, &nothing);
+        let second = provisioner().plan(TimePoint::from_millis(9), 2, &nothing, &nothing);
         assert_eq!(first, second);
     }
 
@@ -177,24 +177,23 @@
     // fleet short, so other data centres are used immediately, and `a` again after the backoff.
     #[test]
     fn refused_offer_is_skipped_during_its_backoff() {
-        let mut buyer = buyer();
+        let mut provisioner = provisioner();
         let nothing = Desired::new();
-        buyer.refused(TimePoint::ZERO, &"a".into(), "spot");
-        let data_centre_of = |it: &BuyerAction| match it {
-            BuyerAction::Buy { data_centre, .. } | BuyerAction::GiveBack { data_centre, .. } => {
-                data_centre.to_string()
-            }
+        provisioner.record_refusal(TimePoint::ZERO, &"a".into(), "spot");
+        let data_centre_of = |it: &ProvisionAction| match it {
+            ProvisionAction::Create { data_centre, .. }
+            | ProvisionAction::Release { data_centre, .. } => data_centre.to_string(),
         };
-        let soon = buyer.plan(TimePoint::from_millis(1_000), 2, &nothing, &nothing);
+        let soon = provisioner.plan(TimePoint::from_millis(1_000), 2, &nothing, &nothing);
         assert!(soon.iter().all(|it| data_centre_of(it) != "a"));
-        let later = buyer.plan(TimePoint::from_millis(61_000), 2, &nothing, &nothing);
+        let later = provisioner.plan(TimePoint::from_millis(61_000), 2, &nothing, &nothing);
         assert!(later.iter().any(|it| data_centre_of(it) == "a"));
     }
 
     #[test]
     fn releases_nothing_while_desired_vms_are_missing() {
-        let held = Desired::from([(("c".into(), "spot".to_owned()), 9)]);
-        let actions = buyer().plan(TimePoint::ZERO, 4, &held, &held);
-        assert!(actions.iter().all(|it| matches!(it, BuyerAction::Buy { .. })));
+        let running = Desired::from([(("c".into(), "spot".to_owned()), 9)]);
+        let actions = provisioner().plan(TimePoint::ZERO, 4, &running, &running);
+        assert!(actions.iter().all(|it| matches!(it, ProvisionAction::Create { .. })));
     }
 }
--- a/crates/quincevalve_retries/src/budget.rs
+++ b/crates/quincevalve_retries/src/budget.rs
@@ -18,10 +18,10 @@
 /// ```
 /// let mut budget = quincevalve_retries::RetryBudget::default();
 /// for _ in 0..20 {
-///     budget.earn();
+///     budget.deposit();
 /// }
-/// assert!(budget.spend() && budget.spend());
-/// assert!(!budget.spend());
+/// assert!(budget.try_spend() && budget.try_spend());
+/// assert!(!budget.try_spend());
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RetryBudget {
@@ -30,12 +30,12 @@
 
 impl RetryBudget {
     /// Adds the share of a new request to the budget.
-    pub fn earn(&mut self) {
+    pub fn deposit(&mut self) {
         self.balance = (self.balance + DEPOSIT_PER_REQUEST).min(MAX_BALANCE);
     }
 
     /// Takes one retry out of the budget; returns `false` if the balance doesn't cover it.
-    pub fn spend(&mut self) -> bool {
+    pub fn try_spend(&mut self) -> bool {
         if self.balance < RETRY_COST {
             return false;
         }
--- a/crates/quincevalve_retries/src/hedge.rs
+++ b/crates/quincevalve_retries/src/hedge.rs
@@ -18,7 +18,7 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// let mut hedge_delay = quincevalve_retries::HedgeClock::default();
+/// let mut hedge_delay = quincevalve_retries::HedgeDelay::default();
 /// assert_eq!(hedge_delay.delay(), None);
 /// for _ in 0..100 {
 ///     hedge_delay.observe(Duration::from_millis(20));
@@ -26,18 +26,18 @@
 /// assert!(hedge_delay.delay() < Some(Duration::from_millis(40)));
 /// ```
 #[derive(Clone, Debug)]
-pub struct HedgeClock {
+pub struct HedgeDelay {
     counts: [u32; BUCKETS],
     total: u32,
 }
 
-impl Default for HedgeClock {
+impl Default for HedgeDelay {
     fn default() -> Self {
         Self { counts: [0; BUCKETS], total: 0 }
     }
 }
 
-impl HedgeClock {
+impl HedgeDelay {
     /// Records an observed time to first token.
     pub fn observe(&mut self, first_token: Duration) {
         if self.total >= MAX_OBSERVATIONS {
--- a/crates/quincevalve_retries/src/lib.rs
+++ b/crates/quincevalve_retries/src/lib.rs
@@ -6,6 +6,6 @@
 
 pub use crate::{
     budget::RetryBudget,
-    decision::{Failure, FailureReach, NextStep, RetryRules, decide},
-    hedge::HedgeClock,
+    decision::{ExecutionStatus, FailedAttempt, RetryDecision, RetryPolicy, decide_retry},
+    hedge::HedgeDelay,
 };
--- a/crates/quincevalve_retries/tests/decision.rs
+++ b/crates/quincevalve_retries/tests/decision.rs
@@ -4,50 +4,58 @@
 
 use quincevalve_inventory::Execution;
 use quincevalve_names::Outcome;
-use quincevalve_retries::{Failure, FailureReach, NextStep, RetryBudget, RetryRules, decide};
+use quincevalve_retries::{
+    ExecutionStatus, FailedAttempt, RetryBudget, RetryDecision, RetryPolicy, decide_retry,
+};
 
-const STATUSES: [FailureReach; 2] = [FailureReach::NotRun, FailureReach::MayHaveRun];
+const STATUSES: [ExecutionStatus; 2] = [ExecutionStatus::NotRun, ExecutionStatus::MayHaveRun];
 
-/// The first failure of an idempotent request that did not run, with time left.
-fn failure() -> Failure {
-    Failure {
-        reach: FailureReach::NotRun,
-        earlier: FailureReach::NotRun,
+/// The first failed attempt of an idempotent request that did not run, with time left.
+fn failed_attempt() -> FailedAttempt {
+    FailedAttempt {
+        status: ExecutionStatus::NotRun,
+        earlier_status: ExecutionStatus::NotRun,
         execution: Execution::Idempotent,
-        announced: false,
+        server_was_leaving: false,
         attempts: 1,
-        left: Duration::from_secs(5),
-        needs: Duration::from_millis(100),
+        time_left: Duration::from_secs(5),
+        required_time: Duration::from_millis(100),
     }
 }
 
 fn full_budget() -> RetryBudget {
     let mut budget = RetryBudget::default();
     for _ in 0..200 {
-        budget.earn();
+        budget.deposit();
     }
     budget
 }
 
-fn next(failure: &Failure) -> NextStep {
-    decide(failure, &RetryRules::default(), &mut full_budget())
+fn decide_with_full_budget(failed_attempt: &FailedAttempt) -> RetryDecision {
+    decide_retry(failed_attempt, &RetryPolicy::default(), &mut full_budget())
 }
 
-fn is_retried(failure: &Failure) -> bool {
-    matches!(next(failure), NextStep::Retry { .. })
+fn is_retried(failed_attempt: &FailedAttempt) -> bool {
+    matches!(decide_with_full_budget(failed_attempt), RetryDecision::Retry { .. })
 }
 
 // A non-idempotent request is executed twice if it is retried after its response was lost. It must be given up if
 // any of its attempts may have run, whatever the kind of failure.
 #[test]
 fn non_idempotent_request_that_may_have_run_is_never_retried() {
-    for reach in STATUSES {
-        for earlier in STATUSES {
-            for announced in [false, true] {
+    for status in STATUSES {
+        for earlier_status in STATUSES {
+            for server_was_leaving in [false, true] {
                 let execution = Execution::NonIdempotent;
-                let failed = Failure { reach, earlier, execution, announced, ..failure() };
-                let may_have_run = [reach, earlier].contains(&FailureReach::MayHaveRun);
-                assert_eq!(is_retried(&failed), !may_have_run, "{failed:?}");
+                let attempt = FailedAttempt {
+                    status,
+                    earlier_status,
+                    execution,
+                    server_was_leaving,
+                    ..failed_attempt()
+                };
+                let may_have_run = [status, earlier_status].contains(&ExecutionStatus::MayHaveRun);
+                assert_eq!(is_retried(&attempt), !may_have_run, "{attempt:?}");
             }
         }
     }
@@ -57,12 +65,18 @@
 // twice, so the outcome must cover all attempts and not only the last one.
 #[test]
 fn outcome_covers_earlier_attempts() {
-    for reach in STATUSES {
-        for earlier in STATUSES {
-            let failed = Failure { reach, earlier, attempts: 99, ..failure() };
-            let not_run = reach == FailureReach::NotRun && earlier == FailureReach::NotRun;
+    for status in STATUSES {
+        for earlier_status in STATUSES {
+            let attempt =
+                FailedAttempt { status, earlier_status, attempts: 99, ..failed_attempt() };
+            let not_run =
+                status == ExecutionStatus::NotRun && earlier_status == ExecutionStatus::NotRun;
             let outcome = if not_run { Outcome::NotRun } else { Outcome::MayHaveRun };
-            assert_eq!(next(&failed), NextStep::GiveUp { outcome }, "{failed:?}");
+            assert_eq!(
+                decide_with_full_budget(&attempt),
+                RetryDecision::GiveUp { outcome },
+                "{attempt:?}"
+            );
         }
     }
 }
@@ -71,17 +85,17 @@
 // out of the budget, and an empty budget must prevent retries.
 #[test]
 fn retry_is_charged_to_the_budget() {
-    let rules = RetryRules::default();
+    let policy = RetryPolicy::default();
     let mut budget = RetryBudget::default();
     assert_eq!(
-        decide(&failure(), &rules, &mut budget),
-        NextStep::GiveUp { outcome: Outcome::NotRun }
+        decide_retry(&failed_attempt(), &policy, &mut budget),
+        RetryDecision::GiveUp { outcome: Outcome::NotRun }
     );
     for _ in 0..20 {
-        budget.earn();
+        budget.deposit();
     }
     let retried = |budget: &mut RetryBudget| {
-        matches!(decide(&failure(), &rules, budget), NextStep::Retry { .. })
+        matches!(decide_retry(&failed_attempt(), &policy, budget), RetryDecision::Retry { .. })
     };
     assert_eq!([(); 3].map(|()| retried(&mut budget)), [true, true, false]);
 }
@@ -90,45 +104,54 @@
 // Failures of a server known to be leaving must not be charged to it, and have their own limit of attempts.
 #[test]
 fn failure_of_a_leaving_server_is_not_charged_to_the_budget() {
-    let rules = RetryRules::default();
-    let mut none = RetryBudget::default();
+    let policy = RetryPolicy::default();
+    let mut empty_budget = RetryBudget::default();
     for attempts in 1..20 {
-        let failed = Failure { announced: true, attempts, ..failure() };
-        let step = decide(&failed, &rules, &mut none);
-        let is_retried = matches!(step, NextStep::Retry { .. });
-        assert_eq!(is_retried, attempts < rules.max_announced, "{attempts}");
+        let attempt = FailedAttempt { server_was_leaving: true, attempts, ..failed_attempt() };
+        let step = decide_retry(&attempt, &policy, &mut empty_budget);
+        let is_retried = matches!(step, RetryDecision::Retry { .. });
+        assert_eq!(is_retried, attempts < policy.max_attempts_when_leaving, "{attempts}");
     }
     let mut budget = full_budget();
     let before = budget;
-    decide(&Failure { announced: true, ..failure() }, &rules, &mut budget);
+    decide_retry(
+        &FailedAttempt { server_was_leaving: true, ..failed_attempt() },
+        &policy,
+        &mut budget,
+    );
     assert_eq!(budget, before);
 }
 
 #[test]
 fn gives_up_after_max_attempts() {
-    let retried_after = |attempts| is_retried(&Failure { attempts, ..failure() });
+    let retried_after = |attempts| is_retried(&FailedAttempt { attempts, ..failed_attempt() });
     assert_eq!([1, 2, 3, 4, 5].map(retried_after), [true, true, true, false, false]);
 }
 
 // A caller waits in vain for an attempt that can't finish before the deadline. Such a request is given up immediately.
 #[test]
 fn gives_up_when_a_retry_would_miss_the_deadline() {
-    let with_time_left = |millis| Failure { left: Duration::from_millis(millis), ..failure() };
+    let with_time_left =
+        |millis| FailedAttempt { time_left: Duration::from_millis(millis), ..failed_attempt() };
     assert!(is_retried(&with_time_left(110)));
     assert!(!is_retried(&with_time_left(109)));
     let mut budget = full_budget();
     let before = budget;
-    decide(&with_time_left(109), &RetryRules::default(), &mut budget);
+    decide_retry(&with_time_left(109), &RetryPolicy::default(), &mut budget);
     assert_eq!(budget, before, "giving up must not be charged to the budget");
 }
 
 #[test]
 fn backoff_doubles_up_to_a_limit() {
     let backoff = |attempts| {
-        let rules = RetryRules { max_attempts: 100, ..RetryRules::default() };
-        match decide(&Failure { attempts, ..failure() }, &rules, &mut full_budget()) {
-            NextStep::Retry { after } => after.as_millis(),
-            NextStep::GiveUp { .. } => 0,
+        let policy = RetryPolicy { max_attempts: 100, ..RetryPolicy::default() };
+        match decide_retry(
+            &FailedAttempt { attempts, ..failed_attempt() },
+            &policy,
+            &mut full_budget(),
+        ) {
+            RetryDecision::Retry { after } => after.as_millis(),
+            RetryDecision::GiveUp { .. } => 0,
         }
     };
     assert_eq!([1, 2, 3, 6, 7, 60].map(backoff), [10, 20, 40, 320, 320, 320]);
@@ -137,5 +160,5 @@
 #[test]
 fn budget_holds_at_most_ten_retries() {
     let mut budget = full_budget();
-    assert_eq!((0..50).filter(|_| budget.spend()).count(), 10);
+    assert_eq!((0..50).filter(|_| budget.try_spend()).count(), 10);
 }
--- a/crates/quincevalve_routing/src/policy.rs
+++ b/crates/quincevalve_routing/src/policy.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::{Ask, server::Server};
+use crate::{RoutingRequest, server::Server};
 
 /// Server that a policy evaluates for one request.
 #[derive(Clone, Copy, Debug)]
@@ -22,7 +22,7 @@
     }
 
     /// Returns the number of running requests from the server's last load report.
-    pub fn reported(&self) -> u32 {
+    pub fn reported_running(&self) -> u32 {
         self.server.report.running
     }
 
@@ -35,9 +35,10 @@
     ///
     /// The queued prompt tokens and the request's own pass the prefill first. If all slots are in use, the
     /// request also waits for a slot.
-    pub fn predicted_first_token(&self, ask: &Ask<'_>) -> Duration {
+    pub fn predicted_first_token(&self, request: &RoutingRequest<'_>) -> Duration {
         let spec = &self.server.spec;
-        let uncached_tokens = if self.cached { ask.prompt_tokens / 8 } else { ask.prompt_tokens };
+        let uncached_tokens =
+            if self.cached { request.prompt_tokens / 8 } else { request.prompt_tokens };
         let prefill = (f64::from(uncached_tokens) + self.server.estimated_queued_tokens())
             / f64::from(spec.prefill_tokens_per_s);
         let slots = f64::from(spec.slots);
@@ -48,7 +49,7 @@
     }
 
     /// Returns the estimated fraction of the server's slots in use; above 1 if requests wait.
-    pub fn fill(&self) -> f64 {
+    pub fn utilization(&self) -> f64 {
         self.server.utilization()
     }
 
@@ -74,13 +75,13 @@
 /// Assigns costs to candidates; the router chooses the lowest cost.
 pub trait Policy {
     /// Returns the cost of sending the request to `candidate`, comparable only within one decision.
-    fn cost(&self, ask: &Ask<'_>, candidate: &Candidate<'_>) -> f64;
+    fn cost(&self, request: &RoutingRequest<'_>, candidate: &Candidate<'_>) -> f64;
 
     /// Whether the policy evaluates the whole pool instead of a few candidates.
     const SCANS_ALL: bool;
 
     /// Whether bulk requests wait while servers are highly utilized.
-    const HOLDS_BULK: bool;
+    const DEFERS_BULK: bool;
 }
 
 /// Chooses the lowest predicted time to first token among a few candidates.
@@ -89,17 +90,17 @@
 
 impl Policy for PredictedFirstToken {
     const SCANS_ALL: bool = false;
-    const HOLDS_BULK: bool = true;
+    const DEFERS_BULK: bool = true;
 
-    fn cost(&self, ask: &Ask<'_>, candidate: &Candidate<'_>) -> f64 {
-        let predicted = candidate.predicted_first_token(ask).as_secs_f64();
+    fn cost(&self, request: &RoutingRequest<'_>, candidate: &Candidate<'_>) -> f64 {
+        let predicted = candidate.predicted_first_token(request).as_secs_f64();
         // Losing long-running work costs the most, so bulk requests prefer servers that can't be reclaimed
         // if the predicted times are similar.
-        let reclaim_risk = match ask.urgency {
+        let reclaim_risk = match request.urgency {
             crate::Urgency::Bulk if candidate.is_reclaimable() => RECLAIM_RISK_SECONDS,
             _ => 0.0,
         };
-        predicted + reclaim_risk + candidate.fill() * UTILIZATION_COST_SECONDS
+        predicted + reclaim_risk + candidate.utilization() * UTILIZATION_COST_SECONDS
     }
 }
 
@@ -115,9 +116,9 @@
 
 impl Policy for LeastOutstanding {
     const SCANS_ALL: bool = true;
-    const HOLDS_BULK: bool = false;
+    const DEFERS_BULK: bool = false;
 
-    fn cost(&self, _ask: &Ask<'_>, candidate: &Candidate<'_>) -> f64 {
+    fn cost(&self, _request: &RoutingRequest<'_>, candidate: &Candidate<'_>) -> f64 {
         f64::from(candidate.outstanding())
     }
 }
--- a/crates/quincevalve_routing/src/router.rs
+++ b/crates/quincevalve_routing/src/router.rs
@@ -9,7 +9,7 @@
 use snafu::Snafu;
 
 use crate::{
-    Ask, LeavingEvidence, LoadReport, PoolKey, ServerIndex, ServerSpec, Target, Urgency,
+    LeavingEvidence, LoadReport, PoolKey, RoutingRequest, ServerIndex, ServerSpec, Target, Urgency,
     cache_hints::CacheHints,
     policy::{Candidate, Policy},
     pool::Pool,
@@ -28,16 +28,20 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RouterSettings {
     /// Utilization above which bulk requests wait, so that slots remain for interactive requests.
-    pub bulk_fill: f64,
+    pub max_bulk_utilization: f64,
     /// Utilization of the cheapest local server above which servers in other data centres are considered.
-    pub spill_fill: f64,
+    pub spill_utilization: f64,
     /// Duration of a server's ejection after its first failure; doubles with each consecutive failure.
-    pub shun: Duration,
+    pub base_ejection_time: Duration,
 }
 
 impl Default for RouterSettings {
     fn default() -> Self {
-        Self { bulk_fill: 0.9, spill_fill: 1.5, shun: Duration::from_millis(500) }
+        Self {
+            max_bulk_utilization: 0.9,
+            spill_utilization: 1.5,
+            base_ejection_time: Duration::from_millis(500),
+        }
     }
 }
 
@@ -47,7 +51,7 @@
     /// Selected server.
     pub server: ServerIndex,
     /// Predicted time to first token.
-    pub first_token: Duration,
+    pub predicted_first_token: Duration,
 }
 
 /// Reason why no server can take a request now.
@@ -71,7 +75,7 @@
 /// ```
 /// use std::time::Duration;
 /// use quincevalve_names::TimePoint;
-/// use quincevalve_routing::{Ask, PredictedFirstToken, Router, ServerSpec, Target, Urgency};
+/// use quincevalve_routing::{RoutingRequest, PredictedFirstToken, Router, ServerSpec, Target, Urgency};
 ///
 /// let pool = Target::Model("dossier".into());
 /// let mut router = Router::new(PredictedFirstToken, 7);
@@ -85,7 +89,7 @@
 ///     reclaimable: true,
 ///     drained: false,
 /// });
-/// let ask = Ask {
+/// let request = RoutingRequest {
 ///     now: TimePoint::ZERO,
 ///     pool: &pool,
 ///     data_centre: &"perth-a".into(),
@@ -94,7 +98,7 @@
 ///     urgency: Urgency::Interactive,
 ///     tried: &[],
 /// };
-/// let choice = router.choose(&ask).unwrap();
+/// let choice = router.choose(&request).unwrap();
 /// assert_eq!(router.name(choice.server).as_str(), "perth-1");
 /// ```
 #[derive(Clone, Debug)]
@@ -163,21 +167,21 @@
         }
     }
 
-    /// Selects a server without recording the request; call [`Router::sent`] when the request is sent.
-    pub fn choose(&mut self, ask: &Ask<'_>) -> Result<Choice, NoServer> {
+    /// Selects a server without recording the request; call [`Router::record_sent`] when the request is sent.
+    pub fn choose(&mut self, request: &RoutingRequest<'_>) -> Result<Choice, NoServer> {
         let draws = self.rng.random();
-        let pool = self.pools.get(ask.pool).ok_or(NoServer::Unknown)?;
-        let local = pool.servers_in(ask.data_centre);
-        let best = self.cheapest_candidate(ask, local, draws);
-        if P::HOLDS_BULK && ask.urgency == Urgency::Bulk {
-            return self.choose_bulk(ask, best, draws);
+        let pool = self.pools.get(request.pool).ok_or(NoServer::Unknown)?;
+        let local = pool.servers_in(request.data_centre);
+        let best = self.cheapest_candidate(request, local, draws);
+        if P::DEFERS_BULK && request.urgency == Urgency::Bulk {
+            return self.choose_bulk(request, best, draws);
         }
         if let Some((index, _)) = best
-            && self.servers[index.0 as usize].utilization() <= self.settings.spill_fill
+            && self.servers[index.0 as usize].utilization() <= self.settings.spill_utilization
         {
-            return Ok(self.choice(ask, index));
+            return Ok(self.choice(request, index));
         }
-        self.spill(ask, best).ok_or(NoServer::Unavailable)
+        self.spill(request, best).ok_or(NoServer::Unavailable)
     }
 
     /// Selects a server for bulk work only if enough of its slots stay free.
@@ -186,53 +190,58 @@
     /// have to be larger. Bulk work tolerates delay, so it waits for a server below the utilization limit.
     fn choose_bulk(
         &mut self,
-        ask: &Ask<'_>,
+        request: &RoutingRequest<'_>,
         local: Option<(ServerIndex, f64)>,
         draws: Draws,
     ) -> Result<Choice, NoServer> {
-        let is_below_limit =
-            |it: &ServerIndex| self.servers[it.0 as usize].utilization() <= self.settings.bulk_fill;
+        let is_below_limit = |it: &ServerIndex| {
+            self.servers[it.0 as usize].utilization() <= self.settings.max_bulk_utilization
+        };
         if let Some((index, _)) = local.filter(|it| is_below_limit(&it.0)) {
-            return Ok(self.choice(ask, index));
+            return Ok(self.choice(request, index));
         }
-        let pool = self.pools.get(ask.pool).ok_or(NoServer::Unknown)?;
+        let pool = self.pools.get(request.pool).ok_or(NoServer::Unknown)?;
         let (before, after) = {
-            let all = pool.servers_in(ask.data_centre);
+            let all = pool.servers_in(request.data_centre);
             all.split_at(scale_to_index(draws[1], all.len()))
         };
         let anywhere = after.iter().chain(before).copied();
-        let found = anywhere.filter(|it| self.is_usable(ask, *it)).find(is_below_limit);
+        let found = anywhere.filter(|it| self.is_usable(request, *it)).find(is_below_limit);
         match (found, local) {
-            (Some(index), _) => Ok(self.choice(ask, index)),
+            (Some(index), _) => Ok(self.choice(request, index)),
             (None, Some(_)) => Err(NoServer::Busy),
-            (None, None) => self.spill(ask, None).ok_or(NoServer::Unavailable),
+            (None, None) => self.spill(request, None).ok_or(NoServer::Unavailable),
         }
     }
 
     /// Considers other data centres, and selects the local server unless a remote one is cheaper.
-    fn spill(&mut self, ask: &Ask<'_>, local: Option<(ServerIndex, f64)>) -> Option<Choice> {
+    fn spill(
+        &mut self,
+        request: &RoutingRequest<'_>,
+        local: Option<(ServerIndex, f64)>,
+    ) -> Option<Choice> {
         let draws = self.rng.random();
-        let pool = self.pools.get(ask.pool)?;
-        let others = pool.data_centres().iter().filter(|it| *it != ask.data_centre);
+        let pool = self.pools.get(request.pool)?;
+        let others = pool.data_centres().iter().filter(|it| *it != request.data_centre);
         let remote = others
-            .filter_map(|it| self.cheapest_candidate(ask, pool.servers_in(it), draws))
+            .filter_map(|it| self.cheapest_candidate(request, pool.servers_in(it), draws))
             .min_by(|left, right| left.1.total_cmp(&right.1));
         let (index, _) = match (local, remote) {
             (Some(local), Some(remote)) if remote.1 + MIN_SPILL_GAIN_SECONDS < local.1 => remote,
             (Some(local), _) => local,
             (None, remote) => remote?,
         };
-        Some(self.choice(ask, index))
+        Some(self.choice(request, index))
     }
 
-    fn choice(&self, ask: &Ask<'_>, server: ServerIndex) -> Choice {
-        let first_token = self.candidate(ask, server).predicted_first_token(ask);
-        Choice { server, first_token }
+    fn choice(&self, request: &RoutingRequest<'_>, server: ServerIndex) -> Choice {
+        let predicted_first_token = self.candidate(request, server).predicted_first_token(request);
+        Choice { server, predicted_first_token }
     }
 
     fn cheapest_candidate(
         &self,
-        ask: &Ask<'_>,
+        request: &RoutingRequest<'_>,
         pool: &[ServerIndex],
         draws: Draws,
     ) -> Option<(ServerIndex, f64)> {
@@ -240,25 +249,25 @@
             // Starts at a random position, so that routers don't all break ties in the same order.
             let (before, after) = pool.split_at(scale_to_index(draws[0], pool.len()));
             let all = after.iter().chain(before).copied();
-            return self.cheapest(ask, all.filter(|it| self.is_usable(ask, *it)));
+            return self.cheapest(request, all.filter(|it| self.is_usable(request, *it)));
         }
-        let affinity_candidates = self.affinity_candidates(ask, pool, draws[0]);
-        let random = draws.map(|it| self.random_candidate(ask, pool, it));
+        let affinity_candidates = self.affinity_candidates(request, pool, draws[0]);
+        let random = draws.map(|it| self.random_candidate(request, pool, it));
         let sampled = affinity_candidates.into_iter().chain(random).flatten();
         // If all sampled servers are unusable, scans the pool so that a usable server is always found.
-        self.cheapest(ask, sampled).or_else(|| {
-            let usable = pool.iter().copied().filter(|it| self.is_usable(ask, *it));
-            self.cheapest(ask, usable)
+        self.cheapest(request, sampled).or_else(|| {
+            let usable = pool.iter().copied().filter(|it| self.is_usable(request, *it));
+            self.cheapest(request, usable)
         })
     }
 
     fn cheapest(
         &self,
-        ask: &Ask<'_>,
+        request: &RoutingRequest<'_>,
         servers: impl Iterator<Item = ServerIndex>,
     ) -> Option<(ServerIndex, f64)> {
         servers
-            .map(|it| (it, self.policy.cost(ask, &self.candidate(ask, it))))
+            .map(|it| (it, self.policy.cost(request, &self.candidate(request, it))))
             .min_by(|left, right| left.1.total_cmp(&right.1))
     }
 
@@ -269,54 +278,66 @@
     /// server takes the request, so a frequently used prefix is spread evenly over its servers.
     fn affinity_candidates(
         &self,
-        ask: &Ask<'_>,
+        request: &RoutingRequest<'_>,
         pool: &[ServerIndex],
         draw: u32,
     ) -> [Option<ServerIndex>; AFFINITY_CANDIDATES] {
-        let replica_count = self.replica_count(ask, pool);
+        let replica_count = self.replica_count(request, pool);
         let first = scale_to_index(draw, replica_count);
         let second =
             (first + 1 + scale_to_index(draw.rotate_left(16), replica_count - 1)) % replica_count;
-        [first, second].map(|it| self.replica(ask, pool, it as u64))
+        [first, second].map(|it| self.replica(request, pool, it as u64))
     }
 
     /// Returns the number of servers that cache a prefix: its estimated concurrent requests from all
     /// routers, extrapolated from this router's own rate, divided by half of a server's slots.
-    fn replica_count(&self, ask: &Ask<'_>, pool: &[ServerIndex]) -> usize {
-        let rate = f64::from(self.hints.rate(ask.prefix)) * f64::from(self.routers);
+    fn replica_count(&self, request: &RoutingRequest<'_>, pool: &[ServerIndex]) -> usize {
+        let rate = f64::from(self.hints.rate(request.prefix)) * f64::from(self.routers);
         let slots = pool.first().map_or(1, |it| self.servers[it.0 as usize].spec.slots);
         let servers = rate * SLOT_SECONDS / (f64::from(slots) * MAX_PREFIX_UTILIZATION);
         (servers.ceil() as usize).clamp(AFFINITY_CANDIDATES, pool.len().max(AFFINITY_CANDIDATES))
     }
 
-    fn replica(&self, ask: &Ask<'_>, pool: &[ServerIndex], number: u64) -> Option<ServerIndex> {
-        let key = mix(ask.prefix, number);
-        let scored = pool.iter().copied().filter(|it| self.is_usable(ask, *it));
+    fn replica(
+        &self,
+        request: &RoutingRequest<'_>,
+        pool: &[ServerIndex],
+        number: u64,
+    ) -> Option<ServerIndex> {
+        let key = mix(request.prefix, number);
+        let scored = pool.iter().copied().filter(|it| self.is_usable(request, *it));
         scored.max_by_key(|it| rendezvous_score(key, self.servers[it.0 as usize].hash))
     }
 
     fn random_candidate(
         &self,
-        ask: &Ask<'_>,
+        request: &RoutingRequest<'_>,
         pool: &[ServerIndex],
         draw: u32,
     ) -> Option<ServerIndex> {
         // An empty pool has no index 0.
         let index = *pool.get(scale_to_index(draw, pool.len()))?;
-        self.is_usable(ask, index).then_some(index)
+        self.is_usable(request, index).then_some(index)
     }
 
-    fn is_usable(&self, ask: &Ask<'_>, index: ServerIndex) -> bool {
-        self.servers[index.0 as usize].accepts_requests(ask.now) && !ask.tried.contains(&index)
+    fn is_usable(&self, request: &RoutingRequest<'_>, index: ServerIndex) -> bool {
+        self.servers[index.0 as usize].accepts_requests(request.now)
+            && !request.tried.contains(&index)
     }
 
-    fn candidate(&self, ask: &Ask<'_>, index: ServerIndex) -> Candidate<'_> {
-        let cached = self.hints.holders(ask.prefix).any(|it| it == index);
+    fn candidate(&self, request: &RoutingRequest<'_>, index: ServerIndex) -> Candidate<'_> {
+        let cached = self.hints.holders(request.prefix).any(|it| it == index);
         Candidate::new(&self.servers[index.0 as usize], cached)
     }
 
     /// Records that a request was sent to `server`.
-    pub fn sent(&mut self, now: TimePoint, server: ServerIndex, prefix: u64, prompt_tokens: u32) {
+    pub fn record_sent(
+        &mut self,
+        now: TimePoint,
+        server: ServerIndex,
+        prefix: u64,
+        prompt_tokens: u32,
+    ) {
         let entry = &mut self.servers[server.0 as usize];
         entry.outstanding += 1;
         entry.outstanding_prompt += prompt_tokens;
@@ -325,32 +346,32 @@
     }
 
     /// Records that the prompt left the prefill: the first token arrived, or the request ended before it.
-    pub fn prompt_done(&mut self, server: ServerIndex, prompt_tokens: u32) {
+    pub fn record_prefill_finished(&mut self, server: ServerIndex, prompt_tokens: u32) {
         let entry = &mut self.servers[server.0 as usize];
         entry.outstanding_prompt = entry.outstanding_prompt.saturating_sub(prompt_tokens);
     }
 
     /// Records that a request on `server` ended, with any result.
-    pub fn done(&mut self, server: ServerIndex) {
+    pub fn record_finished(&mut self, server: ServerIndex) {
         let entry = &mut self.servers[server.0 as usize];
         entry.outstanding = entry.outstanding.saturating_sub(1);
     }
 
     /// Records a successful response, which resets the server's consecutive failures.
-    pub fn succeeded(&mut self, server: ServerIndex) {
+    pub fn record_success(&mut self, server: ServerIndex) {
         self.servers[server.0 as usize].failures = 0;
     }
 
     /// Records a failure and ejects the server for a time that doubles with each consecutive failure.
-    pub fn failed(&mut self, now: TimePoint, server: ServerIndex) {
-        let shun = self.settings.shun;
+    pub fn record_failure(&mut self, now: TimePoint, server: ServerIndex) {
+        let base = self.settings.base_ejection_time;
         let entry = &mut self.servers[server.0 as usize];
-        entry.ejected_until = now + shun * (1 << entry.failures.min(MAX_DOUBLINGS));
+        entry.ejected_until = now + base * (1 << entry.failures.min(MAX_DOUBLINGS));
         entry.failures += 1;
     }
 
     /// Applies a load report unless a newer one has been received.
-    pub fn reported(&mut self, server: ServerIndex, report: LoadReport) {
+    pub fn update_load(&mut self, server: ServerIndex, report: LoadReport) {
         let entry = &mut self.servers[server.0 as usize];
         if report.at >= entry.report.at {
             entry.update_load(report);
@@ -358,7 +379,7 @@
     }
 
     /// Applies a cache event: `server` caches the prefix, or evicted it.
-    pub fn cached(&mut self, server: ServerIndex, prefix: u64, holds: bool) {
+    pub fn update_cache_hint(&mut self, server: ServerIndex, prefix: u64, holds: bool) {
         if holds {
             self.hints.insert(prefix, server);
         } else {
@@ -369,7 +390,7 @@
     /// Records evidence that a server is leaving. It gets no new requests from then on.
     ///
     /// `None` means the current incarnation.
-    pub fn leaving(
+    pub fn mark_leaving(
         &mut self,
         server: ServerIndex,
         incarnation: Option<Incarnation>,
@@ -379,7 +400,7 @@
     }
 
     /// Records that an incarnation of a server is live. Only a higher incarnation clears the leaving state.
-    pub fn live(&mut self, server: ServerIndex, incarnation: Incarnation) {
+    pub fn mark_live(&mut self, server: ServerIndex, incarnation: Incarnation) {
         self.servers[server.0 as usize].leaving.record_live(incarnation);
     }
 
@@ -414,7 +435,7 @@
     }
 
     /// Returns the total slots of a target's servers in a data centre that accept requests now.
-    pub fn slots(
+    pub fn available_slots(
         &self,
         now: TimePoint,
         target: &Target,
--- a/crates/quincevalve_routing/src/ask.rs
+++ b/crates/quincevalve_routing/src/routing_request.rs
@@ -15,7 +15,7 @@
 
 /// Input of one routing decision. All fields are borrowed or `Copy`, so building it allocates nothing.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask<'a> {
+pub struct RoutingRequest<'a> {
     /// Current time.
     pub now: TimePoint,
     /// Pool of servers that can process the request.
--- a/crates/quincevalve_routing/tests/properties.rs
+++ b/crates/quincevalve_routing/tests/properties.rs
@@ -5,8 +5,8 @@
 use proptest::prelude::*;
 use quincevalve_names::{DataCentreName, Incarnation, TimePoint};
 use quincevalve_routing::{
-    Ask, LeavingEvidence, LoadReport, NoServer, PredictedFirstToken, Router, ServerIndex,
-    ServerSpec, Target, Urgency,
+    LeavingEvidence, LoadReport, NoServer, PredictedFirstToken, Router, RoutingRequest,
+    ServerIndex, ServerSpec, Target, Urgency,
 };
 
 const DATA_CENTRES: u32 = 3;
@@ -69,21 +69,21 @@
             match step {
                 Step::Leave(it) if it < servers => {
                     let evidence = LeavingEvidence::Notice;
-                    router.leaving(ServerIndex(it), None, evidence);
-                    router.live(ServerIndex(it), Incarnation(0));
+                    router.mark_leaving(ServerIndex(it), None, evidence);
+                    router.mark_live(ServerIndex(it), Incarnation(0));
                     unusable[it as usize] = true;
                 }
                 Step::Fail(it) if it < servers => {
-                    router.failed(now, ServerIndex(it));
+                    router.record_failure(now, ServerIndex(it));
                     unusable[it as usize] = true;
                 }
                 Step::Report { server, running } if server < servers => {
                     let report = LoadReport { at: now, running, queued_tokens: running * 100 };
-                    router.reported(ServerIndex(server), report);
+                    router.update_load(ServerIndex(server), report);
                 }
                 Step::Choose { prefix, data_centre: local, bulk, tried } => {
                     let tried = [ServerIndex(tried)];
-                    let ask = Ask {
+                    let request = RoutingRequest {
                         now,
                         pool: &pool,
                         data_centre: &data_centre(local),
@@ -95,11 +95,11 @@
                     let usable = (0..servers)
                         .filter(|it| !unusable[*it as usize] && *it != tried[0].0)
                         .count();
-                    match router.choose(&ask) {
+                    match router.choose(&request) {
                         Ok(choice) => {
                             prop_assert!(!unusable[choice.server.0 as usize]);
                             prop_assert_ne!(choice.server, tried[0]);
-                            router.sent(now, choice.server, prefix, 100);
+                            router.record_sent(now, choice.server, prefix, 100);
                         }
                         Err(NoServer::Busy) => prop_assert!(bulk && usable > 0),
                         Err(NoServer::Unavailable) => prop_assert_eq!(usable, 0),
