--- a/crates/quincevalve_control/src/change.rs
+++ b/crates/quincevalve_control/src/change.rs
@@ -107,7 +107,7 @@
 pub(crate) fn check(text: &str) -> Result<Inventory, Vec<String>> {
     read_inventory("content", text, Format::Json).map_err(|error| match error {
         ReadError::Syntax { problem, .. } => vec![problem],
-        ReadError::Refused { findings, .. } => findings.iter().map(Finding::to_string).collect(),
+        ReadError::Invalid { findings, .. } => findings.iter().map(Finding::to_string).collect(),
     })
 }
 
--- a/crates/quincevalve_control/src/local_service.rs
+++ b/crates/quincevalve_control/src/local_service.rs
@@ -26,7 +26,7 @@
             // The sender lives as long as this service.
             let _ = states.wait_for(|it| it.version != version || it.revision() > has).await;
         };
-        self.shared.clock.timer().within(wait, news).await;
+        self.shared.clock.timer().timeout(wait, news).await;
         let state = self.shared.state.borrow().clone();
         update(&state, has)
     }
--- a/crates/quincevalve_control/src/shared.rs
+++ b/crates/quincevalve_control/src/shared.rs
@@ -4,7 +4,7 @@
 
 use quincevalve_membership::{Member, Summary};
 use quincevalve_names::Revision;
-use quincevalve_peers::{Callers, ControlPeerClient, RevisionBlob};
+use quincevalve_peers::{ControlPeerClient, PeerClients, RevisionBlob};
 use quincevalve_ports::store::HttpStore;
 use tokio::sync::watch;
 
@@ -30,7 +30,7 @@
     pub(crate) settings: Arc<ControlSettings>,
     pub(crate) clock: Clock,
     pub(crate) store: HttpStore,
-    pub(crate) callers: Callers<ControlPeerClient>,
+    pub(crate) callers: PeerClients<ControlPeerClient>,
     pub(crate) state: watch::Sender<LocalState>,
 }
 
--- a/crates/quincevalve_control/src/start.rs
+++ b/crates/quincevalve_control/src/start.rs
@@ -10,7 +10,7 @@
 use quincevalve_membership::{Load, Member, MemberState, Membership};
 use quincevalve_names::{Incarnation, Revision, hash_text};
 use quincevalve_peers::{
-    BindError, Callers, ControlPeer, LocalControl, PeerListener, PeerSecurity, PeerTlsError,
+    BindError, ControlPeer, LocalControl, PeerClients, PeerListener, PeerSecurity, PeerTlsError,
 };
 use quincevalve_ports::{HttpClient, cloud::CloudClient, store::HttpStore};
 use quincevalve_timer::Timer;
@@ -121,7 +121,7 @@
     let own = settings.peer_listen.ip();
     let http = HttpClient::new(Some(own), CONNECT);
     let store = HttpStore::new(http, settings.platform, settings.pacing.platform());
-    let callers = Callers::new(security.clone(), Some(own), CONNECT);
+    let callers = PeerClients::new(security.clone(), Some(own), CONNECT);
     let state = watch::Sender::new(LocalState::default());
     Shared { settings: Arc::new(settings), clock, store, callers, state }
 }
--- a/crates/quincevalve_entry/src/control_link.rs
+++ b/crates/quincevalve_entry/src/control_link.rs
@@ -4,7 +4,7 @@
 
 use quincevalve_inventory::{Format, read_inventory};
 use quincevalve_names::Revision;
-use quincevalve_peers::{Callers, LocalControlClient, LocalUpdate, RevisionBlob};
+use quincevalve_peers::{LocalControlClient, LocalUpdate, PeerClients, RevisionBlob};
 use quincevalve_timer::Timer;
 use tokio::sync::watch;
 
@@ -26,7 +26,7 @@
 pub(crate) async fn follow(
     settings: EntrySettings,
     address: SocketAddr,
-    callers: Callers<LocalControlClient>,
+    callers: PeerClients<LocalControlClient>,
     timer: Timer,
     feeds: Feeds,
 ) {
@@ -83,7 +83,7 @@
 pub(crate) async fn report(
     shared: Arc<Shared>,
     address: SocketAddr,
-    callers: Callers<LocalControlClient>,
+    callers: PeerClients<LocalControlClient>,
 ) {
     let mut ticks = shared.timer.every(REPORT_PERIOD);
     while ticks.tick().await.is_some() {
--- a/crates/quincevalve_entry/src/filters/dispatch.rs
+++ b/crates/quincevalve_entry/src/filters/dispatch.rs
@@ -86,7 +86,7 @@
         let request = Arc::clone(&attempt.request);
         let progress = self.answer_limit(&request);
         let send = self.send(address, &request, &attempt);
-        let answer = self.shared.timer.within(progress, send).await;
+        let answer = self.shared.timer.timeout(progress, send).await;
         match answer {
             Some(Ok(response)) if response.status().is_success() => {
                 Ok(Dispatched { attempt, response, sent })
@@ -193,7 +193,7 @@
     async fn silent(&self, attempt: Attempt, sent: &Sent) -> Failed {
         let limit = self.shared.settings.pacing.probe();
         let http = self.shared.engines.http();
-        http.note_silent(sent.address);
+        http.mark_unresponsive(sent.address);
         if http.probe(sent.address, "/v1/load", limit).await {
             return ask_again(attempt, sent);
         }
--- a/crates/quincevalve_entry/src/filters/relay.rs
+++ b/crates/quincevalve_entry/src/filters/relay.rs
@@ -108,15 +108,15 @@
                 biased;
                 frame = body.frame() => Step::from(frame),
                 gone_at = announced.as_mut(), if leaving.is_due(&attempt) => Step::Leaving(gone_at),
-                () = watchdog.barked() => Step::Silent,
+                () = watchdog.expired() => Step::Silent,
             };
             match step {
                 Step::Bytes(bytes) => {
-                    watchdog.pat();
+                    watchdog.record_progress();
                     buffer.extend(&bytes);
                     let progress = take_events(&mut attempt, &mut buffer);
                     if self.note_first(&mut attempt, &mut sent) {
-                        watchdog.pat_with(pacing.token_progress());
+                        watchdog.record_progress_with_limit(pacing.token_progress());
                     }
                     match progress {
                         Progress::More => {}
@@ -185,7 +185,7 @@
     /// the answer, and reading on there computes nothing again.
     async fn lost(&self, mut attempt: Attempt, sent: &Sent, cause: Cause) -> Failed {
         if cause == Cause::Silent {
-            self.shared.engines.http().note_silent(sent.address);
+            self.shared.engines.http().mark_unresponsive(sent.address);
         }
         let limit = self.shared.settings.pacing.probe();
         let answers = self.shared.engines.http().probe(sent.address, "/v1/load", limit).await;
@@ -291,7 +291,7 @@
         let progress = Duration::from_millis(facts.map_or(MAX_PROGRESS_MS, |it| it.progress_ms));
         let mut began = false;
         loop {
-            match self.shared.timer.within(progress, body.frame()).await {
+            match self.shared.timer.timeout(progress, body.frame()).await {
                 Some(Some(Ok(frame))) => {
                     if !began {
                         began = true;
--- a/crates/quincevalve_entry/src/front.rs
+++ b/crates/quincevalve_entry/src/front.rs
@@ -243,7 +243,7 @@
     let progress = Duration::from_millis(limits.body_progress_ms);
     let mut bytes = BytesMut::new();
     loop {
-        let frame = shared.timer.within(progress, body.frame()).await;
+        let frame = shared.timer.timeout(progress, body.frame()).await;
         match frame.ok_or(RefusalKind::SlowBody)? {
             None => return Ok(bytes.freeze()),
             Some(Err(_)) => return Err(RefusalKind::BrokenBody),
--- a/crates/quincevalve_entry/src/hand_over.rs
+++ b/crates/quincevalve_entry/src/hand_over.rs
@@ -67,7 +67,7 @@
         // A call that was sent and may not be repeated ends here or nowhere.
         return;
     }
-    let taken = shared.timer.within(RIGHT_LIMIT, known.answer.take_right()).await;
+    let taken = shared.timer.timeout(RIGHT_LIMIT, known.answer.take_right()).await;
     if taken != Some(true) {
         return;
     }
--- a/crates/quincevalve_entry/src/peer_service.rs
+++ b/crates/quincevalve_entry/src/peer_service.rs
@@ -50,7 +50,7 @@
         }
         let known = self.shared.answers.find(id)?;
         let wait = Duration::from_millis(u64::from(wait_ms));
-        let page = self.shared.timer.within(wait, next_page(&known, from)).await;
+        let page = self.shared.timer.timeout(wait, next_page(&known, from)).await;
         Some(page.unwrap_or_else(|| known.answer.read(|it| page_of(&known, it, from))))
     }
 }
--- a/crates/quincevalve_entry/src/shared.rs
+++ b/crates/quincevalve_entry/src/shared.rs
@@ -7,7 +7,7 @@
 
 use quincevalve_ledger::ClaimDesk;
 use quincevalve_names::{HomeTag, RequestId};
-use quincevalve_peers::{Callers, EntryPeerClient};
+use quincevalve_peers::{EntryPeerClient, PeerClients};
 use quincevalve_ports::{engine::EngineClient, store::HttpStore};
 use quincevalve_program::Metrics;
 use quincevalve_recovery::{HandOverId, HandOverReceiver};
@@ -40,7 +40,7 @@
     pub(crate) leaving: AtomicBool,
     pub(crate) refusing: AtomicBool,
     pub(crate) peers: watch::Receiver<Arc<Peers>>,
-    pub(crate) callers: Callers<EntryPeerClient>,
+    pub(crate) callers: PeerClients<EntryPeerClient>,
     pub(crate) claims: ClaimDesk<HttpStore>,
     pub(crate) receiver: Mutex<HandOverReceiver>,
     pub(crate) next_hand_over: AtomicU64,
--- a/crates/quincevalve_entry/src/start.rs
+++ b/crates/quincevalve_entry/src/start.rs
@@ -13,7 +13,9 @@
 use quincevalve_inventory::{Format, ReadError, read_inventory};
 use quincevalve_ledger::ClaimDesk;
 use quincevalve_names::hash_text;
-use quincevalve_peers::{BindError, Callers, EntryPeer, PeerListener, PeerSecurity, PeerTlsError};
+use quincevalve_peers::{
+    BindError, EntryPeer, PeerClients, PeerListener, PeerSecurity, PeerTlsError,
+};
 use quincevalve_ports::{HttpClient, engine::EngineClient, store::HttpStore};
 use quincevalve_program::{Metrics, MetricsError};
 use quincevalve_retries::{HedgeClock, RetryBudget};
@@ -145,7 +147,7 @@
         let settings = shared.settings.clone();
         let Some(address) = settings.control else { return };
         let local = Some(settings.peer_listen.ip());
-        let callers = Callers::new(security.clone(), local, settings.pacing.connect());
+        let callers = PeerClients::new(security.clone(), local, settings.pacing.connect());
         tokio::spawn(control_link::report(Arc::clone(shared), address, callers.clone()));
         let timer = shared.timer.clone();
         tokio::spawn(control_link::follow(settings, address, callers, timer, feeds));
@@ -214,7 +216,7 @@
     let claims = ClaimDesk::new(store, timer.clone(), writer, settings.ledger.into());
     let local = Some(settings.peer_listen.ip());
     Shared {
-        callers: Callers::new(security, local, settings.pacing.connect()),
+        callers: PeerClients::new(security, local, settings.pacing.connect()),
         claims,
         peers,
         receiver: Mutex::default(),
--- a/crates/quincevalve_forwarding/src/servers.rs
+++ b/crates/quincevalve_forwarding/src/servers.rs
@@ -153,7 +153,7 @@
         let leaving = self.update_leaving(report.leaving);
         let report_is_older = |at: TimePoint| now.since(at) <= report.age;
         let limit = !self.limit_stated_at.is_some_and(report_is_older)
-            && self.update_limit(report.limit, now.earlier_by(report.age));
+            && self.update_limit(report.limit, now.saturating_sub(report.age));
         SignalUpdate { limit, leaving }
     }
 
--- a/crates/quincevalve_inventory/src/read.rs
+++ b/crates/quincevalve_inventory/src/read.rs
@@ -29,7 +29,7 @@
     },
     /// The whole was read and checks found faults in it.
     #[snafu(display("{}", display_findings(file, findings)))]
-    Refused {
+    Invalid {
         /// The file, as the operator named it.
         file: String,
         /// Every fault found, not only the first.
@@ -63,5 +63,5 @@
     if findings.is_empty() {
         return Ok(inventory);
     }
-    Err(ReadError::Refused { file: file.to_owned(), findings })
+    Err(ReadError::Invalid { file: file.to_owned(), findings })
 }
--- a/crates/quincevalve_measure/src/experiments/peers.rs
+++ b/crates/quincevalve_measure/src/experiments/peers.rs
@@ -11,7 +11,7 @@
 use quincevalve_membership::{Load, Member, MemberState, Message};
 use quincevalve_names::{Incarnation, Revision};
 use quincevalve_peers::{
-    Callers, ControlPeer, ControlPeerClient, PeerListener, PeerSecurity, PeerTls, RevisionBlob,
+    ControlPeer, ControlPeerClient, PeerClients, PeerListener, PeerSecurity, PeerTls, RevisionBlob,
 };
 use tarpc::context::Context;
 
@@ -120,7 +120,7 @@
         });
     });
     let (address, answerer) = rx.recv().ok()?;
-    let callers: Callers<ControlPeerClient> = Callers::new(security, None, LIMIT);
+    let callers: PeerClients<ControlPeerClient> = PeerClients::new(security, None, LIMIT);
     let caller = this_task();
     let runtime = runtime()?;
     let (took, calling, answering) = runtime.block_on(async {
@@ -135,7 +135,7 @@
     Some(vec![name.to_owned(), CALLS.to_string(), each(calling), each(answering), each(took)])
 }
 
-async fn call(callers: &Callers<ControlPeerClient>, address: SocketAddr, count: u32) {
+async fn call(callers: &PeerClients<ControlPeerClient>, address: SocketAddr, count: u32) {
     for _ in 0..count {
         let message = message();
         let call = callers
--- a/crates/quincevalve_names/src/time_point.rs
+++ b/crates/quincevalve_names/src/time_point.rs
@@ -47,11 +47,11 @@
     /// use std::time::Duration;
     /// use quincevalve_names::TimePoint;
     /// let at = TimePoint::from_millis(5);
-    /// assert_eq!(at.earlier_by(Duration::from_millis(2)), TimePoint::from_millis(3));
-    /// assert_eq!(at.earlier_by(Duration::from_millis(9)), TimePoint::ZERO);
+    /// assert_eq!(at.saturating_sub(Duration::from_millis(2)), TimePoint::from_millis(3));
+    /// assert_eq!(at.saturating_sub(Duration::from_millis(9)), TimePoint::ZERO);
     /// ```
     #[must_use]
-    pub const fn earlier_by(self, duration: Duration) -> Self {
+    pub const fn saturating_sub(self, duration: Duration) -> Self {
         Self(self.0.saturating_sub(duration.as_micros() as u64))
     }
 }
--- a/crates/quincevalve_node/src/store/state_copy.rs
+++ b/crates/quincevalve_node/src/store/state_copy.rs
@@ -183,7 +183,7 @@
         // Each encoding has its own version, since the view changes between two of them.
         Ok(value) => Some(EncodedState {
             encoded_at: now,
-            confirmed_at: now.earlier_by(age),
+            confirmed_at: now.saturating_sub(age),
             chunks: split_into_chunks(now.as_micros(), &value),
         }),
         Err(error) => {
--- a/crates/quincevalve_peers/src/calls.rs
+++ b/crates/quincevalve_peers/src/calls.rs
@@ -59,14 +59,14 @@
 
 /// Peers' connections by address; clones share them.
 #[derive(Clone)]
-pub struct Callers<C> {
+pub struct PeerClients<C> {
     security: PeerSecurity,
     local: Option<IpAddr>,
     connect: Duration,
     open: Arc<Mutex<std::collections::HashMap<SocketAddr, C>>>,
 }
 
-impl<C> Callers<C>
+impl<C> PeerClients<C>
 where
     C: PeerClient,
 {
@@ -136,7 +136,7 @@
     }
 
     /// Forgets peers that are gone.
-    pub fn keep(&self, keep: impl Fn(&SocketAddr) -> bool) {
+    pub fn retain(&self, keep: impl Fn(&SocketAddr) -> bool) {
         self.lock().retain(|it, _| keep(it));
     }
 }
--- a/crates/quincevalve_peers/src/lib.rs
+++ b/crates/quincevalve_peers/src/lib.rs
@@ -8,7 +8,7 @@
 mod tls;
 
 pub use crate::{
-    calls::{CallFailure, Callers, PeerClient},
+    calls::{CallFailure, PeerClient, PeerClients},
     control::{
         ControlPeer, ControlPeerClient, LocalControl, LocalControlClient, LocalUpdate, RevisionBlob,
     },
--- a/crates/quincevalve_peers/src/tls.rs
+++ b/crates/quincevalve_peers/src/tls.rs
@@ -59,7 +59,7 @@
     },
     /// Plain TCP was asked for on an address that isn't loopback.
     #[snafu(display("{address}: peers are let in without TLS on loopback only; set [peer_tls]"))]
-    PlainOutside {
+    PlainTcpNotLoopback {
         /// The address.
         address: IpAddr,
     },
@@ -90,7 +90,7 @@
         let configs = match &files {
             Some(files) => Some(load(files)?),
             None if own.is_loopback() => None,
-            None => return PlainOutsideSnafu { address: own }.fail(),
+            None => return PlainTcpNotLoopbackSnafu { address: own }.fail(),
         };
         Ok(Self { files: files.map(Arc::new), configs: Arc::new(RwLock::new(configs)) })
     }
--- a/crates/quincevalve_peers/tests/mutual_tls.rs
+++ b/crates/quincevalve_peers/tests/mutual_tls.rs
@@ -10,7 +10,7 @@
 use quincevalve_membership::Message;
 use quincevalve_names::Revision;
 use quincevalve_peers::{
-    CallFailure, Callers, ControlPeer, ControlPeerClient, PeerListener, PeerSecurity, PeerTls,
+    CallFailure, ControlPeer, ControlPeerClient, PeerClients, PeerListener, PeerSecurity, PeerTls,
     RevisionBlob,
 };
 use rcgen::{BasicConstraints, Certificate, CertificateParams, IsCa, Issuer, KeyPair};
@@ -99,7 +99,7 @@
 }
 
 async fn call(security: &PeerSecurity, address: SocketAddr) -> Result<bool, CallFailure> {
-    let callers: Callers<ControlPeerClient> = Callers::new(security.clone(), None, LIMIT);
+    let callers: PeerClients<ControlPeerClient> = PeerClients::new(security.clone(), None, LIMIT);
     callers
         .call(address, LIMIT, |client, cx| async move { client.probe_for(cx, address).await })
         .await
--- a/crates/quincevalve_ports/src/http_client.rs
+++ b/crates/quincevalve_ports/src/http_client.rs
@@ -117,7 +117,7 @@
     /// Failure: something on the way lost track of all open connections at once. Symptom: each request
     /// waits its limit on one of them before it learns that. Until every connection that was idle then
     /// has timed out, requests to the address take new ones; so one request waits, and the others don't.
-    pub fn note_silent(&self, address: SocketAddr) {
+    pub fn mark_unresponsive(&self, address: SocketAddr) {
         self.lock_silent().insert(address, Instant::now());
     }
 
@@ -206,7 +206,7 @@
         };
         let outcome = tokio::time::timeout(limit, exchange).await;
         outcome.unwrap_or_else(|_| {
-            self.note_silent(address);
+            self.mark_unresponsive(address);
             Err(CallError::TimedOut { address, limit })
         })
     }
--- a/crates/quincevalve_timer/src/service.rs
+++ b/crates/quincevalve_timer/src/service.rs
@@ -71,13 +71,13 @@
         Alarm { fired: rx }
     }
 
-    /// A watchdog that barks after `limit` without [`Watchdog::pat`].
+    /// Returns a watchdog that expires after `limit` without [`Watchdog::record_progress`].
     pub fn watchdog(&self, limit: Duration) -> Watchdog {
         Watchdog::new(self.clone(), limit)
     }
 
     /// Runs `work` for at most `limit`. `None` means that the time ran out.
-    pub async fn within<F>(&self, limit: Duration, work: F) -> Option<F::Output>
+    pub async fn timeout<F>(&self, limit: Duration, work: F) -> Option<F::Output>
     where
         F: Future + Send,
         F::Output: Send,
@@ -190,7 +190,7 @@
     async fn within_gives_up_at_the_limit() {
         let timer = Timer::start();
         let never = std::future::pending::<()>();
-        assert_eq!(timer.within(Duration::from_secs(3), never).await, None);
+        assert_eq!(timer.timeout(Duration::from_secs(3), never).await, None);
         assert_eq!(timer.now(), TimePoint::from_millis(3_000));
     }
 }
--- a/crates/quincevalve_timer/src/watchdog.rs
+++ b/crates/quincevalve_timer/src/watchdog.rs
@@ -26,13 +26,13 @@
     }
 
     /// Notes progress.
-    pub fn pat(&mut self) {
+    pub fn record_progress(&mut self) {
         self.progress_at = self.timer.now();
     }
 
     /// Notes progress, and that from now on another limit holds.
-    pub fn pat_with(&mut self, limit: Duration) {
-        self.pat();
+    pub fn record_progress_with_limit(&mut self, limit: Duration) {
+        self.record_progress();
         if limit < self.limit {
             self.alarm = self.timer.after(limit);
         }
@@ -47,13 +47,13 @@
     /// let timer = quincevalve_timer::Timer::start();
     /// let mut watchdog = timer.watchdog(Duration::from_secs(1));
     /// timer.after(Duration::from_millis(600)).await;
-    /// watchdog.pat();
-    /// watchdog.barked().await;
+    /// watchdog.record_progress();
+    /// watchdog.expired().await;
     /// assert_eq!(timer.now().as_micros(), 1_600_000);
     /// # });
     /// # Ok::<(), std::io::Error>(())
     /// ```
-    pub async fn barked(&mut self) {
+    pub async fn expired(&mut self) {
         loop {
             (&mut self.alarm).await;
             let still = self.timer.now() - self.progress_at;
