--- a/crates/quincevalve_forwarding/tests/support/mod.rs
+++ b/crates/quincevalve_forwarding/tests/support/mod.rs
@@ -1,5 +1,5 @@
 //! Builders shared by the tests of the forwarding cores.
-#![allow(dead_code, unreachable_pub, reason = "each test file uses its own part")]
+#![allow(dead_code, unreachable_pub, reason = "each test file uses only some of them")]
 
 use std::time::Duration;
 
@@ -150,7 +150,7 @@
 }
 
 impl TestRequest {
-    pub fn ask(&self) -> PlacementRequest<'_> {
+    pub fn as_request(&self) -> PlacementRequest<'_> {
         PlacementRequest {
             service: &self.service,
             prompt: self.prompt.map(|it| (it, engine())),
