--- a/crates/quincevalve_entry/src/filters/relay.rs
+++ b/crates/quincevalve_entry/src/filters/relay.rs
@@ -110,20 +110,20 @@
                 biased;
                 frame = body.frame() => Step::from(frame),
                 gone_at = announced.as_mut(), if leaving.is_due(&attempt) => Step::Leaving(gone_at),
-                () = watchdog.barked() => Step::Silent,
+                () = watchdog.expired() => Step::Silent,
             };
             match step {
                 Step::Bytes(bytes) => {
-                    watchdog.pat();
+                    watchdog.record_progress();
                     buffer.extend(&bytes);
                     let progress = take_events(&mut attempt, &mut buffer);
                     if self.note_first(&mut attempt, &mut sent) {
-                        watchdog.pat_with(pacing.token_progress());
+                        watchdog.record_progress_with_limit(pacing.token_progress());
                     }
                     match progress {
                         Progress::More => {}
                         Progress::Whole => {
-                            self.shared.router().succeeded(sent.server);
+                            self.shared.router().record_success(sent.server);
                             return Ok(attempt);
                         }
                         Progress::Unsound => {
@@ -187,7 +187,7 @@
     /// the answer, and reading on there computes nothing again.
     async fn lost(&self, mut attempt: Attempt, sent: &Sent, cause: Cause) -> Failed {
         if cause == Cause::Silent {
-            self.shared.engines.http().note_silent(sent.address);
+            self.shared.engines.http().mark_unresponsive(sent.address);
         }
         let limit = self.shared.settings.pacing.probe();
         let answers = self.shared.engines.http().probe(sent.address, "/v1/load", limit).await;
@@ -202,7 +202,7 @@
             attempt.resumes += 1;
             return Failed::may_have_run(attempt, cause).announced().resumable();
         }
-        self.shared.router().failed(self.shared.timer.now(), sent.server);
+        self.shared.router().record_failure(self.shared.timer.now(), sent.server);
         let began = attempt.relay.next().0 > 0;
         let failed = Failed::may_have_run(attempt.tried(sent.server), cause);
         // A stream that began is bound by the number of servers lost, not by load: no budget for it.
@@ -295,7 +295,7 @@
         let progress = Duration::from_millis(facts.map_or(MAX_PROGRESS_MS, |it| it.progress_ms));
         let mut began = false;
         loop {
-            match self.shared.timer.within(progress, body.frame()).await {
+            match self.shared.timer.timeout(progress, body.frame()).await {
                 Some(Some(Ok(frame))) => {
                     if !began {
                         began = true;
@@ -309,13 +309,13 @@
                     if !began {
                         attempt.answer.set_head(head);
                     }
-                    self.shared.router().succeeded(sent.server);
+                    self.shared.router().record_success(sent.server);
                     return Ok(attempt);
                 }
                 // The head went out with the first bytes; from then on another server's answer can't
                 // be joined to them, so the attempt is the last.
                 Some(Some(Err(_))) | None => {
-                    self.shared.router().failed(self.shared.timer.now(), sent.server);
+                    self.shared.router().record_failure(self.shared.timer.now(), sent.server);
                     let failed = Failed::may_have_run(attempt.tried(sent.server), Cause::Transport);
                     return Err(if began { failed.last() } else { failed });
                 }
--- a/crates/quincevalve_entry/src/start.rs
+++ b/crates/quincevalve_entry/src/start.rs
@@ -13,10 +13,12 @@
 use quincevalve_inventory::{Format, ReadError, read_inventory};
 use quincevalve_ledger::ClaimLedger;
 use quincevalve_names::hash_text;
-use quincevalve_peers::{BindError, Callers, EntryPeer, PeerListener, PeerSecurity, PeerTlsError};
+use quincevalve_peers::{
+    BindError, EntryPeer, PeerClients, PeerListener, PeerSecurity, PeerTlsError,
+};
 use quincevalve_ports::{HttpClient, engine::EngineClient, store::HttpStore};
 use quincevalve_program::{Metrics, MetricsError};
-use quincevalve_retries::{HedgeClock, RetryBudget};
+use quincevalve_retries::{HedgeDelay, RetryBudget};
 use quincevalve_routing::{PredictedFirstToken, Router};
 use quincevalve_timer::Timer;
 use snafu::{ResultExt, Snafu};
@@ -145,7 +147,7 @@
         let settings = shared.settings.clone();
         let Some(address) = settings.control else { return };
         let local = Some(settings.peer_listen.ip());
-        let callers = Callers::new(security.clone(), local, settings.pacing.connect());
+        let callers = PeerClients::new(security.clone(), local, settings.pacing.connect());
         tokio::spawn(control_link::report(Arc::clone(shared), address, callers.clone()));
         let timer = shared.timer.clone();
         tokio::spawn(control_link::follow(settings, address, callers, timer, feeds));
@@ -214,7 +216,7 @@
     let claims = ClaimLedger::new(store, timer.clone(), writer, settings.ledger.into());
     let local = Some(settings.peer_listen.ip());
     Shared {
-        callers: Callers::new(security, local, settings.pacing.connect()),
+        callers: PeerClients::new(security, local, settings.pacing.connect()),
         claims,
         peers,
         receiver: Mutex::default(),
@@ -224,7 +226,7 @@
         router: Mutex::new(Router::new(PredictedFirstToken, seed)),
         admission: AdmissionDesk::new(timer.clone()),
         budget: Mutex::new(RetryBudget::default()),
-        hedge: Mutex::new(HedgeClock::default()),
+        hedge: Mutex::new(HedgeDelay::default()),
         answers: Answers::new(settings.limits),
         departures: Departures::default(),
         engines: EngineClient::new(http),
--- a/crates/quincevalve_forwarding/src/rollout/table.rs
+++ b/crates/quincevalve_forwarding/src/rollout/table.rs
@@ -34,7 +34,7 @@
     Any,
     /// Only servers of this scope.
     One(Arc<VersionScope>),
-    /// Servers of the first scope, or of the second if none of the first has room.
+    /// Servers of the first scope, or of the second if none of the first has capacity.
     WithFallback(Arc<VersionScope>, Arc<VersionScope>),
 }
 
@@ -195,7 +195,8 @@
         self.rollouts.iter_mut().filter_map(report).collect()
     }
 
-    /// Updates a service's roll-out by the current servers and evidence. Returns the new version if it was just found bad.
+    /// Updates a service's roll-out by the current servers and evidence. Returns the new version if it was just found
+    /// bad.
     pub fn refresh(
         &mut self,
         service: &ServiceName,
@@ -235,7 +236,7 @@
         self.rollouts.get(service).is_none_or(|it| it.admits(version))
     }
 
-    /// Returns whether a server of that version counts as capacity in the plan of the fleet.
+    /// Returns whether a server of that version counts as capacity in fleet planning.
     pub fn carries_load(&self, service: &ServiceName, version: &ServerVersion) -> bool {
         self.rollouts.get(service).is_none_or(|it| it.carries_load(version))
     }
@@ -302,7 +303,7 @@
         self.attempts.remove(id);
     }
 
-    /// Returns the judgement of a service's versions, with the evidence that all VMs reported.
+    /// Returns the comparison of a service's versions, with the evidence that all VMs reported.
     pub fn comparison(&self, service: &ServiceName) -> Option<&Comparison> {
         self.rollouts.get(service).map(Rollout::comparison)
     }
--- a/crates/quincevalve_forwarding/src/rollout/table/state.rs
+++ b/crates/quincevalve_forwarding/src/rollout/table/state.rs
@@ -22,8 +22,8 @@
     shared_limit::{SharedLimit, VmRank},
 };
 
-/// Fraction of the exposure limit that may be used when the first server of the new version appears. It rises to 1 until
-/// the canary ends, so that some requests are left to detect faults that show late.
+/// Fraction of the exposure limit that may be used when the first server of the new version appears. It rises to 1
+/// until the canary ends, so that some requests are left to detect faults that show late.
 const INITIAL_FRACTION: f64 = 0.3;
 /// Number of canary servers at a time, relative to the number of old servers times the new version's share. With this
 /// factor each has about the load of an old server.
@@ -90,7 +90,7 @@
     own_evidence: EvidenceRecorder,
     peer_sum: RolloutPartialSum,
     comparison: Comparison,
-    /// When this VM first knew a usable server of the new version.
+    /// When this VM first knew of a usable server of the new version.
     new_since: Option<TimePoint>,
     /// Fraction of the exposure limit that may be used now.
     allowed_fraction: f64,
@@ -455,18 +455,18 @@
         is_sampled && self.exposure.may_send(limit, vm_rank, self.allowed_fraction)
     }
 
-    /// Returns the servers for a new request during the promotion: a rising share prefers the new version, the rest the old
-    /// one.
+    /// Returns the servers for a new request during the promotion: a rising share prefers the new version, the rest the
+    /// old one.
     fn choose_while_promoting(&self, draw: f64, now: TimePoint) -> VersionChoice {
         let (Some(old), Some(new)) = (self.old.clone(), self.new.clone()) else {
             return VersionChoice::Any;
         };
         let ramp = self.promotion().ramp.as_secs_f64();
-        let risen = now.since(self.phase_since).as_secs_f64() / ramp;
-        if risen >= 1.0 {
+        let progress = now.since(self.phase_since).as_secs_f64() / ramp;
+        if progress >= 1.0 {
             return VersionChoice::One(new);
         }
-        let share = RAMP_START_SHARE.powf(1.0 - risen);
+        let share = RAMP_START_SHARE.powf(1.0 - progress);
         if draw < share {
             VersionChoice::WithFallback(new, old)
         } else {
--- a/crates/quincevalve_node/src/store/state_copy.rs
+++ b/crates/quincevalve_node/src/store/state_copy.rs
@@ -183,7 +183,7 @@
         // Each encoding has its own version, since the view changes between two of them.
         Ok(value) => Some(EncodedState {
             encoded_at: now,
-            confirmed_at: now.earlier_by(age),
+            confirmed_at: now.saturating_sub(age),
             chunks: split_into_chunks(now.as_micros(), &value),
         }),
         Err(error) => {
@@ -205,7 +205,7 @@
 
     /// Returns the wanted chunks, each with the age of the freshness confirmation.
     fn chunks(&self, is_wanted: impl Fn(u32) -> bool, now: TimePoint) -> Vec<(Duration, Chunk)> {
-        let wanted = self.chunks.iter().filter(|it| is_wanted(it.at));
+        let wanted = self.chunks.iter().filter(|it| is_wanted(it.index));
         wanted.map(|it| (now.since(self.confirmed_at), it.clone())).collect()
     }
 }
--- a/crates/quincevalve_retries/src/decision.rs
+++ b/crates/quincevalve_retries/src/decision.rs
@@ -1,4 +1,4 @@
-//! What follows a failed attempt.
+//! Decides between a retry and giving up after a failed attempt.
 
 use std::time::Duration;
 
@@ -7,97 +7,106 @@
 
 use crate::RetryBudget;
 
-/// How far a failed attempt can have got.
+/// Whether a failed attempt may have been executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum FailureReach {
-    /// No byte reached a backend server, or the server said that it did not run.
+pub enum ExecutionStatus {
+    /// No byte reached a backend server, or the server stated that the request did not run.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     MayHaveRun,
 }
 
 /// A failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Failure {
-    /// How far this attempt can have got.
-    pub reach: FailureReach,
-    /// How far any earlier attempt can have got.
-    pub earlier: FailureReach,
-    /// Whether the request may be repeated.
+pub struct FailedAttempt {
+    /// Whether this attempt may have run.
+    pub status: ExecutionStatus,
+    /// Whether any earlier attempt may have run.
+    pub earlier_status: ExecutionStatus,
+    /// Whether the request is idempotent.
     pub execution: Execution,
-    /// Whether the server was known to leave, so that the failure says nothing of overload.
-    pub announced: bool,
-    /// Attempts so far, this one included.
+    /// Whether the server was known to be leaving, in which case the failure doesn't indicate overload.
+    pub server_was_leaving: bool,
+    /// Number of attempts so far, including this one.
     pub attempts: u32,
-    /// Time until the request's deadline.
-    pub left: Duration,
-    /// The predicted time that one more attempt needs.
-    pub needs: Duration,
+    /// Time left until the request's deadline.
+    pub time_left: Duration,
+    /// Predicted duration of another attempt.
+    pub required_time: Duration,
 }
 
-/// The rules.
+/// Limits and backoff of retries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RetryRules {
-    /// Attempts of one request at most.
+pub struct RetryPolicy {
+    /// Maximum number of attempts per request.
     pub max_attempts: u32,
-    /// Attempts at most when each failure was announced.
-    pub max_announced: u32,
-    /// The wait before the second attempt; doubles with each further one.
+    /// Maximum number of attempts if the failed server was known to be leaving.
+    pub max_attempts_when_leaving: u32,
+    /// Backoff before the second attempt; doubles with each further one.
     pub backoff: Duration,
 }
 
-impl Default for RetryRules {
+impl Default for RetryPolicy {
     fn default() -> Self {
-        Self { max_attempts: 4, max_announced: 12, backoff: Duration::from_millis(10) }
+        Self { max_attempts: 4, max_attempts_when_leaving: 12, backoff: Duration::from_millis(10) }
     }
 }
 
-/// What to do next.
+/// Decision after a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NextStep {
-    /// Try again, at another server where there is one.
+pub enum RetryDecision {
+    /// Retry, on another server if there is one.
     Retry {
-        /// The wait before it.
+        /// Backoff before the retry.
         after: Duration,
     },
-    /// Give up now and say so.
+    /// Give up and report the outcome.
     GiveUp {
-        /// What is true of the request.
+        /// Whether the request may have run.
         outcome: Outcome,
     },
 }
 
-/// Decides after a failure.
+/// Decides whether to retry after a failed attempt.
 ///
-/// A non-idempotent request that may have run is never tried again, whatever the budget says. A failure
-/// that was announced (a reclaim) doesn't draw on the budget: an accepted request must survive it, and the
-/// number of such failures is bound by the number of servers that go, not by load.
-pub fn decide(failure: &Failure, rules: &RetryRules, budget: &mut RetryBudget) -> NextStep {
-    let outcome = outcome_of(failure);
-    let give_up = NextStep::GiveUp { outcome };
+/// A non-idempotent request that may have run is never retried, regardless of the budget. A failure of a
+/// server that was known to be leaving (a reclaim) isn't charged to the budget: an accepted request must
+/// survive it, and the number of such failures is bounded by the number of leaving servers, not by load.
+pub fn decide_retry(
+    failure: &FailedAttempt,
+    policy: &RetryPolicy,
+    budget: &mut RetryBudget,
+) -> RetryDecision {
+    let outcome = overall_outcome(failure);
+    let give_up = RetryDecision::GiveUp { outcome };
     if failure.execution == Execution::NonIdempotent && outcome == Outcome::MayHaveRun {
         return give_up;
     }
-    let most = if failure.announced { rules.max_announced } else { rules.max_attempts };
-    let after = backoff(failure.attempts, rules);
-    if failure.attempts >= most || after + failure.needs > failure.left {
+    let max_attempts = if failure.server_was_leaving {
+        policy.max_attempts_when_leaving
+    } else {
+        policy.max_attempts
+    };
+    let after = backoff(failure.attempts, policy);
+    if failure.attempts >= max_attempts || after + failure.required_time > failure.time_left {
         return give_up;
     }
-    if !failure.announced && !budget.spend() {
+    if !failure.server_was_leaving && !budget.try_spend() {
         return give_up;
     }
-    NextStep::Retry { after }
+    RetryDecision::Retry { after }
 }
 
-/// The truth about a request after its failed attempts.
-fn outcome_of(failure: &Failure) -> Outcome {
-    match (failure.reach, failure.earlier) {
-        (FailureReach::NotRun, FailureReach::NotRun) => Outcome::NotRun,
+/// Returns the outcome of a request over all its failed attempts.
+fn overall_outcome(failure: &FailedAttempt) -> Outcome {
+    match (failure.status, failure.earlier_status) {
+        (ExecutionStatus::NotRun, ExecutionStatus::NotRun) => Outcome::NotRun,
         _ => Outcome::MayHaveRun,
     }
 }
 
-fn backoff(attempts: u32, rules: &RetryRules) -> Duration {
+/// Returns the backoff after the given number of attempts, at most 2^5 times the first one.
+fn backoff(attempts: u32, policy: &RetryPolicy) -> Duration {
     const MAX_DOUBLINGS: u32 = 5;
-    rules.backoff * (1 << attempts.saturating_sub(1).min(MAX_DOUBLINGS))
+    policy.backoff * (1 << attempts.saturating_sub(1).min(MAX_DOUBLINGS))
 }
