--- a/crates/quincevalve_entry/src/answer.rs
+++ b/crates/quincevalve_entry/src/answer.rs
@@ -48,13 +48,13 @@
 
 /// Whether the right to go on with a request stays on this VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Right {
+pub(crate) enum Ownership {
     /// It is here.
     Held,
     /// The hand-over asks for it.
-    Asked,
+    Requested,
     /// It was given up: nothing here sends the request anywhere any more.
-    GivenUp,
+    Released,
 }
 
 /// One answer. Appending wakes all readers.
@@ -62,12 +62,12 @@
 pub(crate) struct Answer {
     id: RequestId,
     state: Mutex<AnswerState>,
-    right: watch::Sender<Right>,
+    ownership: watch::Sender<Ownership>,
 }
 
 impl Answer {
     pub(crate) fn new(id: RequestId) -> Self {
-        Self { id, state: Mutex::default(), right: watch::Sender::new(Right::Held) }
+        Self { id, state: Mutex::default(), ownership: watch::Sender::new(Ownership::Held) }
     }
 
     pub(crate) const fn id(&self) -> RequestId {
@@ -78,10 +78,10 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn change(&self, change: impl FnOnce(&mut AnswerState)) {
+    fn update(&self, update: impl FnOnce(&mut AnswerState)) {
         let wakers = {
             let mut state = self.lock();
-            change(&mut state);
+            update(&mut state);
             std::mem::take(&mut state.wakers)
         };
         wakers.into_iter().for_each(Waker::wake);
@@ -89,20 +89,20 @@
 
     /// Appends tokens; the relay has put them in order.
     pub(crate) fn push_tokens<'a>(&self, tokens: impl IntoIterator<Item = &'a str>) {
-        self.change(|it| it.push_tokens(tokens));
+        self.update(|it| it.push_tokens(tokens));
     }
 
     pub(crate) fn set_head(&self, head: ServiceHead) {
-        self.change(|it| it.head = Some(head));
+        self.update(|it| it.head = Some(head));
     }
 
     pub(crate) fn push_bytes(&self, bytes: Bytes) {
-        self.change(|it| it.chunks.push(bytes));
+        self.update(|it| it.chunks.push(bytes));
     }
 
     /// Ends the answer. The first end stands: a late one changes nothing that a caller was told.
     pub(crate) fn end(&self, end: End) {
-        self.change(|it| {
+        self.update(|it| {
             it.end.get_or_insert(end);
         });
     }
@@ -125,38 +125,38 @@
     }
 
     /// Asks for the right to go on, and waits until it was given up. `false` if the answer ended first.
-    pub(crate) async fn take_right(&self) -> bool {
-        self.right.send_if_modified(|it| {
-            let held = *it == Right::Held;
+    pub(crate) async fn request_release(&self) -> bool {
+        self.ownership.send_if_modified(|it| {
+            let held = *it == Ownership::Held;
             if held {
-                *it = Right::Asked;
+                *it = Ownership::Requested;
             }
             held
         });
-        let mut right = self.right.subscribe();
+        let mut ownership = self.ownership.subscribe();
         tokio::select! {
-            given = right.wait_for(|it| *it == Right::GivenUp) => given.is_ok(),
+            released = ownership.wait_for(|it| *it == Ownership::Released) => released.is_ok(),
             _ = self.finished() => false,
         }
     }
 
     /// Waits until the right is asked for.
-    pub(crate) async fn right_asked(&self) {
-        let mut right = self.right.subscribe();
-        let asked = right.wait_for(|it| *it == Right::Asked).await.is_ok();
-        if !asked {
+    pub(crate) async fn release_requested(&self) {
+        let mut ownership = self.ownership.subscribe();
+        let requested = ownership.wait_for(|it| *it == Ownership::Requested).await.is_ok();
+        if !requested {
             std::future::pending::<()>().await;
         }
     }
 
     /// Gives the right up.
-    pub(crate) fn give_up_right(&self) {
-        self.right.send_replace(Right::GivenUp);
+    pub(crate) fn release_ownership(&self) {
+        self.ownership.send_replace(Ownership::Released);
     }
 
     /// Takes the right back: nobody else has the request.
-    pub(crate) fn regain_right(&self) {
-        self.right.send_replace(Right::Held);
+    pub(crate) fn restore_ownership(&self) {
+        self.ownership.send_replace(Ownership::Held);
     }
 
     /// Bytes that keeping this answer takes.
@@ -181,7 +181,7 @@
         if ready(&state) {
             return Poll::Ready(());
         }
-        state.wait(cx);
+        state.register_waker(cx);
         Poll::Pending
     }
 
@@ -195,7 +195,7 @@
         if let Some(value) = read(&state) {
             Poll::Ready(value)
         } else {
-            state.wait(cx);
+            state.register_waker(cx);
             Poll::Pending
         }
     }
@@ -233,7 +233,7 @@
         !self.ends.is_empty() || self.head.is_some() || self.end.is_some()
     }
 
-    fn wait(&mut self, cx: &Context<'_>) {
+    fn register_waker(&mut self, cx: &Context<'_>) {
         if !self.wakers.iter().any(|it| it.will_wake(cx.waker())) {
             self.wakers.push(cx.waker().clone());
         }
@@ -242,9 +242,9 @@
     /// The tokens from a position on.
     pub(crate) fn tokens_from(&self, from: Sequence) -> impl Iterator<Item = (Sequence, &str)> {
         let first = (from.0 as usize).min(self.ends.len());
-        (first..self.ends.len()).map(|at| {
-            let start = if at == 0 { 0 } else { self.ends[at - 1] as usize };
-            (Sequence(at as u32), &self.text[start..self.ends[at] as usize])
+        (first..self.ends.len()).map(|index| {
+            let start = if index == 0 { 0 } else { self.ends[index - 1] as usize };
+            (Sequence(index as u32), &self.text[start..self.ends[index] as usize])
         })
     }
 
--- a/crates/quincevalve_entry/src/answers.rs
+++ b/crates/quincevalve_entry/src/answers.rs
@@ -19,7 +19,7 @@
 type CallerKey = (ClientAccountName, IdempotencyKey);
 
 #[derive(Default)]
-struct Table {
+struct AnswerTable {
     known: HashMap<RequestId, Known>,
     by_key: HashMap<CallerKey, RequestId>,
     ended: VecDeque<RequestId>,
@@ -28,7 +28,7 @@
 }
 
 /// Ended answers that are handed over when this VM is taken back.
-const KEPT_HANDED_OVER: usize = 2_000;
+const MAX_HANDED_OVER_ANSWERS: usize = 2_000;
 
 /// What stands under a caller's key.
 pub(crate) enum KeyState {
@@ -42,7 +42,7 @@
 
 /// The table. Ended answers are kept, oldest out first, within the limits.
 pub(crate) struct Answers {
-    table: Mutex<Table>,
+    table: Mutex<AnswerTable>,
     limits: Limits,
 }
 
@@ -51,7 +51,7 @@
         Self { table: Mutex::default(), limits }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Table> {
+    fn lock(&self) -> MutexGuard<'_, AnswerTable> {
         self.table.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -100,7 +100,7 @@
     }
 
     /// Notes that an answer ended, and lets the oldest ended ones go.
-    pub(crate) fn ended(&self, id: RequestId) {
+    pub(crate) fn record_ended(&self, id: RequestId) {
         let mut table = self.lock();
         let Some(known) = table.known.get(&id) else { return };
         table.ended_bytes += known.answer.size();
@@ -109,7 +109,7 @@
             || table.ended_bytes > self.limits.kept_answer_bytes
         {
             let Some(oldest) = table.ended.pop_front() else { return };
-            table.drop_ended(oldest);
+            table.remove_ended(oldest);
         }
     }
 
@@ -121,7 +121,7 @@
     }
 
     /// Notes that another VM has the request now.
-    pub(crate) fn moved(&self, id: RequestId) {
+    pub(crate) fn mark_moved(&self, id: RequestId) {
         self.lock().moved.insert(id);
     }
 
@@ -131,15 +131,15 @@
     }
 
     /// Ended answers under a caller's key, the newest first: what a caller is likeliest to ask again.
-    pub(crate) fn kept_with_key(&self) -> Vec<Known> {
+    pub(crate) fn ended_with_key(&self) -> Vec<Known> {
         let table = self.lock();
-        let kept = table.ended.iter().rev().filter_map(|it| table.known.get(it));
-        kept.filter(|it| it.request.key.is_some()).take(KEPT_HANDED_OVER).cloned().collect()
+        let ended = table.ended.iter().rev().filter_map(|it| table.known.get(it));
+        ended.filter(|it| it.request.key.is_some()).take(MAX_HANDED_OVER_ANSWERS).cloned().collect()
     }
 }
 
-impl Table {
-    fn drop_ended(&mut self, id: RequestId) {
+impl AnswerTable {
+    fn remove_ended(&mut self, id: RequestId) {
         let Some(known) = self.known.remove(&id) else { return };
         self.ended_bytes = self.ended_bytes.saturating_sub(known.answer.size());
         if let Some(key) = caller_key(&known.request) {
--- a/crates/quincevalve_entry/src/attempt.rs
+++ b/crates/quincevalve_entry/src/attempt.rs
@@ -48,7 +48,7 @@
     }
 
     /// Notes a server that the next attempt passes over.
-    pub(crate) fn tried(mut self, server: ServerIndex) -> Self {
+    pub(crate) fn with_tried_server(mut self, server: ServerIndex) -> Self {
         self.tried.push(server);
         self
     }
@@ -71,7 +71,7 @@
     Unsound,
     /// Nobody reads the answer any more.
     Abandoned,
-    /// The server's state was moved elsewhere.
+    /// The server's state was migrated elsewhere.
     Moved,
 }
 
@@ -79,27 +79,41 @@
 pub(crate) struct Failed {
     pub(crate) attempt: Attempt,
     pub(crate) cause: Cause,
-    reach: ExecutionStatus,
-    announced: bool,
+    status: ExecutionStatus,
+    exempt_from_budget: bool,
     resumable: bool,
-    last: bool,
+    is_final: bool,
 }
 
 impl Failed {
     /// No byte reached a server, or the server said that nothing ran.
     pub(crate) const fn not_run(attempt: Attempt, cause: Cause) -> Self {
-        let reach = ExecutionStatus::NotRun;
-        Self { attempt, cause, reach, announced: false, resumable: false, last: false }
+        let status = ExecutionStatus::NotRun;
+        Self {
+            attempt,
+            cause,
+            status,
+            exempt_from_budget: false,
+            resumable: false,
+            is_final: false,
+        }
     }
 
     pub(crate) const fn may_have_run(attempt: Attempt, cause: Cause) -> Self {
-        let reach = ExecutionStatus::MayHaveRun;
-        Self { attempt, cause, reach, announced: false, resumable: false, last: false }
+        let status = ExecutionStatus::MayHaveRun;
+        Self {
+            attempt,
+            cause,
+            status,
+            exempt_from_budget: false,
+            resumable: false,
+            is_final: false,
+        }
     }
 
     /// The failure says nothing of overload, so it doesn't draw on the retry budget.
-    pub(crate) fn announced(self) -> Self {
-        Self { announced: true, ..self }
+    pub(crate) fn exempt_from_budget(self) -> Self {
+        Self { exempt_from_budget: true, ..self }
     }
 
     /// Going on is the same run: the server keeps the generation under the request's id, or handed its
@@ -109,14 +123,14 @@
     }
 
     /// There must be no further attempt.
-    pub(crate) fn last(self) -> Self {
-        Self { last: true, ..self }
+    pub(crate) fn without_retry(self) -> Self {
+        Self { is_final: true, ..self }
     }
 }
 
 /// Runs an accepted request to its end.
 pub(crate) async fn serve(shared: Arc<Shared>, accepted: Accepted) {
-    let Accepted { request, answer, place, resume_on } = accepted;
+    let Accepted { request, answer, permit, resume_on } = accepted;
     let route = Route { shared: Arc::clone(&shared) };
     let dispatch = Dispatch { shared: Arc::clone(&shared) };
     let relay = Relay { shared: Arc::clone(&shared) };
@@ -126,7 +140,7 @@
     attempt.resume_on = resume_on;
     let mut attempts = 0;
     // A request that another VM had sent may have run there.
-    let mut earlier = match answer.server() {
+    let mut earlier_status = match answer.server() {
         Some(_) => ExecutionStatus::MayHaveRun,
         None => ExecutionStatus::NotRun,
     };
@@ -134,10 +148,10 @@
         attempts += 1;
         let applied = tokio::select! {
             biased;
-            () = answer.right_asked() => {
+            () = answer.release_requested() => {
                 // Whatever was under way ends here, and only then is the right given up.
-                drop(place);
-                answer.give_up_right();
+                drop(permit);
+                answer.release_ownership();
                 return;
             }
             applied = pipe.apply(attempt) => applied,
@@ -145,16 +159,16 @@
         match applied {
             Ok(done) => break (End::Whole, done.first_token_at),
             Err(failed) => {
-                let step = next_step(&shared, &failed, earlier, attempts);
-                if failed.reach == ExecutionStatus::MayHaveRun {
-                    earlier = ExecutionStatus::MayHaveRun;
+                let step = decide_next_step(&shared, &failed, earlier_status, attempts);
+                if failed.status == ExecutionStatus::MayHaveRun {
+                    earlier_status = ExecutionStatus::MayHaveRun;
                 }
                 attempt = failed.attempt;
                 log::debug!("request={} attempt={attempts} failed: {:?}", request.id, failed.cause);
                 match step {
                     RetryDecision::Retry { after } => shared.timer.after(after).await,
                     RetryDecision::GiveUp { outcome } => {
-                        let end = End::Refused(give_up(failed.cause, outcome, &request));
+                        let end = End::Refused(final_refusal(failed.cause, outcome, &request));
                         break (end, attempt.first_token_at);
                     }
                 }
@@ -164,7 +178,7 @@
             }
         }
     };
-    drop(place);
+    drop(permit);
     finish(&shared, &request, &answer, end, first_token_at, attempts);
 }
 
@@ -184,25 +198,26 @@
     }
 }
 
-fn next_step(
+fn decide_next_step(
     shared: &Shared,
     failed: &Failed,
-    earlier: ExecutionStatus,
+    earlier_status: ExecutionStatus,
     attempts: u32,
 ) -> RetryDecision {
     let request = &failed.attempt.request;
-    if failed.last || failed.cause == Cause::Abandoned {
+    if failed.is_final || failed.cause == Cause::Abandoned {
         return RetryDecision::GiveUp { outcome: Outcome::MayHaveRun };
     }
-    let moved = failed.attempt.import.is_some();
-    let execution = rule_for(request.execution, failed.resumable, moved, failed.reach);
+    let migrated = failed.attempt.import.is_some();
+    let execution =
+        effective_execution(request.execution, failed.resumable, migrated, failed.status);
     let failure = FailedAttempt {
-        status: failed.reach,
-        earlier_status: earlier,
+        status: failed.status,
+        earlier_status,
         execution,
-        server_was_leaving: failed.announced,
+        server_was_leaving: failed.exempt_from_budget,
         attempts,
-        time_left: request.gives_up_at() - shared.timer.now(),
+        time_left: request.retry_deadline() - shared.timer.now(),
         required_time: std::time::Duration::ZERO,
     };
     decide_retry(&failure, &RetryPolicy::default(), &mut shared.budget())
@@ -211,14 +226,19 @@
 /// The rule that holds for the next attempt.
 ///
 /// A resumed run is the same run, so the rule against a second one doesn't concern it. Nor does it concern
-/// a run whose state was moved off its server, when the next server says that nothing ran there: without
+/// a run whose state was migrated off its server, when the next server says that nothing ran there: without
 /// this a billed answer was lost when a second wave met its new server.
-fn rule_for(own: Execution, resumable: bool, moved: bool, reach: ExecutionStatus) -> Execution {
-    let is_same_run = resumable || (moved && reach == ExecutionStatus::NotRun);
-    if is_same_run { Execution::Idempotent } else { own }
+fn effective_execution(
+    declared: Execution,
+    resumable: bool,
+    migrated: bool,
+    status: ExecutionStatus,
+) -> Execution {
+    let is_same_run = resumable || (migrated && status == ExecutionStatus::NotRun);
+    if is_same_run { Execution::Idempotent } else { declared }
 }
 
-fn give_up(cause: Cause, outcome: Outcome, request: &Identified) -> Refusal {
+fn final_refusal(cause: Cause, outcome: Outcome, request: &Identified) -> Refusal {
     const RETRY_AFTER: std::time::Duration = std::time::Duration::from_secs(1);
     let kind = match cause {
         Cause::NoServer | Cause::Refused => RefusalKind::NoServer,
@@ -231,16 +251,19 @@
 mod tests {
     use super::*;
 
-    // The caller is told that a billed report may have run, though it could go on. Its state was moved on a
+    // The caller is told that a billed report may have run, though it could go on. Its state was migrated on a
     // notice, and the server chosen next refused it, since a second wave took that one too.
     #[test]
-    fn a_refusal_does_not_end_a_moved_run() {
+    fn rejection_does_not_end_a_migrated_run() {
         let billed = Execution::NonIdempotent;
-        assert_eq!(rule_for(billed, false, true, ExecutionStatus::NotRun), Execution::Idempotent);
-        assert_eq!(rule_for(billed, false, true, ExecutionStatus::MayHaveRun), billed);
-        assert_eq!(rule_for(billed, false, false, ExecutionStatus::NotRun), billed);
         assert_eq!(
-            rule_for(billed, true, false, ExecutionStatus::MayHaveRun),
+            effective_execution(billed, false, true, ExecutionStatus::NotRun),
+            Execution::Idempotent
+        );
+        assert_eq!(effective_execution(billed, false, true, ExecutionStatus::MayHaveRun), billed);
+        assert_eq!(effective_execution(billed, false, false, ExecutionStatus::NotRun), billed);
+        assert_eq!(
+            effective_execution(billed, true, false, ExecutionStatus::MayHaveRun),
             Execution::Idempotent
         );
     }
--- a/crates/quincevalve_entry/src/filters.rs
+++ b/crates/quincevalve_entry/src/filters.rs
@@ -9,7 +9,7 @@
 mod settle;
 
 pub(crate) use self::{
-    admit::{AdmissionDesk, Admit, Place},
+    admit::{AdmissionControl, AdmissionPermit, Admit},
     claim::Claim,
     dispatch::{Dispatch, Dispatched},
     identify::{Identify, identify_account},
--- a/crates/quincevalve_entry/src/filters/admit.rs
+++ b/crates/quincevalve_entry/src/filters/admit.rs
@@ -36,22 +36,22 @@
     async fn apply(&self, request: Identified) -> Result<Admitted, Refusal> {
         if self.shared.is_refusing() {
             let refusal = Refusal::new(RefusalKind::Leaving, Outcome::NotRun);
-            return Err(refusal.with_retry_after(LEAVING_RETRY));
+            return Err(refusal.with_retry_after(LEAVING_RETRY_AFTER));
         }
-        let needs = self.predict(&request)?;
-        let place = self.shared.admission.enter(&request, needs).await?;
+        let required_time = self.predict(&request)?;
+        let permit = self.shared.admission.enter(&request, required_time).await?;
         self.shared.budget().deposit();
-        Ok(Admitted { request, place })
+        Ok(Admitted { request, permit })
     }
 }
 
-const LEAVING_RETRY: Duration = Duration::from_secs(1);
-const NO_SERVER_RETRY: Duration = Duration::from_secs(2);
+const LEAVING_RETRY_AFTER: Duration = Duration::from_secs(1);
+const NO_SERVER_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 impl Admit {
     /// The predicted time from the start to what the class promises.
     fn predict(&self, request: &Identified) -> Result<Duration, Refusal> {
-        let ask = RoutingRequest {
+        let routing_request = RoutingRequest {
             now: self.shared.timer.now(),
             pool: &request.target(),
             data_centre: &self.shared.settings.data_centre,
@@ -62,84 +62,85 @@
             tried: &[],
         };
         let mut router = self.shared.router();
-        let choice = router.choose(&ask).map_err(|error| refuse_no_server(error, request))?;
-        let rest = match (request.promise, &request.work) {
+        let choice =
+            router.choose(&routing_request).map_err(|error| no_server_refusal(error, request))?;
+        let generation_time = match (request.promise, &request.work) {
             (Promise::CompleteMs(_), Work::Generate(it)) => {
                 router.spec(choice.server).token_time * it.max_tokens
             }
             _ => Duration::ZERO,
         };
-        Ok(choice.predicted_first_token + rest)
+        Ok(choice.predicted_first_token + generation_time)
     }
 }
 
-fn refuse_no_server(_error: NoServer, request: &Identified) -> Refusal {
+fn no_server_refusal(_error: NoServer, request: &Identified) -> Refusal {
     let refusal = Refusal::new(RefusalKind::NoServer, Outcome::NotRun);
-    refusal.with_retry_after(NO_SERVER_RETRY).with_request(request.id)
+    refusal.with_retry_after(NO_SERVER_RETRY_AFTER).with_request(request.id)
 }
 
-struct Desk {
+struct AdmissionState {
     accounts: IndexSet<ClientAccountName>,
     cores: HashMap<Target, Admission>,
-    waiting: HashMap<Ticket, oneshot::Sender<Called>>,
+    waiting: HashMap<Ticket, oneshot::Sender<WaitResult>>,
     next_ticket: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Called {
+enum WaitResult {
     Start,
     Expired,
 }
 
 /// The admission cores, one for each target, and the requests that wait at them.
 #[derive(Clone)]
-pub(crate) struct AdmissionDesk {
-    desk: Arc<Mutex<Desk>>,
+pub(crate) struct AdmissionControl {
+    state: Arc<Mutex<AdmissionState>>,
     timer: Timer,
 }
 
-impl AdmissionDesk {
+impl AdmissionControl {
     pub(crate) fn new(timer: Timer) -> Self {
-        let desk = Desk {
+        let state = AdmissionState {
             accounts: IndexSet::new(),
             cores: HashMap::new(),
             waiting: HashMap::new(),
             next_ticket: 0,
         };
-        Self { desk: Arc::new(Mutex::new(desk)), timer }
+        Self { state: Arc::new(Mutex::new(state)), timer }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Desk> {
-        self.desk.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, AdmissionState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Sets how many requests of a target run at once.
     pub(crate) fn set_capacity(&self, target: &Target, capacity: u32) {
-        let mut desk = self.lock();
-        desk.core(target).set_capacity(capacity);
-        desk.call_waiting(target);
+        let mut state = self.lock();
+        state.core(target).set_capacity(capacity);
+        state.start_waiting_requests(target);
     }
 
     /// Tells waiting requests that can't be done in time any more; they did not run.
     pub(crate) fn expire(&self, now: TimePoint) {
-        let mut desk = self.lock();
-        let expired: Vec<_> = desk.cores.values_mut().flat_map(|it| it.expire(now)).collect();
+        let mut state = self.lock();
+        let expired: Vec<_> = state.cores.values_mut().flat_map(|it| it.expire(now)).collect();
         for ticket in expired {
-            if let Some(caller) = desk.waiting.remove(&ticket) {
-                let _ = caller.send(Called::Expired);
+            if let Some(caller) = state.waiting.remove(&ticket) {
+                let _ = caller.send(WaitResult::Expired);
             }
         }
     }
 
     /// A place for a request that another VM admitted: it is counted nowhere here.
-    pub(crate) fn taken_over(&self, request: &Identified) -> Place {
-        Place {
-            desk: self.clone(),
+    pub(crate) fn uncounted_permit(&self, request: &Identified) -> AdmissionPermit {
+        AdmissionPermit {
+            admission: self.clone(),
             target: request.target(),
             account: AccountIndex(0),
             ticket: Ticket(0),
             since: self.timer.now(),
-            state: PlaceState::Left,
+            state: PermitState::Released,
         }
     }
 
@@ -149,17 +150,21 @@
     }
 
     /// Enters now, or waits for a place.
-    async fn enter(&self, request: &Identified, needs: Duration) -> Result<Place, Refusal> {
+    async fn enter(
+        &self,
+        request: &Identified,
+        required_time: Duration,
+    ) -> Result<AdmissionPermit, Refusal> {
         let target = request.target();
         let now = self.timer.now();
-        let (place, called) = {
-            let mut desk = self.lock();
-            let arrival = desk.arrival(request, needs);
+        let (permit, result) = {
+            let mut state = self.lock();
+            let arrival = state.arrival(request, required_time);
             let account = arrival.account;
             let ticket = arrival.ticket;
-            let decision = desk.core(&target).arrive(now, &arrival);
-            let place = |state| Place {
-                desk: self.clone(),
+            let decision = state.core(&target).arrive(now, &arrival);
+            let permit = |state| AdmissionPermit {
+                admission: self.clone(),
                 target: target.clone(),
                 account,
                 ticket,
@@ -167,27 +172,27 @@
                 state,
             };
             match decision {
-                Decision::Run => return Ok(place(PlaceState::Running)),
+                Decision::Run => return Ok(permit(PermitState::Running)),
                 Decision::Refuse { reason, retry_after } => {
                     return Err(refuse(reason, retry_after, request));
                 }
                 Decision::Wait => {
                     let (tx, rx) = oneshot::channel();
-                    desk.waiting.insert(ticket, tx);
-                    (place(PlaceState::Waiting), rx)
+                    state.waiting.insert(ticket, tx);
+                    (permit(PermitState::Waiting), rx)
                 }
             }
         };
-        let mut place = place;
-        match called.await {
-            Ok(Called::Start) => {
-                place.state = PlaceState::Running;
-                place.since = self.timer.now();
-                Ok(place)
+        let mut permit = permit;
+        match result.await {
+            Ok(WaitResult::Start) => {
+                permit.state = PermitState::Running;
+                permit.since = self.timer.now();
+                Ok(permit)
             }
-            Ok(Called::Expired) | Err(_) => {
-                place.state = PlaceState::Left;
-                let retry_after = self.lock().core(&target).retry_after(place.account);
+            Ok(WaitResult::Expired) | Err(_) => {
+                permit.state = PermitState::Released;
+                let retry_after = self.lock().core(&target).retry_after(permit.account);
                 Err(refuse(RefusalReason::TooLate, retry_after, request))
             }
         }
@@ -203,19 +208,19 @@
     Refusal::new(kind, Outcome::NotRun).with_retry_after(retry_after).with_request(request.id)
 }
 
-impl Desk {
+impl AdmissionState {
     fn core(&mut self, target: &Target) -> &mut Admission {
-        let fresh = || Admission::new(AdmissionSettings::default(), 1);
-        self.cores.entry(target.clone()).or_insert_with(fresh)
+        let new_core = || Admission::new(AdmissionSettings::default(), 1);
+        self.cores.entry(target.clone()).or_insert_with(new_core)
     }
 
-    fn arrival(&mut self, request: &Identified, needs: Duration) -> Arrival {
+    fn arrival(&mut self, request: &Identified, required_time: Duration) -> Arrival {
         let (index, _) = self.accounts.insert_full(request.account.clone());
         let account = AccountIndex(index as u32);
-        let facts = request.view.inventory.account.get(&request.account);
+        let account_entry = request.view.inventory.account.get(&request.account);
         let limits = AccountLimits {
-            weight: facts.map_or(1, |it| it.weight),
-            max_concurrent: facts.map_or(1, |it| it.max_concurrent),
+            weight: account_entry.map_or(1, |it| it.weight),
+            max_concurrent: account_entry.map_or(1, |it| it.max_concurrent),
         };
         let core = self.core(&request.target());
         core.set_account(account, limits);
@@ -227,56 +232,56 @@
                 quincevalve_routing::Urgency::Interactive => Urgency::Interactive,
                 quincevalve_routing::Urgency::Bulk => Urgency::Bulk,
             },
-            deadline: request.promised_by(),
-            required_time: needs,
-            cost: 1 + request.prompt_tokens() / COST_TOKENS,
+            deadline: request.promise_deadline(),
+            required_time,
+            cost: 1 + request.prompt_tokens() / TOKENS_PER_COST_UNIT,
         }
     }
 
-    fn call_waiting(&mut self, target: &Target) {
+    fn start_waiting_requests(&mut self, target: &Target) {
         while let Some(ticket) = self.core(target).start_next() {
-            let called = self.waiting.remove(&ticket).map(|it| it.send(Called::Start));
+            let result = self.waiting.remove(&ticket).map(|it| it.send(WaitResult::Start));
             // A caller that went away in this moment gives the place back when its guard drops.
-            let _ = called;
+            let _ = result;
         }
     }
 }
 
 /// Prompt tokens that count as one unit of cost against a share.
-const COST_TOKENS: u32 = 512;
+const TOKENS_PER_COST_UNIT: u32 = 512;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum PlaceState {
+enum PermitState {
     Waiting,
     Running,
-    Left,
+    Released,
 }
 
 /// A request's place. Dropping it gives the place back, whatever the request's end.
-pub(crate) struct Place {
-    desk: AdmissionDesk,
+pub(crate) struct AdmissionPermit {
+    admission: AdmissionControl,
     target: Target,
     account: AccountIndex,
     ticket: Ticket,
     since: TimePoint,
-    state: PlaceState,
+    state: PermitState,
 }
 
-impl Drop for Place {
+impl Drop for AdmissionPermit {
     fn drop(&mut self) {
-        let held = self.desk.timer.now() - self.since;
-        let mut desk = self.desk.lock();
+        let held = self.admission.timer.now() - self.since;
+        let mut state = self.admission.lock();
         match self.state {
-            PlaceState::Left => return,
-            PlaceState::Running => desk.core(&self.target).finish(self.account, held),
-            PlaceState::Waiting => {
-                desk.waiting.remove(&self.ticket);
-                if !desk.core(&self.target).cancel(self.ticket) {
+            PermitState::Released => return,
+            PermitState::Running => state.core(&self.target).finish(self.account, held),
+            PermitState::Waiting => {
+                state.waiting.remove(&self.ticket);
+                if !state.core(&self.target).cancel(self.ticket) {
                     // It was called in the moment its caller went away.
-                    desk.core(&self.target).finish(self.account, held);
+                    state.core(&self.target).finish(self.account, held);
                 }
             }
         }
-        desk.call_waiting(&self.target);
+        state.start_waiting_requests(&self.target);
     }
 }
--- a/crates/quincevalve_entry/src/filters/claim.rs
+++ b/crates/quincevalve_entry/src/filters/claim.rs
@@ -30,7 +30,7 @@
 impl Claim {
     /// Only a non-idempotent request under a caller's key needs a claim: without a key no other request
     /// can be its repeat, and this VM alone dispatches it.
-    async fn settle(&self, accepted: Accepted) -> Result<Claimed, Refusal> {
+    async fn obtain_claim(&self, accepted: Accepted) -> Result<Claimed, Refusal> {
         let request = &accepted.request;
         let key = request.key.as_ref().filter(|_| request.execution == Execution::NonIdempotent);
         let Some(key) = key else { return Ok(Claimed::New(accepted)) };
@@ -41,12 +41,13 @@
             at: unix_seconds(),
         };
         let (tx, rx) = oneshot::channel();
-        let settling = Self { shared: Arc::clone(&self.shared) };
+        let filter = Self { shared: Arc::clone(&self.shared) };
         // A task of its own: a caller that goes away must not end a claim half-way. If the claim is
         // granted then, the request was accepted, and is run.
         tokio::spawn(async move {
-            let shared = Arc::clone(&settling.shared);
-            if let Err(Ok(Claimed::New(accepted))) = tx.send(settling.decide(accepted, claim).await)
+            let shared = Arc::clone(&filter.shared);
+            if let Err(Ok(Claimed::New(accepted))) =
+                tx.send(filter.resolve_claim(accepted, claim).await)
             {
                 serve(shared, accepted).await;
             }
@@ -55,17 +56,21 @@
         rx.await.unwrap_or(Err(refusal))
     }
 
-    async fn decide(&self, accepted: Accepted, claim: LedgerClaim) -> Result<Claimed, Refusal> {
-        let verdict = self.ask(claim).await;
+    async fn resolve_claim(
+        &self,
+        accepted: Accepted,
+        claim: LedgerClaim,
+    ) -> Result<Claimed, Refusal> {
+        let verdict = self.request_verdict(claim).await;
         if verdict == Verdict::Granted {
             return Ok(Claimed::New(accepted));
         }
-        let decided = self.refuse_or_attach(&accepted, claim, verdict).await;
+        let result = self.refuse_or_attach(&accepted, claim, verdict).await;
         // Repeats that came to this VM meanwhile wait at this answer: they get the same truth.
-        let end = decided.as_ref().err().cloned().map_or(End::Moved, End::Refused);
+        let end = result.as_ref().err().cloned().map_or(End::Moved, End::Refused);
         accepted.answer.end(end);
         self.shared.answers.forget(accepted.request.id);
-        decided
+        result
     }
 
     async fn refuse_or_attach(
@@ -82,19 +87,19 @@
             // The key may have run under another request, so `not-run` would be a lie.
             Verdict::Unsettled | Verdict::Granted => {
                 let refusal = Refusal::new(RefusalKind::ClaimUnavailable, Outcome::MayHaveRun);
-                Err(refusal.with_retry_after(UNSETTLED_RETRY).with_request(claim.request))
+                Err(refusal.with_retry_after(UNSETTLED_RETRY_AFTER).with_request(claim.request))
             }
         }
     }
 
     /// Asks the slot's owner, or settles it here if that is this VM or can't be asked.
-    async fn ask(&self, claim: LedgerClaim) -> Verdict {
+    async fn request_verdict(&self, claim: LedgerClaim) -> Verdict {
         let shared = &self.shared;
         let slot = claim.key.slot(shared.claims.settings().slots);
         let peers = shared.peers();
         if let Some(owner) = peers.slot_owner(slot, &shared.settings.name) {
-            let limit = shared.claims.settings().claim_timeout;
-            let call = shared.callers.call(owner.address, limit, |client, cx| async move {
+            let timeout = shared.claims.settings().claim_timeout;
+            let call = shared.callers.call(owner.address, timeout, |client, cx| async move {
                 client.claim(cx, claim).await
             });
             match call.await {
@@ -122,7 +127,7 @@
     }
 }
 
-const UNSETTLED_RETRY: Duration = Duration::from_secs(2);
+const UNSETTLED_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 fn unix_seconds() -> u64 {
     let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
@@ -134,14 +139,14 @@
     type Error = Refusal;
 
     async fn apply(&self, admitted: Admitted) -> Result<Claimed, Refusal> {
-        let Admitted { request, place } = admitted;
+        let Admitted { request, permit } = admitted;
         let request = Arc::new(request);
         let answer = Arc::new(Answer::new(request.id));
         let known = Known { request: Arc::clone(&request), answer: Arc::clone(&answer) };
         match self.shared.answers.insert_unless_known(known) {
             KeyState::Free => {
-                let accepted = Accepted { request, answer, place, resume_on: None };
-                self.settle(accepted).await
+                let accepted = Accepted { request, answer, permit, resume_on: None };
+                self.obtain_claim(accepted).await
             }
             KeyState::Same(first) => {
                 Ok(Claimed::Known(Repeat { answer: first.answer, shape: request.shape }))
--- a/crates/quincevalve_entry/src/filters/dispatch.rs
+++ b/crates/quincevalve_entry/src/filters/dispatch.rs
@@ -30,11 +30,11 @@
 pub(crate) struct Dispatched {
     pub(crate) attempt: Attempt,
     pub(crate) response: Response<Incoming>,
-    pub(crate) sent: Sent,
+    pub(crate) in_flight: InFlight,
 }
 
 /// The note in the router that a request is on a server; dropping it takes the note back.
-pub(crate) struct Sent {
+pub(crate) struct InFlight {
     shared: Arc<Shared>,
     pub(crate) server: ServerIndex,
     pub(crate) name: BackendServerName,
@@ -43,7 +43,7 @@
     prompt_done: bool,
 }
 
-impl Sent {
+impl InFlight {
     fn new(shared: &Arc<Shared>, routed: &Routed) -> Self {
         let request = &routed.attempt.request;
         let prompt_tokens = request.prompt_tokens();
@@ -60,7 +60,7 @@
     }
 
     /// Notes that the prompt passed the prefill.
-    pub(crate) fn prompt_done(&mut self) {
+    pub(crate) fn record_prompt_done(&mut self) {
         if !self.prompt_done {
             self.prompt_done = true;
             self.shared.router().record_prefill_finished(self.server, self.prompt_tokens);
@@ -68,9 +68,9 @@
     }
 }
 
-impl Drop for Sent {
+impl Drop for InFlight {
     fn drop(&mut self) {
-        self.prompt_done();
+        self.record_prompt_done();
         self.shared.router().record_finished(self.server);
     }
 }
@@ -80,33 +80,33 @@
     type Error = Failed;
 
     async fn apply(&self, routed: Routed) -> Result<Dispatched, Failed> {
-        let sent = Sent::new(&self.shared, &routed);
+        let in_flight = InFlight::new(&self.shared, &routed);
         let Routed { attempt, address, .. } = routed;
-        attempt.answer.set_server(&sent.name);
+        attempt.answer.set_server(&in_flight.name);
         let request = Arc::clone(&attempt.request);
-        let progress = self.answer_limit(&request);
-        let send = self.send(address, &request, &attempt);
-        let answer = self.shared.timer.timeout(progress, send).await;
-        match answer {
+        let timeout = self.response_timeout(&request);
+        let response = self.send(address, &request, &attempt);
+        let result = self.shared.timer.timeout(timeout, response).await;
+        match result {
             Some(Ok(response)) if response.status().is_success() => {
-                Ok(Dispatched { attempt, response, sent })
+                Ok(Dispatched { attempt, response, in_flight })
             }
-            Some(Ok(response)) => self.refused(attempt, response, sent),
-            Some(Err(error)) => Err(self.not_reached(attempt, &sent, &error)),
-            None => Err(self.silent(attempt, &sent).await),
+            Some(Ok(response)) => self.handle_error_response(attempt, response, in_flight),
+            Some(Err(error)) => Err(self.handle_call_error(attempt, &in_flight, &error)),
+            None => Err(self.handle_timeout(attempt, &in_flight).await),
         }
     }
 }
 
 impl Dispatch {
-    /// How long to wait for the head of an answer: engines send it when they take an order, services
+    /// How long to wait for the head of an answer: engines send it when they take an generate, services
     /// when they have done the work.
-    fn answer_limit(&self, request: &Identified) -> Duration {
+    fn response_timeout(&self, request: &Identified) -> Duration {
         match &request.work {
             Work::Generate(_) => self.shared.settings.pacing.head(),
             Work::Call(call) => {
-                let facts = request.view.inventory.service.get(&call.service);
-                facts.map_or(MAX_SERVICE_WAIT, |it| Duration::from_millis(it.progress_ms))
+                let service_entry = request.view.inventory.service.get(&call.service);
+                service_entry.map_or(MAX_SERVICE_WAIT, |it| Duration::from_millis(it.progress_ms))
             }
         }
     }
@@ -119,7 +119,7 @@
     ) -> Result<Response<Incoming>, CallError> {
         match &request.work {
             Work::Generate(it) => {
-                let order = Generate {
+                let generate = Generate {
                     request_id: request.id,
                     model: it.model.clone(),
                     prompt: it.prompt.clone(),
@@ -130,8 +130,8 @@
                     from: attempt.relay.next(),
                     import: attempt.import.clone(),
                 };
-                let sent = self.shared.engines.generate(address, &order).await;
-                sent.map_err(|error| match error {
+                let result = self.shared.engines.generate(address, &generate).await;
+                result.map_err(|error| match error {
                     EngineError::Call { source } => source,
                     EngineError::Encode { source } => CallError::Decode { address, source },
                 })
@@ -151,71 +151,77 @@
     }
 
     /// The server answered, with an error status.
-    fn refused(
+    fn handle_error_response(
         &self,
         attempt: Attempt,
         response: Response<Incoming>,
-        sent: Sent,
+        in_flight: InFlight,
     ) -> Result<Dispatched, Failed> {
         let headers = response.headers();
         let leaving = header_is(headers, STATE_HEADER, STATE_LEAVING);
         if leaving {
             let incarnation = incarnation_of(headers);
             let mut router = self.shared.router();
-            router.mark_leaving(sent.server, incarnation, LeavingEvidence::OwnAnswer);
+            router.mark_leaving(in_flight.server, incarnation, LeavingEvidence::OwnAnswer);
         }
         if header_is(headers, RAN_HEADER, "no") {
-            let failed = Failed::not_run(attempt.tried(sent.server), Cause::Refused);
-            return Err(if leaving { failed.announced() } else { failed });
+            let failed =
+                Failed::not_run(attempt.with_tried_server(in_flight.server), Cause::Refused);
+            return Err(if leaving { failed.exempt_from_budget() } else { failed });
         }
         // A plain service's own answer, errors included, is the caller's to read.
         let is_call = matches!(attempt.request.work, Work::Call(_));
         if is_call && response.status() != StatusCode::SERVICE_UNAVAILABLE {
-            return Ok(Dispatched { attempt, response, sent });
+            return Ok(Dispatched { attempt, response, in_flight });
         }
-        Err(Failed::may_have_run(attempt.tried(sent.server), Cause::Status))
+        Err(Failed::may_have_run(attempt.with_tried_server(in_flight.server), Cause::Status))
     }
 
-    fn not_reached(&self, attempt: Attempt, sent: &Sent, error: &CallError) -> Failed {
-        log::debug!("{} {}: {error}", attempt.request.id, sent.name);
-        let announced = self.shared.departures.gone_at(sent.name.as_str()).is_some();
-        self.shared.router().record_failure(self.shared.timer.now(), sent.server);
-        let attempt = attempt.tried(sent.server);
+    fn handle_call_error(
+        &self,
+        attempt: Attempt,
+        in_flight: &InFlight,
+        error: &CallError,
+    ) -> Failed {
+        log::debug!("{} {}: {error}", attempt.request.id, in_flight.name);
+        let reclaim_announced = self.shared.departures.gone_at(in_flight.name.as_str()).is_some();
+        self.shared.router().record_failure(self.shared.timer.now(), in_flight.server);
+        let attempt = attempt.with_tried_server(in_flight.server);
         let failed = match error.reach() {
             Reach::NotSent => Failed::not_run(attempt, Cause::Transport),
             Reach::MayHaveArrived => Failed::may_have_run(attempt, Cause::Transport),
         };
-        if announced { failed.announced() } else { failed }
+        if reclaim_announced { failed.exempt_from_budget() } else { failed }
     }
 
     /// No answer at all. A pooled connection may have been forgotten on the way: the server is asked on
     /// a new one, and is passed over only if that is silent too.
-    async fn silent(&self, attempt: Attempt, sent: &Sent) -> Failed {
-        let limit = self.shared.settings.pacing.probe();
+    async fn handle_timeout(&self, attempt: Attempt, in_flight: &InFlight) -> Failed {
+        let timeout = self.shared.settings.pacing.probe();
         let http = self.shared.engines.http();
-        http.mark_unresponsive(sent.address);
-        if http.probe(sent.address, "/v1/load", limit).await {
-            return ask_again(attempt, sent);
+        http.mark_unresponsive(in_flight.address);
+        if http.probe(in_flight.address, "/v1/load", timeout).await {
+            return resend_to_same_server(attempt, in_flight);
         }
-        self.shared.router().record_failure(self.shared.timer.now(), sent.server);
-        Failed::may_have_run(attempt.tried(sent.server), Cause::Silent)
+        self.shared.router().record_failure(self.shared.timer.now(), in_flight.server);
+        Failed::may_have_run(attempt.with_tried_server(in_flight.server), Cause::Silent)
     }
 }
 
 /// The server is well and the connection was not. An engine knows an order by the request's id, so
 /// sending it again on a new connection joins the same run, if there is one.
-fn ask_again(mut attempt: Attempt, sent: &Sent) -> Failed {
-    if matches!(attempt.request.work, Work::Call(_)) || attempt.resumes > MAX_ASKS {
+fn resend_to_same_server(mut attempt: Attempt, in_flight: &InFlight) -> Failed {
+    if matches!(attempt.request.work, Work::Call(_)) || attempt.resumes > MAX_RESENDS {
         return Failed::may_have_run(attempt, Cause::Silent);
     }
     attempt.resumes += 1;
-    attempt.resume_on = Some(sent.server);
-    Failed::may_have_run(attempt, Cause::Silent).announced().resumable()
+    attempt.resume_on = Some(in_flight.server);
+    Failed::may_have_run(attempt, Cause::Silent).exempt_from_budget().resumable()
 }
 
 /// The longest wait for a service that the inventory no longer has.
 const MAX_SERVICE_WAIT: Duration = Duration::from_secs(5);
-const MAX_ASKS: u32 = 2;
+const MAX_RESENDS: u32 = 2;
 
 fn header_is(headers: &HeaderMap, name: &str, value: &str) -> bool {
     headers.get(name).is_some_and(|it| it.as_bytes() == value.as_bytes())
--- a/crates/quincevalve_entry/src/filters/identify.rs
+++ b/crates/quincevalve_entry/src/filters/identify.rs
@@ -19,11 +19,11 @@
 const CLASS_HEADER: &str = "quincevalve-class";
 const EXECUTION_HEADER: &str = "quincevalve-execution";
 const KEY_HEADER: &str = "idempotency-key";
-const MAX_KEY: usize = 255;
+const MAX_KEY_LEN: usize = 255;
 const SERVICE_PREFIX: &str = "/s/";
 
 /// Headers of a caller that are not passed on to a service: they concern this hop, or are secret.
-const OWN_HEADERS: [&str; 9] = [
+const NOT_FORWARDED_HEADERS: [&str; 9] = [
     "authorization",
     "connection",
     "content-length",
@@ -47,9 +47,10 @@
         let view = self.shared.view();
         let account = identify_account(&view, &received.head.headers)?.clone();
         let key = read_key(&received.head.headers)?;
-        let (work, shape, own) = read_work(&view, &received)?;
+        let (work, shape, work_execution) = read_work(&view, &received)?;
         let (class_name, class) = read_class(&view, &account, &received.head.headers)?;
-        let execution = strictest(&received.head.headers, [own, class.execution])?;
+        let execution =
+            strictest_execution(&received.head.headers, [work_execution, class.execution])?;
         Ok(Identified {
             id: self.shared.new_request_id(),
             account,
@@ -77,10 +78,10 @@
 
 fn read_key(headers: &HeaderMap) -> Result<Option<IdempotencyKey>, RefusalKind> {
     let Some(value) = headers.get(KEY_HEADER) else { return Ok(None) };
-    let text = value.to_str().ok().filter(|it| (1..=MAX_KEY).contains(&it.len()));
+    let text = value.to_str().ok().filter(|it| (1..=MAX_KEY_LEN).contains(&it.len()));
     let text = text.ok_or_else(|| RefusalKind::BadRequest {
         param: "Idempotency-Key",
-        message: format!("`Idempotency-Key` has 1 to {MAX_KEY} visible ASCII characters"),
+        message: format!("`Idempotency-Key` has 1 to {MAX_KEY_LEN} visible ASCII characters"),
     })?;
     Ok(Some(text.into()))
 }
@@ -104,11 +105,11 @@
         param: "model",
         message: "`model` is missing".to_owned(),
     })?;
-    let facts = view.inventory.model.get(&ModelName::from(model));
-    let facts = facts.ok_or(RefusalKind::NoSuchModel)?;
-    let wanted = if body.stream { Shape::Stream(shape) } else { Shape::Whole(shape) };
-    let generation = body.into_generation(shape, facts.max_output_tokens)?;
-    Ok((Work::Generate(generation), wanted, Execution::Idempotent))
+    let model_entry = view.inventory.model.get(&ModelName::from(model));
+    let model_entry = model_entry.ok_or(RefusalKind::NoSuchModel)?;
+    let answer_shape = if body.stream { Shape::Stream(shape) } else { Shape::Whole(shape) };
+    let generation = body.into_generation(shape, model_entry.max_output_tokens)?;
+    Ok((Work::Generate(generation), answer_shape, Execution::Idempotent))
 }
 
 fn read_call(view: &View, received: &Received) -> Result<(Work, Shape, Execution), RefusalKind> {
@@ -116,21 +117,21 @@
     let rest = head.uri.path().strip_prefix(SERVICE_PREFIX).unwrap_or_default();
     let (name, path) = rest.split_once('/').unwrap_or((rest, ""));
     let service = ServiceName::from(name);
-    let facts = view.inventory.service.get(&service).ok_or(RefusalKind::NoSuchService)?;
+    let service_entry = view.inventory.service.get(&service).ok_or(RefusalKind::NoSuchService)?;
     let query = head.uri.query().map(|it| format!("?{it}")).unwrap_or_default();
     let call = Call {
         service,
         method: head.method.as_str().to_owned(),
         path: format!("/{path}{query}"),
-        headers: passed_on(head),
+        headers: forwarded_headers(head),
         body: received.body.clone(),
     };
-    Ok((Work::Call(call), Shape::Bytes, facts.execution))
+    Ok((Work::Call(call), Shape::Bytes, service_entry.execution))
 }
 
-fn passed_on(head: &Parts) -> Vec<(String, Vec<u8>)> {
+fn forwarded_headers(head: &Parts) -> Vec<(String, Vec<u8>)> {
     let all = head.headers.iter();
-    all.filter(|it| !OWN_HEADERS.contains(&it.0.as_str()))
+    all.filter(|it| !NOT_FORWARDED_HEADERS.contains(&it.0.as_str()))
         .map(|(name, value)| (name.as_str().to_owned(), value.as_bytes().to_vec()))
         .collect()
 }
@@ -140,10 +141,10 @@
     account: &ClientAccountName,
     headers: &HeaderMap,
 ) -> Result<(ClassName, &'a Class), RefusalKind> {
-    let facts = view.inventory.account.get(account).ok_or(RefusalKind::Unauthorized)?;
+    let account_entry = view.inventory.account.get(account).ok_or(RefusalKind::Unauthorized)?;
     let name = match headers.get(CLASS_HEADER) {
         Some(value) => ClassName::from(value.to_str().unwrap_or_default()),
-        None => facts.default_class.clone(),
+        None => account_entry.default_class.clone(),
     };
     let class = view.inventory.class.get(&name).ok_or_else(|| {
         let known: Vec<_> = view.inventory.class.keys().map(ClassName::as_str).collect();
@@ -155,10 +156,13 @@
     Ok((name, class))
 }
 
-/// The strictest of all marks. A caller's own mark can tighten, never loosen: `idempotent` in the header
+/// The strictest_execution of all declared. A caller's own mark can tighten, never loosen: `idempotent` in the header
 /// has no effect on a service that the inventory marks as non-idempotent.
-fn strictest(headers: &HeaderMap, marks: [Execution; 2]) -> Result<Execution, RefusalKind> {
-    let own = match headers.get(EXECUTION_HEADER).map(http::HeaderValue::as_bytes) {
+fn strictest_execution(
+    headers: &HeaderMap,
+    declared: [Execution; 2],
+) -> Result<Execution, RefusalKind> {
+    let requested = match headers.get(EXECUTION_HEADER).map(http::HeaderValue::as_bytes) {
         None | Some(b"idempotent") => Execution::Idempotent,
         Some(b"non-idempotent") => Execution::NonIdempotent,
         Some(_) => {
@@ -168,5 +172,5 @@
             });
         }
     };
-    Ok(marks.into_iter().fold(own, Execution::max))
+    Ok(declared.into_iter().fold(requested, Execution::max))
 }
--- a/crates/quincevalve_entry/src/filters/relay.rs
+++ b/crates/quincevalve_entry/src/filters/relay.rs
@@ -17,7 +17,7 @@
 use crate::{
     answer::ServiceHead,
     attempt::{Attempt, Cause, Failed},
-    filters::{Dispatched, dispatch::Sent},
+    filters::{Dispatched, dispatch::InFlight},
     pipe::Filter,
     shared::Shared,
 };
@@ -34,16 +34,16 @@
     type Error = Failed;
 
     async fn apply(&self, dispatched: Dispatched) -> Result<Attempt, Failed> {
-        let Dispatched { attempt, response, sent } = dispatched;
+        let Dispatched { attempt, response, in_flight } = dispatched;
         match attempt.request.work {
-            Work::Generate(_) => self.relay_tokens(attempt, response.into_body(), sent).await,
-            Work::Call(_) => self.relay_call(attempt, response, sent).await,
+            Work::Generate(_) => self.relay_tokens(attempt, response.into_body(), in_flight).await,
+            Work::Call(_) => self.relay_call(attempt, response, in_flight).await,
         }
     }
 }
 
 /// What ended the wait for the next bytes.
-enum Step {
+enum StreamEvent {
     Bytes(bytes::Bytes),
     Ended,
     Broken,
@@ -53,7 +53,7 @@
 
 type ReadFrame = Option<Result<http_body::Frame<bytes::Bytes>, hyper::Error>>;
 
-impl From<ReadFrame> for Step {
+impl From<ReadFrame> for StreamEvent {
     fn from(frame: ReadFrame) -> Self {
         match frame {
             Some(Ok(frame)) => Self::Bytes(frame.into_data().unwrap_or_default()),
@@ -93,54 +93,60 @@
         &self,
         mut attempt: Attempt,
         mut body: Incoming,
-        mut sent: Sent,
+        mut in_flight: InFlight,
     ) -> Result<Attempt, Failed> {
         let pacing = self.shared.settings.pacing;
         let mut buffer = EventBuffer::default();
         let mut leaving = LeavingWatch::Armed;
-        let name = sent.name.clone();
+        let name = in_flight.name.clone();
         let announced = self.shared.departures.announced(name.as_str());
         tokio::pin!(announced);
         let mut watchdog = self.shared.timer.watchdog(pacing.first_token_progress());
         loop {
             if self.is_abandoned(&attempt) {
-                return Err(self.cancel(attempt, &sent).await);
+                return Err(self.cancel_abandoned(attempt, &in_flight).await);
             }
-            let step = tokio::select! {
+            let event = tokio::select! {
                 biased;
-                frame = body.frame() => Step::from(frame),
-                gone_at = announced.as_mut(), if leaving.is_due(&attempt) => Step::Leaving(gone_at),
-                () = watchdog.expired() => Step::Silent,
+                frame = body.frame() => StreamEvent::from(frame),
+                shutdown_at = announced.as_mut(), if leaving.is_due(&attempt) => StreamEvent::Leaving(shutdown_at),
+                () = watchdog.expired() => StreamEvent::Silent,
             };
-            match step {
-                Step::Bytes(bytes) => {
+            match event {
+                StreamEvent::Bytes(bytes) => {
                     watchdog.record_progress();
                     buffer.extend(&bytes);
-                    let progress = take_events(&mut attempt, &mut buffer);
-                    if self.note_first(&mut attempt, &mut sent) {
+                    let progress = process_events(&mut attempt, &mut buffer);
+                    if self.record_first_token(&mut attempt, &mut in_flight) {
                         watchdog.record_progress_with_limit(pacing.token_progress());
                     }
                     match progress {
                         Progress::More => {}
                         Progress::Whole => {
-                            self.shared.router().record_success(sent.server);
+                            self.shared.router().record_success(in_flight.server);
                             return Ok(attempt);
                         }
                         Progress::Unsound => {
-                            return Err(self.lost(attempt, &sent, Cause::Unsound).await);
+                            return Err(self
+                                .handle_lost_stream(attempt, &in_flight, Cause::Unsound)
+                                .await);
                         }
                     }
                 }
-                Step::Ended | Step::Broken => {
-                    return Err(self.lost(attempt, &sent, Cause::Transport).await);
+                StreamEvent::Ended | StreamEvent::Broken => {
+                    return Err(self
+                        .handle_lost_stream(attempt, &in_flight, Cause::Transport)
+                        .await);
                 }
-                Step::Silent => return Err(self.lost(attempt, &sent, Cause::Silent).await),
-                Step::Leaving(gone_at) => {
+                StreamEvent::Silent => {
+                    return Err(self.handle_lost_stream(attempt, &in_flight, Cause::Silent).await);
+                }
+                StreamEvent::Leaving(shutdown_at) => {
                     // A completed wait can't be asked again; the next one finds the notice at once.
                     announced.set(self.shared.departures.announced(name.as_str()));
-                    match self.leave_server(&mut attempt, &sent, gone_at).await {
-                        Some(LeaveReason::Moved) => return Err(moved(attempt)),
-                        Some(LeaveReason::TryAgain) => {}
+                    match self.migrate_off_server(&mut attempt, &in_flight, shutdown_at).await {
+                        Some(MigrationStep::Exported) => return Err(failed_after_export(attempt)),
+                        Some(MigrationStep::RetryExport) => {}
                         None => leaving = LeavingWatch::CheckedAt(attempt.relay.next()),
                     }
                 }
@@ -149,11 +155,11 @@
     }
 
     /// Notes the first token's time; `true` if that is now.
-    fn note_first(&self, attempt: &mut Attempt, sent: &mut Sent) -> bool {
+    fn record_first_token(&self, attempt: &mut Attempt, in_flight: &mut InFlight) -> bool {
         if attempt.first_token_at.is_some() || attempt.relay.next().0 == 0 {
             return false;
         }
-        sent.prompt_done();
+        in_flight.record_prompt_done();
         let now = self.shared.timer.now();
         attempt.first_token_at = Some(now);
         let waited = now - attempt.request.arrived;
@@ -174,47 +180,53 @@
             && self.shared.timer.now() - since > grace
     }
 
-    async fn cancel(&self, attempt: Attempt, sent: &Sent) -> Failed {
-        let limit = self.shared.settings.pacing.probe();
+    async fn cancel_abandoned(&self, attempt: Attempt, in_flight: &InFlight) -> Failed {
+        let timeout = self.shared.settings.pacing.probe();
         let id = attempt.request.id;
-        if let Err(error) = self.shared.engines.cancel(sent.address, id, limit).await {
-            log::debug!("{id} {}: cancel: {error}", sent.name);
+        if let Err(error) = self.shared.engines.cancel(in_flight.address, id, timeout).await {
+            log::debug!("{id} {}: cancel: {error}", in_flight.name);
         }
         Failed::may_have_run(attempt, Cause::Abandoned)
     }
 
     /// The stream is lost. The server is probed on a new connection: if it answers, it has the rest of
     /// the answer, and reading on there computes nothing again.
-    async fn lost(&self, mut attempt: Attempt, sent: &Sent, cause: Cause) -> Failed {
+    async fn handle_lost_stream(
+        &self,
+        mut attempt: Attempt,
+        in_flight: &InFlight,
+        cause: Cause,
+    ) -> Failed {
         if cause == Cause::Silent {
-            self.shared.engines.http().mark_unresponsive(sent.address);
+            self.shared.engines.http().mark_unresponsive(in_flight.address);
         }
-        let limit = self.shared.settings.pacing.probe();
-        let answers = self.shared.engines.http().probe(sent.address, "/v1/load", limit).await;
-        let options = self.way_options(&attempt, sent, answers, None);
-        let announced = self.shared.departures.gone_at(sent.name.as_str()).is_some();
+        let timeout = self.shared.settings.pacing.probe();
+        let answers =
+            self.shared.engines.http().probe(in_flight.address, "/v1/load", timeout).await;
+        let options = self.continuation_options(&attempt, in_flight, answers, None);
+        let reclaim_announced = self.shared.departures.gone_at(in_flight.name.as_str()).is_some();
         attempt.relay.restart();
         let may_resume = cause != Cause::Unsound && attempt.resumes < MAX_RESUMES;
         if choose_continuation(&options, &MigrationCosts::default()) == Continuation::Resume
             && may_resume
         {
-            attempt.resume_on = Some(sent.server);
+            attempt.resume_on = Some(in_flight.server);
             attempt.resumes += 1;
-            return Failed::may_have_run(attempt, cause).announced().resumable();
+            return Failed::may_have_run(attempt, cause).exempt_from_budget().resumable();
         }
-        self.shared.router().record_failure(self.shared.timer.now(), sent.server);
+        self.shared.router().record_failure(self.shared.timer.now(), in_flight.server);
         let began = attempt.relay.next().0 > 0;
-        let failed = Failed::may_have_run(attempt.tried(sent.server), cause);
+        let failed = Failed::may_have_run(attempt.with_tried_server(in_flight.server), cause);
         // A stream that began is bound by the number of servers lost, not by load: no budget for it.
-        if announced || began { failed.announced() } else { failed }
+        if reclaim_announced || began { failed.exempt_from_budget() } else { failed }
     }
 
-    fn way_options(
+    fn continuation_options(
         &self,
         attempt: &Attempt,
-        sent: &Sent,
+        in_flight: &InFlight,
         server_answers: bool,
-        server_left: Option<Duration>,
+        time_until_shutdown: Option<Duration>,
     ) -> ContinuationOptions {
         let router = self.shared.router();
         let now = self.shared.timer.now();
@@ -225,52 +237,52 @@
         };
         let answer_tokens = attempt.relay.next().0;
         // The others on the server move at the same time; on average half of them are ahead.
-        let others = router.outstanding(sent.server).saturating_sub(1);
+        let others = router.outstanding(in_flight.server).saturating_sub(1);
         ContinuationOptions {
             queued_migration_tokens: others * (prompt_tokens + answer_tokens) / 2,
             server_answers,
-            time_until_shutdown: server_left,
-            prefix_held: holder.is_some_and(|it| it != sent.server),
+            time_until_shutdown,
+            prefix_held: holder.is_some_and(|it| it != in_flight.server),
             prompt_tokens,
             answer_tokens,
             remaining_tokens: max_tokens.saturating_sub(answer_tokens),
-            token_time: router.spec(sent.server).token_time,
+            token_time: router.spec(in_flight.server).token_time,
         }
     }
 
     /// The server is being taken back. `None` means: keep reading, it will finish in time or there is
     /// nothing better to do.
-    async fn leave_server(
+    async fn migrate_off_server(
         &self,
         attempt: &mut Attempt,
-        sent: &Sent,
-        gone_at: TimePoint,
-    ) -> Option<LeaveReason> {
-        let left = gone_at - self.shared.timer.now();
-        if left.is_zero() {
+        in_flight: &InFlight,
+        shutdown_at: TimePoint,
+    ) -> Option<MigrationStep> {
+        let time_left = shutdown_at - self.shared.timer.now();
+        if time_left.is_zero() {
             // Too late for anything: what the connection does next tells the rest.
             return None;
         }
-        let options = self.way_options(attempt, sent, true, Some(left));
-        let way = choose_continuation(&options, &MigrationCosts::default());
+        let options = self.continuation_options(attempt, in_flight, true, Some(time_left));
+        let continuation = choose_continuation(&options, &MigrationCosts::default());
         let is_billed = attempt.request.execution == Execution::NonIdempotent;
         // Before its first token a billed run can't be moved: starting it elsewhere would be a second run.
-        if way == Continuation::Finish || (is_billed && options.answer_tokens == 0) {
+        if continuation == Continuation::Finish || (is_billed && options.answer_tokens == 0) {
             return None;
         }
-        let limit = self.shared.settings.pacing.probe().min(left);
+        let timeout = self.shared.settings.pacing.probe().min(time_left);
         let id = attempt.request.id;
-        match self.shared.engines.export(sent.address, id, limit).await {
+        match self.shared.engines.export(in_flight.address, id, timeout).await {
             Ok(handle) => {
                 attempt.import = Some(handle);
-                attempt.tried.push(sent.server);
-                Some(LeaveReason::Moved)
+                attempt.tried.push(in_flight.server);
+                Some(MigrationStep::Exported)
             }
             Err(error) => {
-                log::debug!("{id} {}: export: {error}", sent.name);
+                log::debug!("{id} {}: export: {error}", in_flight.name);
                 // A billed run that stays on a server until it goes is lost, so it is tried again.
-                self.shared.timer.after(EXPORT_RETRY).await;
-                Some(LeaveReason::TryAgain)
+                self.shared.timer.after(EXPORT_RETRY_INTERVAL).await;
+                Some(MigrationStep::RetryExport)
             }
         }
     }
@@ -279,9 +291,9 @@
         &self,
         attempt: Attempt,
         response: http::Response<Incoming>,
-        mut sent: Sent,
+        mut in_flight: InFlight,
     ) -> Result<Attempt, Failed> {
-        sent.prompt_done();
+        in_flight.record_prompt_done();
         let (parts, mut body) = response.into_parts();
         let headers = parts.headers.iter().filter(|it| !HOP_HEADERS.contains(&it.0.as_str()));
         let head = ServiceHead {
@@ -291,8 +303,10 @@
                 .collect(),
         };
         let Work::Call(call) = &attempt.request.work else { return Ok(attempt) };
-        let facts = attempt.request.view.inventory.service.get(&call.service);
-        let progress = Duration::from_millis(facts.map_or(MAX_PROGRESS_MS, |it| it.progress_ms));
+        let service_entry = attempt.request.view.inventory.service.get(&call.service);
+        let progress = Duration::from_millis(
+            service_entry.map_or(DEFAULT_PROGRESS_TIMEOUT_MS, |it| it.progress_ms),
+        );
         let mut began = false;
         loop {
             match self.shared.timer.timeout(progress, body.frame()).await {
@@ -309,15 +323,18 @@
                     if !began {
                         attempt.answer.set_head(head);
                     }
-                    self.shared.router().record_success(sent.server);
+                    self.shared.router().record_success(in_flight.server);
                     return Ok(attempt);
                 }
                 // The head went out with the first bytes; from then on another server's answer can't
                 // be joined to them, so the attempt is the last.
                 Some(Some(Err(_))) | None => {
-                    self.shared.router().record_failure(self.shared.timer.now(), sent.server);
-                    let failed = Failed::may_have_run(attempt.tried(sent.server), Cause::Transport);
-                    return Err(if began { failed.last() } else { failed });
+                    self.shared.router().record_failure(self.shared.timer.now(), in_flight.server);
+                    let failed = Failed::may_have_run(
+                        attempt.with_tried_server(in_flight.server),
+                        Cause::Transport,
+                    );
+                    return Err(if began { failed.without_retry() } else { failed });
                 }
             }
         }
@@ -325,32 +342,32 @@
 }
 
 const MAX_RESUMES: u32 = 4;
-const MAX_PROGRESS_MS: u64 = 5_000;
+const DEFAULT_PROGRESS_TIMEOUT_MS: u64 = 5_000;
 
 /// Why the server isn't read on as before.
-enum LeaveReason {
+enum MigrationStep {
     /// Its state can be fetched by another server.
-    Moved,
+    Exported,
     /// Its state could not be exported, and there is time for another try.
-    TryAgain,
+    RetryExport,
 }
 
 /// How long to wait before an export is tried again.
-const EXPORT_RETRY: Duration = Duration::from_millis(50);
+const EXPORT_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-fn moved(mut attempt: Attempt) -> Failed {
+fn failed_after_export(mut attempt: Attempt) -> Failed {
     attempt.relay.restart();
-    Failed::may_have_run(attempt, Cause::Moved).announced().resumable()
+    Failed::may_have_run(attempt, Cause::Moved).exempt_from_budget().resumable()
 }
 
 /// The tokens of one read that passed, one after the other in one text.
 #[derive(Default)]
-struct Passed {
+struct TokenBatch {
     text: String,
     ends: Vec<usize>,
 }
 
-impl Passed {
+impl TokenBatch {
     fn push(&mut self, token: &str) {
         self.text.push_str(token);
         self.ends.push(self.text.len());
@@ -363,11 +380,11 @@
 }
 
 /// Takes all whole events of a read, and appends what passed with one wake-up of the readers.
-fn take_events(attempt: &mut Attempt, buffer: &mut EventBuffer) -> Progress {
-    let mut passed = Passed::default();
+fn process_events(attempt: &mut Attempt, buffer: &mut EventBuffer) -> Progress {
+    let mut batch = TokenBatch::default();
     let progress = loop {
         match buffer.next_event() {
-            Ok(Some(event)) => match take_event(attempt, &event, &mut passed) {
+            Ok(Some(event)) => match process_event(attempt, &event, &mut batch) {
                 Progress::More => {}
                 other => break other,
             },
@@ -375,13 +392,13 @@
             Err(_) => break Progress::Unsound,
         }
     };
-    if !passed.ends.is_empty() {
-        attempt.answer.push_tokens(passed.iter());
+    if !batch.ends.is_empty() {
+        attempt.answer.push_tokens(batch.iter());
     }
     if attempt.relay.is_complete() { Progress::Whole } else { progress }
 }
 
-fn take_event(attempt: &mut Attempt, event: &Event, passed: &mut Passed) -> Progress {
+fn process_event(attempt: &mut Attempt, event: &Event, batch: &mut TokenBatch) -> Progress {
     if event.kind == END_EVENT.as_bytes() {
         let Ok(end) = serde_json::from_slice::<EndEvent>(&event.data) else {
             return Progress::Unsound;
@@ -396,9 +413,9 @@
     };
     match attempt.relay.token(token.id, token.seq, &token.text) {
         Ok(RelayStep::Pass) => {
-            passed.push(&token.text);
+            batch.push(&token.text);
             while let Some(held) = attempt.relay.next_held() {
-                passed.push(&held);
+                batch.push(&held);
             }
             Progress::More
         }
--- a/crates/quincevalve_entry/src/filters/route.rs
+++ b/crates/quincevalve_entry/src/filters/route.rs
@@ -30,7 +30,7 @@
     async fn apply(&self, attempt: Attempt) -> Result<Routed, Failed> {
         let chosen = match attempt.resume_on {
             Some(server) => Ok(server),
-            None => self.choose_patiently(&attempt).await,
+            None => self.choose_or_wait(&attempt).await,
         };
         let Ok(server) = chosen else { return Err(Failed::not_run(attempt, Cause::NoServer)) };
         let name = self.shared.router().name(server).clone();
@@ -42,11 +42,11 @@
 }
 
 /// How long held bulk work waits before it asks again.
-const HOLD: Duration = Duration::from_millis(100);
+const BULK_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Route {
     /// Waits while every server is too full for bulk work, as long as the promise leaves time.
-    async fn choose_patiently(&self, attempt: &Attempt) -> Result<ServerIndex, NoServer> {
+    async fn choose_or_wait(&self, attempt: &Attempt) -> Result<ServerIndex, NoServer> {
         let request = &attempt.request;
         let timer = &self.shared.timer;
         loop {
@@ -59,14 +59,14 @@
             if waited >= request.promise.limit() / 2 {
                 return self.choose(attempt, Urgency::Interactive);
             }
-            timer.after(HOLD).await;
+            timer.after(BULK_RETRY_INTERVAL).await;
         }
     }
 
     fn choose(&self, attempt: &Attempt, urgency: Urgency) -> Result<ServerIndex, NoServer> {
         let request = &attempt.request;
         let target = request.target();
-        let ask = |tried| RoutingRequest {
+        let routing_request = |tried| RoutingRequest {
             now: self.shared.timer.now(),
             pool: &target,
             data_centre: &self.shared.settings.data_centre,
@@ -77,8 +77,8 @@
         };
         let mut router = self.shared.router();
         // Where every server was tried, a tried one that isn't shunned is better than none.
-        let choice = match router.choose(&ask(&attempt.tried)) {
-            Err(NoServer::Unavailable) => router.choose(&ask(&[])),
+        let choice = match router.choose(&routing_request(&attempt.tried)) {
+            Err(NoServer::Unavailable) => router.choose(&routing_request(&[])),
             other => other,
         };
         choice.map(|it| it.server)
--- a/crates/quincevalve_entry/src/filters/settle.rs
+++ b/crates/quincevalve_entry/src/filters/settle.rs
@@ -14,13 +14,13 @@
     attempts: u32,
 ) {
     let now = shared.timer.now();
-    shared.answers.ended(request.id);
+    shared.answers.record_ended(request.id);
     if matches!(end, End::Moved) {
         // The VM that has the request now counts its end.
         return;
     }
-    let good = is_whole(end) && kept_promise(request, now, first_token_at);
-    shared.burn.count(now, &request.account, &request.class, request.id, good);
+    let kept_promise = is_whole(end) && is_promise_kept(request, now, first_token_at);
+    shared.burn.count(now, &request.account, &request.class, request.id, kept_promise);
     let outcome = match end {
         End::Whole => "whole",
         End::Refused(it) => it.outcome.as_str(),
@@ -37,10 +37,14 @@
     );
 }
 
-fn kept_promise(request: &Identified, now: TimePoint, first_token_at: Option<TimePoint>) -> bool {
-    let promised_by = request.promised_by();
+fn is_promise_kept(
+    request: &Identified,
+    now: TimePoint,
+    first_token_at: Option<TimePoint>,
+) -> bool {
+    let promise_deadline = request.promise_deadline();
     match request.promise {
-        Promise::FirstTokenMs(_) => first_token_at.unwrap_or(now) <= promised_by,
-        Promise::CompleteMs(_) => now <= promised_by,
+        Promise::FirstTokenMs(_) => first_token_at.unwrap_or(now) <= promise_deadline,
+        Promise::CompleteMs(_) => now <= promise_deadline,
     }
 }
--- a/crates/quincevalve_entry/src/front.rs
+++ b/crates/quincevalve_entry/src/front.rs
@@ -38,7 +38,7 @@
     listener: TcpListener,
     mut stop: watch::Receiver<bool>,
 ) {
-    let most = shared.settings.limits.connections;
+    let max_connections = shared.settings.limits.connections;
     let connections = Arc::new(Semaphore::new(shared.settings.limits.connections));
     loop {
         let accepted = tokio::select! {
@@ -56,7 +56,7 @@
         });
     }
     // Every permit is back once every connection has ended.
-    let all = connections.acquire_many(most.try_into().unwrap_or(u32::MAX)).await;
+    let all = connections.acquire_many(max_connections.try_into().unwrap_or(u32::MAX)).await;
     drop(all);
 }
 
@@ -68,8 +68,8 @@
 ) {
     let _ = stream.set_nodelay(true);
     let limits = shared.settings.limits;
-    let stalled = Duration::from_millis(limits.caller_progress_ms);
-    let stream = StallGuard::new(stream, shared.timer.clone(), stalled);
+    let stall_timeout = Duration::from_millis(limits.caller_progress_ms);
+    let stream = StallGuard::new(stream, shared.timer.clone(), stall_timeout);
     let service = hyper::service::service_fn(move |req| {
         let shared = Arc::clone(&shared);
         async move {
@@ -78,13 +78,13 @@
                 let refusal = refusal.with_retry_after(Duration::from_secs(1));
                 return Ok::<_, Infallible>(close(refusal.into_response()));
             }
-            Ok(answer(shared, req).await)
+            Ok(respond(shared, req).await)
         }
     });
     let connection = hyper::server::conn::http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(Duration::from_millis(limits.header_ms))
-        .max_buf_size((limits.header_bytes * HEAD_ROOM).max(MIN_BUFFER))
+        .max_buf_size((limits.header_bytes * HEAD_BUFFER_FACTOR).max(MIN_BUFFER_BYTES))
         .serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
     let stopped = async move {
@@ -102,10 +102,10 @@
 
 /// A head of up to so many times the limit is still read, so that its caller gets the typed refusal; what
 /// is larger gets the library's bare status.
-const HEAD_ROOM: usize = 4;
+const HEAD_BUFFER_FACTOR: usize = 4;
 
 /// The smallest buffer that the HTTP library takes.
-const MIN_BUFFER: usize = 8_192;
+const MIN_BUFFER_BYTES: usize = 8_192;
 
 fn close(mut reply: Reply) -> Reply {
     reply.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
@@ -136,7 +136,7 @@
     }
 }
 
-async fn answer(shared: Arc<Shared>, req: Request<Incoming>) -> Reply {
+async fn respond(shared: Arc<Shared>, req: Request<Incoming>) -> Reply {
     let leaving = shared.is_leaving();
     if head_bytes(&req) > shared.settings.limits.header_bytes {
         return close(Refusal::from(RefusalKind::HeadTooLarge).into_response());
@@ -147,7 +147,7 @@
         (Method::GET, "/readyz") if leaving => Ok(text(StatusCode::SERVICE_UNAVAILABLE, "leaving")),
         (Method::GET, "/readyz") => Ok(text(StatusCode::OK, "ready")),
         (Method::GET, "/v1/models") => models(&shared, req.headers()),
-        (Method::GET, path) if path.starts_with(REQUESTS) => {
+        (Method::GET, path) if path.starts_with(REQUESTS_PATH) => {
             let (head, _) = req.into_parts();
             reattach(&shared, &head).await
         }
@@ -165,7 +165,7 @@
     headers.sum::<usize>() + path
 }
 
-const REQUESTS: &str = "/v1/requests/";
+const REQUESTS_PATH: &str = "/v1/requests/";
 
 fn text(status: StatusCode, text: &'static str) -> Reply {
     let mut reply = Response::new(EntryBody::full(text));
@@ -269,7 +269,7 @@
     let mut reply = match shape {
         Shape::Stream(stream) => {
             answer.started().await;
-            refuse_if_nothing(answer)?;
+            refuse_if_empty(answer)?;
             let reader =
                 AnswerReader::events(Arc::clone(answer), shared.timer.clone(), from, stream);
             let mut reply = Response::new(EntryBody::Answer(reader));
@@ -283,7 +283,7 @@
         }
         Shape::Bytes => {
             answer.started().await;
-            refuse_if_nothing(answer)?;
+            refuse_if_empty(answer)?;
             bytes_reply(shared, answer)
         }
     };
@@ -312,7 +312,7 @@
 }
 
 /// The refusal, where an answer ended before anything of it could be sent.
-fn refuse_if_nothing(answer: &Answer) -> Result<(), Refusal> {
+fn refuse_if_empty(answer: &Answer) -> Result<(), Refusal> {
     let refusal = answer.read(|it| match it.end() {
         Some(End::Refused(refusal)) if it.token_count() == 0 && it.head().is_none() => {
             Some(refusal.clone())
@@ -367,7 +367,7 @@
 async fn reattach(shared: &Arc<Shared>, head: &Parts) -> Result<Reply, Refusal> {
     let view = shared.view();
     let account = crate::filters::identify_account(&view, &head.headers)?;
-    let text = head.uri.path().strip_prefix(REQUESTS).unwrap_or_default();
+    let text = head.uri.path().strip_prefix(REQUESTS_PATH).unwrap_or_default();
     let id = text.parse::<RequestId>().map_err(|error| RefusalKind::BadRequest {
         param: "id",
         message: format!("`{text}`: {error}"),
--- a/crates/quincevalve_entry/src/hand_over.rs
+++ b/crates/quincevalve_entry/src/hand_over.rs
@@ -57,7 +57,7 @@
     log::info!("{} running requests are handed over", running.len());
     let moves = running.into_iter().map(|it| hand_over_running(shared, it, wave));
     stream::iter(moves).buffer_unordered(AT_ONCE).collect::<()>().await;
-    let ended = shared.answers.kept_with_key();
+    let ended = shared.answers.ended_with_key();
     let copies = ended.into_iter().map(|it| hand_over_ended(shared, it, deadline, wave));
     stream::iter(copies).buffer_unordered(AT_ONCE).collect::<()>().await;
 }
@@ -67,7 +67,7 @@
         // A call that was sent and may not be repeated ends here or nowhere.
         return;
     }
-    let taken = shared.timer.timeout(RIGHT_LIMIT, known.answer.take_right()).await;
+    let taken = shared.timer.timeout(RIGHT_LIMIT, known.answer.request_release()).await;
     if taken != Some(true) {
         return;
     }
@@ -82,7 +82,7 @@
     match send(shared, record, execution, wave).await {
         HandOverAction::Done { by } => follow_to(shared, &known, &by).await,
         HandOverAction::Keep => {
-            known.answer.regain_right();
+            known.answer.restore_ownership();
             go_on(shared, &known, None);
         }
         HandOverAction::MayHaveRun | HandOverAction::Send { .. } => {
@@ -148,7 +148,7 @@
     log::debug!("request={} is at {by} now", known.request.id);
     let id = known.request.id;
     let answer = Arc::clone(&known.answer);
-    shared.answers.moved(id);
+    shared.answers.mark_moved(id);
     if let Some(found) = remote::find(shared, id).await {
         tokio::spawn(remote::follow(Arc::clone(shared), answer, found));
     } else {
@@ -167,13 +167,13 @@
     }
     let refusal = Refusal::new(RefusalKind::BackendFailed, Outcome::MayHaveRun);
     known.answer.end(End::Refused(refusal.with_request(known.request.id)));
-    shared.answers.ended(known.request.id);
+    shared.answers.record_ended(known.request.id);
 }
 
 /// Goes on with a request here.
 fn go_on(shared: &Arc<Shared>, known: &Known, resume_on: Option<ServerIndex>) {
     let accepted = Accepted {
-        place: shared.admission.taken_over(&known.request),
+        permit: shared.admission.uncounted_permit(&known.request),
         request: Arc::clone(&known.request),
         answer: Arc::clone(&known.answer),
         resume_on,
@@ -253,12 +253,12 @@
                 answer.push_bytes(record.bytes);
             }
             answer.end(End::Whole);
-            shared.answers.ended(known.request.id);
+            shared.answers.record_ended(known.request.id);
         }
         RecordState::MayHaveRun => {
             let refusal = Refusal::new(RefusalKind::BackendFailed, Outcome::MayHaveRun);
             answer.end(End::Refused(refusal.with_request(known.request.id)));
-            shared.answers.ended(known.request.id);
+            shared.answers.record_ended(known.request.id);
         }
     }
 }
--- a/crates/quincevalve_entry/src/openai.rs
+++ b/crates/quincevalve_entry/src/openai.rs
@@ -56,20 +56,27 @@
     pub(crate) fn into_generation(
         self,
         shape: StreamShape,
-        most: u32,
+        max_output_tokens: u32,
     ) -> Result<Generation, RefusalKind> {
         let (prompt, prefix_bytes) = match shape {
             StreamShape::Chat => chat_prompt(self.messages)?,
             StreamShape::Text => text_prompt(self.prompt)?,
         };
-        let wanted = self.max_completion_tokens.or(self.max_tokens).unwrap_or(DEFAULT_MAX_TOKENS);
-        if wanted == 0 {
+        let requested =
+            self.max_completion_tokens.or(self.max_tokens).unwrap_or(DEFAULT_MAX_TOKENS);
+        if requested == 0 {
             return Err(missing("max_tokens", "must be 1 or more"));
         }
-        let prefix = hash_text(&prompt[..floor_boundary(&prompt, prefix_bytes)]);
+        let prefix = hash_text(&prompt[..floor_char_boundary(&prompt, prefix_bytes)]);
         let prompt_tokens = (prompt.len() / BYTES_PER_TOKEN + 1) as u32;
         let model = self.model.unwrap_or_default().as_str().into();
-        Ok(Generation { model, prompt, prefix, prompt_tokens, max_tokens: wanted.min(most) })
+        Ok(Generation {
+            model,
+            prompt,
+            prefix,
+            prompt_tokens,
+            max_tokens: requested.min(max_output_tokens),
+        })
     }
 }
 
@@ -96,7 +103,7 @@
     RefusalKind::BadRequest { param, message: format!("`{param}` {problem}") }
 }
 
-fn floor_boundary(text: &str, at: usize) -> usize {
+fn floor_char_boundary(text: &str, at: usize) -> usize {
     (0..=at.min(text.len())).rev().find(|it| text.is_char_boundary(*it)).unwrap_or(0)
 }
 
@@ -173,22 +180,22 @@
 /// Writes a JSON string without building it elsewhere first.
 fn write_json_text(buffer: &mut BytesMut, text: &str) {
     buffer.extend_from_slice(b"\"");
-    let mut plain = 0;
-    for (at, byte) in text.bytes().enumerate() {
+    let mut unescaped_start = 0;
+    for (index, byte) in text.bytes().enumerate() {
         let needs_escape = byte < 0x20 || byte == b'"' || byte == b'\\';
         if !needs_escape {
             continue;
         }
-        buffer.extend_from_slice(&text.as_bytes()[plain..at]);
+        buffer.extend_from_slice(&text.as_bytes()[unescaped_start..index]);
         match byte {
             b'"' => buffer.extend_from_slice(b"\\\""),
             b'\\' => buffer.extend_from_slice(b"\\\\"),
             b'\n' => buffer.extend_from_slice(b"\\n"),
             _ => drop(write!(buffer, "\\u{byte:04x}")),
         }
-        plain = at + 1;
+        unescaped_start = index + 1;
     }
-    buffer.extend_from_slice(&text.as_bytes()[plain..]);
+    buffer.extend_from_slice(&text.as_bytes()[unescaped_start..]);
     buffer.extend_from_slice(b"\"");
 }
 
--- a/crates/quincevalve_entry/src/pipe.rs
+++ b/crates/quincevalve_entry/src/pipe.rs
@@ -32,8 +32,8 @@
     type Error = First::Error;
 
     async fn apply(&self, input: In) -> Result<Self::Out, Self::Error> {
-        let between = self.first.apply(input).await?;
-        self.second.apply(between).await
+        let intermediate = self.first.apply(input).await?;
+        self.second.apply(intermediate).await
     }
 }
 
--- a/crates/quincevalve_entry/src/request.rs
+++ b/crates/quincevalve_entry/src/request.rs
@@ -8,7 +8,7 @@
 use quincevalve_recovery::{AnswerForm, Work};
 use quincevalve_routing::{ServerIndex, Target, Urgency};
 
-use crate::{answer::Answer, filters::Place, openai::StreamShape, view::View};
+use crate::{answer::Answer, filters::AdmissionPermit, openai::StreamShape, view::View};
 
 /// A request with all its bytes, before anything is known of it.
 pub(crate) struct Received {
@@ -79,15 +79,15 @@
     }
 
     /// When the promise runs out.
-    pub(crate) fn promised_by(&self) -> TimePoint {
+    pub(crate) fn promise_deadline(&self) -> TimePoint {
         self.arrived + self.promise.limit()
     }
 
     /// Until when attempts go on.
     ///
     /// An accepted request is answered in full, late rather than not at all; this bounds how late.
-    pub(crate) fn gives_up_at(&self) -> TimePoint {
-        self.arrived + (self.promise.limit() * PATIENCE).max(MIN_PATIENCE)
+    pub(crate) fn retry_deadline(&self) -> TimePoint {
+        self.arrived + (self.promise.limit() * RETRY_TIME_FACTOR).max(MIN_RETRY_TIME)
     }
 
     pub(crate) fn prefix(&self) -> u64 {
@@ -117,13 +117,13 @@
     }
 }
 
-const PATIENCE: u32 = 4;
-const MIN_PATIENCE: Duration = Duration::from_secs(30);
+const RETRY_TIME_FACTOR: u32 = 4;
+const MIN_RETRY_TIME: Duration = Duration::from_secs(30);
 
-/// Has a place among the requests that run.
+/// Has a permit among the requests that run.
 pub(crate) struct Admitted {
     pub(crate) request: Identified,
-    pub(crate) place: Place,
+    pub(crate) permit: AdmissionPermit,
 }
 
 /// May be dispatched, or is a repeat.
@@ -144,6 +144,6 @@
 pub(crate) struct Accepted {
     pub(crate) request: Arc<Identified>,
     pub(crate) answer: Arc<Answer>,
-    pub(crate) place: Place,
+    pub(crate) permit: AdmissionPermit,
     pub(crate) resume_on: Option<ServerIndex>,
 }
--- a/crates/quincevalve_entry/src/shared.rs
+++ b/crates/quincevalve_entry/src/shared.rs
@@ -19,7 +19,7 @@
 use tokio::sync::watch;
 
 use crate::{
-    answers::Answers, burn::Burn, departures::Departures, filters::AdmissionDesk, peers::Peers,
+    answers::Answers, burn::Burn, departures::Departures, filters::AdmissionControl, peers::Peers,
     settings::EntrySettings, view::View,
 };
 
@@ -28,7 +28,7 @@
     pub(crate) timer: Timer,
     pub(crate) view: watch::Receiver<Arc<View>>,
     pub(crate) router: Mutex<Router<PredictedFirstToken>>,
-    pub(crate) admission: AdmissionDesk,
+    pub(crate) admission: AdmissionControl,
     pub(crate) budget: Mutex<RetryBudget>,
     pub(crate) hedge: Mutex<HedgeDelay>,
     pub(crate) answers: Answers,
