--- a/crates/quincevalve_entry/src/answer.rs
+++ b/crates/quincevalve_entry/src/answer.rs
@@ -1,4 +1,4 @@
-//! The log of one answer: what relays append to and callers read from.
+//! The append-only log of one answer, written by the relay and read by callers.
 
 use std::{
     future::poll_fn,
@@ -15,15 +15,15 @@
 /// How an answer ended.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum End {
-    /// The backend server confirmed that it is whole.
+    /// The backend server confirmed that the answer is complete.
     Whole,
-    /// There is no whole answer; this is the truth about it.
+    /// There is no complete answer; the refusal states the reason and whether the request may have run.
     Refused(Refusal),
-    /// Another entry VM has the request now.
+    /// Another entry VM has taken over the request.
     Moved,
 }
 
-/// The head of a plain service's answer.
+/// Status and headers of a plain service's response.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct ServiceHead {
     pub(crate) status: u16,
@@ -32,11 +32,11 @@
 
 #[derive(Debug, Default)]
 pub(crate) struct AnswerState {
-    /// Texts of all tokens, one after the other.
+    /// Concatenated texts of all tokens.
     text: String,
-    /// Where each token ends in `text`. Compact: a token costs its text and four bytes.
+    /// End offset of each token in `text`. A token takes four bytes in addition to its text.
     ends: Vec<u32>,
-    /// The bytes of a plain service's answer.
+    /// Body chunks of a plain service's response.
     chunks: Vec<Bytes>,
     head: Option<ServiceHead>,
     end: Option<End>,
@@ -46,18 +46,18 @@
     server: Option<BackendServerName>,
 }
 
-/// Whether the right to go on with a request stays on this VM.
+/// Whether this VM owns a request: only the owner may send it to servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Ownership {
-    /// It is here.
+    /// This VM owns the request.
     Held,
-    /// The hand-over asks for it.
+    /// The hand-over to another VM has requested the release.
     Requested,
-    /// It was given up: nothing here sends the request anywhere any more.
+    /// Ownership is released: this VM no longer sends the request to any server.
     Released,
 }
 
-/// One answer. Appending wakes all readers.
+/// One answer. Every update of its content wakes all waiting readers.
 #[derive(Debug)]
 pub(crate) struct Answer {
     id: RequestId,
@@ -87,7 +87,7 @@
         wakers.into_iter().for_each(Waker::wake);
     }
 
-    /// Appends tokens; the relay has put them in order.
+    /// Appends tokens, which the relay has already put in order.
     pub(crate) fn push_tokens<'a>(&self, tokens: impl IntoIterator<Item = &'a str>) {
         self.update(|it| it.push_tokens(tokens));
     }
@@ -100,13 +100,14 @@
         self.update(|it| it.chunks.push(bytes));
     }
 
-    /// Ends the answer. The first end stands: a late one changes nothing that a caller was told.
+    /// Ends the answer. Later calls have no effect, since a caller may already have received the first end.
     pub(crate) fn end(&self, end: End) {
         self.update(|it| {
             it.end.get_or_insert(end);
         });
     }
 
+    /// Returns the sequence number of the next token.
     pub(crate) fn next(&self) -> Sequence {
         Sequence(self.lock().ends.len() as u32)
     }
@@ -115,7 +116,7 @@
         self.lock().end.clone()
     }
 
-    /// Notes the server that the request is being sent to; before the first byte goes out.
+    /// Records the server for the request; called before the first byte is sent to it.
     pub(crate) fn set_server(&self, server: &BackendServerName) {
         self.lock().server = Some(server.clone());
     }
@@ -124,7 +125,7 @@
         self.lock().server.clone()
     }
 
-    /// Asks for the right to go on, and waits until it was given up. `false` if the answer ended first.
+    /// Requests the release of ownership and waits for it. Returns `false` if the answer ended first.
     pub(crate) async fn request_release(&self) -> bool {
         self.ownership.send_if_modified(|it| {
             let held = *it == Ownership::Held;
@@ -140,7 +141,7 @@
         }
     }
 
-    /// Waits until the right is asked for.
+    /// Waits until a release of ownership is requested.
     pub(crate) async fn release_requested(&self) {
         let mut ownership = self.ownership.subscribe();
         let requested = ownership.wait_for(|it| *it == Ownership::Requested).await.is_ok();
@@ -149,28 +150,28 @@
         }
     }
 
-    /// Gives the right up.
+    /// Releases ownership.
     pub(crate) fn release_ownership(&self) {
         self.ownership.send_replace(Ownership::Released);
     }
 
-    /// Takes the right back: nobody else has the request.
+    /// Restores ownership when no other VM has taken over the request.
     pub(crate) fn restore_ownership(&self) {
         self.ownership.send_replace(Ownership::Held);
     }
 
-    /// Bytes that keeping this answer takes.
+    /// Returns the approximate memory size of the content in bytes.
     pub(crate) fn size(&self) -> usize {
         let state = self.lock();
         state.text.len() + state.ends.len() * 4 + state.chunks.iter().map(Bytes::len).sum::<usize>()
     }
 
-    /// Waits for the first token, the head, or the end.
+    /// Waits for the first token, the response head, or the end.
     pub(crate) async fn started(&self) {
         poll_fn(|cx| self.poll_when(cx, AnswerState::has_started)).await;
     }
 
-    /// Waits for the end.
+    /// Waits for the end and returns it.
     pub(crate) async fn finished(&self) -> End {
         poll_fn(|cx| self.poll_when(cx, |it| it.end.is_some())).await;
         self.ended().unwrap_or(End::Moved)
@@ -185,7 +186,7 @@
         Poll::Pending
     }
 
-    /// Reads under the lock; `read` returns `None` to be woken at the next change.
+    /// Reads under the lock. If `read` returns `None`, the task is woken at the next update.
     pub(crate) fn poll_read<T>(
         &self,
         cx: &Context<'_>,
@@ -214,7 +215,7 @@
         state.unread_since = now;
     }
 
-    /// Since when nobody has read; `None` while somebody reads.
+    /// Returns the time since which there is no reader; `None` while there is one.
     pub(crate) fn unread_since(&self) -> Option<TimePoint> {
         let state = self.lock();
         (state.readers == 0).then_some(state.unread_since)
@@ -239,7 +240,7 @@
         }
     }
 
-    /// The tokens from a position on.
+    /// Returns the tokens from position `from`.
     pub(crate) fn tokens_from(&self, from: Sequence) -> impl Iterator<Item = (Sequence, &str)> {
         let first = (from.0 as usize).min(self.ends.len());
         (first..self.ends.len()).map(|index| {
--- a/crates/quincevalve_entry/src/answers.rs
+++ b/crates/quincevalve_entry/src/answers.rs
@@ -1,4 +1,4 @@
-//! All answers of this VM, running and kept for re-attaching.
+//! All answers of this VM: running ones, and ended ones retained for callers that reattach.
 
 use std::{
     collections::{HashMap, HashSet, VecDeque},
@@ -9,7 +9,7 @@
 
 use crate::{answer::Answer, request::Identified, settings::Limits};
 
-/// One request that this VM knows.
+/// A request that this VM knows, with its answer.
 #[derive(Clone)]
 pub(crate) struct Known {
     pub(crate) request: Arc<Identified>,
@@ -27,20 +27,20 @@
     moved: HashSet<RequestId>,
 }
 
-/// Ended answers that are handed over when this VM is taken back.
+/// Maximum number of ended answers that are handed over when this VM is reclaimed.
 const MAX_HANDED_OVER_ANSWERS: usize = 2_000;
 
-/// What stands under a caller's key.
+/// Result of looking up a caller's idempotency key.
 pub(crate) enum KeyState {
-    /// Nothing.
+    /// The key is unused.
     Free,
-    /// The same request.
+    /// The key belongs to the same request.
     Same(Known),
-    /// Another request.
+    /// The key belongs to a different request.
     Other,
 }
 
-/// The table. Ended answers are kept, oldest out first, within the limits.
+/// The table of all answers. Ended answers are retained within the limits; the oldest are evicted first.
 pub(crate) struct Answers {
     table: Mutex<AnswerTable>,
     limits: Limits,
@@ -63,7 +63,8 @@
         table.known.insert(known.request.id, known);
     }
 
-    /// Inserts unless the caller's key is taken; one step, so that two repeats can't both be first.
+    /// Inserts the request unless its key is already used. Check and insertion are atomic, so that of two concurrent
+    /// repeats only one is new.
     pub(crate) fn insert_unless_known(&self, known: Known) -> KeyState {
         let Some(key) = caller_key(&known.request) else {
             self.insert(known);
@@ -88,7 +89,7 @@
         self.lock().known.get(&id).cloned()
     }
 
-    /// Forgets a request, with its key: it was refused and did not run, so a repeat may be new.
+    /// Removes a request and its key: it was refused and did not run, so a repeat counts as a new request.
     pub(crate) fn forget(&self, id: RequestId) {
         let mut table = self.lock();
         if let Some(known) = table.known.remove(&id)
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Notes that an answer ended, and lets the oldest ended ones go.
+    /// Records that an answer ended, and evicts the oldest ended answers beyond the limits.
     pub(crate) fn record_ended(&self, id: RequestId) {
         let mut table = self.lock();
         let Some(known) = table.known.get(&id) else { return };
@@ -113,24 +114,24 @@
         }
     }
 
-    /// Requests that are still running here.
+    /// Returns the requests that are still running on this VM.
     pub(crate) fn running(&self) -> Vec<Known> {
         let table = self.lock();
         let open = table.known.values().filter(|it| it.answer.ended().is_none());
         open.filter(|it| !table.moved.contains(&it.request.id)).cloned().collect()
     }
 
-    /// Notes that another VM has the request now.
+    /// Records that another VM has taken over the request.
     pub(crate) fn mark_moved(&self, id: RequestId) {
         self.lock().moved.insert(id);
     }
 
-    /// Whether another VM has the request now.
+    /// Returns whether another VM has taken over the request.
     pub(crate) fn is_moved(&self, id: RequestId) -> bool {
         self.lock().moved.contains(&id)
     }
 
-    /// Ended answers under a caller's key, the newest first: what a caller is likeliest to ask again.
+    /// Returns ended answers that have an idempotency key, newest first, since callers are most likely to repeat these.
     pub(crate) fn ended_with_key(&self) -> Vec<Known> {
         let table = self.lock();
         let ended = table.ended.iter().rev().filter_map(|it| table.known.get(it));
--- a/crates/quincevalve_entry/src/attempt.rs
+++ b/crates/quincevalve_entry/src/attempt.rs
@@ -1,4 +1,5 @@
-//! Attempts: route → dispatch → relay, until the answer is whole or the truth about it is known.
+//! Runs attempts (route → dispatch → relay) for an accepted request until its answer is complete or no retry is
+//! possible.
 
 use std::sync::Arc;
 
@@ -20,15 +21,19 @@
     shared::Shared,
 };
 
-/// A request on its way to a server, with what earlier attempts left behind.
+/// One attempt to have a server process a request, with the state left by earlier attempts.
 pub(crate) struct Attempt {
     pub(crate) request: Arc<Identified>,
     pub(crate) answer: Arc<Answer>,
     pub(crate) relay: RelayCore,
+    /// Servers that routing avoids while others are available.
     pub(crate) tried: Vec<ServerIndex>,
+    /// Server that holds the run, which the next attempt resumes there.
     pub(crate) resume_on: Option<ServerIndex>,
+    /// Exported state that the next server imports.
     pub(crate) import: Option<KvHandle>,
     pub(crate) first_token_at: Option<TimePoint>,
+    /// Number of times the run was resumed on its server.
     pub(crate) resumes: u32,
 }
 
@@ -47,7 +52,7 @@
         }
     }
 
-    /// Notes a server that the next attempt passes over.
+    /// Adds a server that the next attempt avoids.
     pub(crate) fn with_tried_server(mut self, server: ServerIndex) -> Self {
         self.tried.push(server);
         self
@@ -57,25 +62,25 @@
 /// Why an attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Cause {
-    /// No server could take it.
+    /// No server was available.
     NoServer,
-    /// The server said no before anything ran.
+    /// The server rejected the request before anything ran.
     Refused,
     /// The server answered with an error status.
     Status,
     /// The connection failed.
     Transport,
-    /// Nothing came for too long.
+    /// The server sent nothing within the timeout.
     Silent,
-    /// The stream can't be made whole.
+    /// The stream is invalid, so a complete answer can't be formed from it.
     Unsound,
-    /// Nobody reads the answer any more.
+    /// No caller reads the answer any more.
     Abandoned,
-    /// The server's state was migrated elsewhere.
+    /// The state of the run was exported so that another server can import it.
     Moved,
 }
 
-/// A failed attempt, with all that the next one needs.
+/// A failed attempt, with everything that the next one needs.
 pub(crate) struct Failed {
     pub(crate) attempt: Attempt,
     pub(crate) cause: Cause,
@@ -86,7 +91,7 @@
 }
 
 impl Failed {
-    /// No byte reached a server, or the server said that nothing ran.
+    /// A failure where no byte reached a server, or the server stated that nothing ran.
     pub(crate) const fn not_run(attempt: Attempt, cause: Cause) -> Self {
         let status = ExecutionStatus::NotRun;
         Self {
@@ -99,6 +104,7 @@
         }
     }
 
+    /// A failure after which the request may have run.
     pub(crate) const fn may_have_run(attempt: Attempt, cause: Cause) -> Self {
         let status = ExecutionStatus::MayHaveRun;
         Self {
@@ -111,24 +117,24 @@
         }
     }
 
-    /// The failure says nothing of overload, so it doesn't draw on the retry budget.
+    /// Exempts the retry from the retry budget, since the failure doesn't indicate overload.
     pub(crate) fn exempt_from_budget(self) -> Self {
         Self { exempt_from_budget: true, ..self }
     }
 
-    /// Going on is the same run: the server keeps the generation under the request's id, or handed its
-    /// state on. Non-idempotent work may go on this way.
+    /// Marks the next attempt as a continuation of the same run: the server keeps the generation under the request's
+    /// id, or has exported its state. Non-idempotent work may be resumed in this way.
     pub(crate) fn resumable(self) -> Self {
         Self { resumable: true, ..self }
     }
 
-    /// There must be no further attempt.
+    /// Forbids any further attempt.
     pub(crate) fn without_retry(self) -> Self {
         Self { is_final: true, ..self }
     }
 }
 
-/// Runs an accepted request to its end.
+/// Runs an accepted request until its answer ends, or until another VM takes it over.
 pub(crate) async fn serve(shared: Arc<Shared>, accepted: Accepted) {
     let Accepted { request, answer, permit, resume_on } = accepted;
     let route = Route { shared: Arc::clone(&shared) };
@@ -139,7 +145,7 @@
     let mut attempt = Attempt::new(Arc::clone(&request), Arc::clone(&answer));
     attempt.resume_on = resume_on;
     let mut attempts = 0;
-    // A request that another VM had sent may have run there.
+    // A request that another VM had already sent to a server may have run there.
     let mut earlier_status = match answer.server() {
         Some(_) => ExecutionStatus::MayHaveRun,
         None => ExecutionStatus::NotRun,
@@ -149,7 +155,7 @@
         let applied = tokio::select! {
             biased;
             () = answer.release_requested() => {
-                // Whatever was under way ends here, and only then is the right given up.
+                // Leaving the select cancels the current attempt; ownership is released only after that.
                 drop(permit);
                 answer.release_ownership();
                 return;
@@ -223,11 +229,11 @@
     decide_retry(&failure, &RetryPolicy::default(), &mut shared.budget())
 }
 
-/// The rule that holds for the next attempt.
+/// Returns the execution rule for the next attempt.
 ///
-/// A resumed run is the same run, so the rule against a second one doesn't concern it. Nor does it concern
-/// a run whose state was migrated off its server, when the next server says that nothing ran there: without
-/// this a billed answer was lost when a second wave met its new server.
+/// A resumed run is not a second run, so non-idempotent work may be resumed. The same holds for a run whose state was
+/// migrated off its server when the next server states that nothing ran there: otherwise a billed answer is lost if a
+/// second reclaim wave hits the new server.
 fn effective_execution(
     declared: Execution,
     resumable: bool,
@@ -251,8 +257,8 @@
 mod tests {
     use super::*;
 
-    // The caller is told that a billed report may have run, though it could go on. Its state was migrated on a
-    // notice, and the server chosen next refused it, since a second wave took that one too.
+    // Guards against failing a billed run that can still be resumed: its state was migrated after a reclaim notice, and
+    // the next server rejected it because a second reclaim wave hit that server too.
     #[test]
     fn rejection_does_not_end_a_migrated_run() {
         let billed = Execution::NonIdempotent;
--- a/crates/quincevalve_entry/src/body.rs
+++ b/crates/quincevalve_entry/src/body.rs
@@ -11,11 +11,11 @@
 
 use crate::reader::{AnswerBroken, AnswerReader};
 
-/// An enum and not a boxed trait object: the request path has no `dyn`.
+/// A response body; an enum instead of a boxed trait object, so that the request path has no dynamic dispatch.
 pub(crate) enum EntryBody {
-    /// All at once.
+    /// Bytes that are known in full.
     Full(Full<Bytes>),
-    /// Read from an answer's log as it grows.
+    /// Bytes read from an answer as it grows.
     Answer(AnswerReader),
 }
 
--- a/crates/quincevalve_entry/src/filters.rs
+++ b/crates/quincevalve_entry/src/filters.rs
@@ -1,4 +1,5 @@
-//! The filters of the request path, one file each, in the order in which they stand in the pipe.
+//! The filters of the request path, one per file. The pipe applies identify, admit and claim, and for each attempt
+//! route, dispatch and relay.
 
 mod admit;
 mod claim;
--- a/crates/quincevalve_entry/src/filters/admit.rs
+++ b/crates/quincevalve_entry/src/filters/admit.rs
@@ -1,4 +1,4 @@
-//! Admit: may it run now, must it wait, or is it refused before it costs anything?
+//! Admission: decides whether a request runs now, waits, or is refused before it uses any resources.
 
 use std::{
     collections::HashMap,
@@ -45,11 +45,14 @@
     }
 }
 
+/// `Retry-After` of a refusal by a VM that is leaving.
 const LEAVING_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// `Retry-After` of a refusal for lack of a server.
 const NO_SERVER_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 impl Admit {
-    /// The predicted time from the start to what the class promises.
+    /// Predicts the time from the start of the request to the first token, or to the complete answer if the class
+    /// promises that.
     fn predict(&self, request: &Identified) -> Result<Duration, Refusal> {
         let routing_request = RoutingRequest {
             now: self.shared.timer.now(),
@@ -57,7 +60,7 @@
             data_centre: &self.shared.settings.data_centre,
             prefix: request.prefix(),
             prompt_tokens: request.prompt_tokens(),
-            // Bulk work may have to wait for a server; what is asked here is how long it takes then.
+            // Bulk work may have to wait for a server; this predicts only the time after that wait.
             urgency: quincevalve_routing::Urgency::Interactive,
             tried: &[],
         };
@@ -79,6 +82,7 @@
     refusal.with_retry_after(NO_SERVER_RETRY_AFTER).with_request(request.id)
 }
 
+/// State shared by all clones of an [`AdmissionControl`].
 struct AdmissionState {
     accounts: IndexSet<ClientAccountName>,
     cores: HashMap<Target, Admission>,
@@ -86,13 +90,14 @@
     next_ticket: u64,
 }
 
+/// How the wait in a queue ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum WaitResult {
     Start,
     Expired,
 }
 
-/// The admission cores, one for each target, and the requests that wait at them.
+/// The admission cores, one for each target, and the requests waiting in their queues.
 #[derive(Clone)]
 pub(crate) struct AdmissionControl {
     state: Arc<Mutex<AdmissionState>>,
@@ -114,14 +119,14 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sets how many requests of a target run at once.
+    /// Sets the maximum number of concurrent requests of a target.
     pub(crate) fn set_capacity(&self, target: &Target, capacity: u32) {
         let mut state = self.lock();
         state.core(target).set_capacity(capacity);
         state.start_waiting_requests(target);
     }
 
-    /// Tells waiting requests that can't be done in time any more; they did not run.
+    /// Refuses waiting requests that can no longer meet their deadline; they did not run.
     pub(crate) fn expire(&self, now: TimePoint) {
         let mut state = self.lock();
         let expired: Vec<_> = state.cores.values_mut().flat_map(|it| it.expire(now)).collect();
@@ -132,7 +137,7 @@
         }
     }
 
-    /// A place for a request that another VM admitted: it is counted nowhere here.
+    /// Returns a permit for a request that another VM admitted. It doesn't count towards this VM's capacity or limits.
     pub(crate) fn uncounted_permit(&self, request: &Identified) -> AdmissionPermit {
         AdmissionPermit {
             admission: self.clone(),
@@ -144,12 +149,12 @@
         }
     }
 
-    /// Requests running and waiting, for the shares that peers compute.
+    /// Returns the number of running and waiting requests, from which peers compute shares.
     pub(crate) fn demand(&self) -> u32 {
         self.lock().cores.values().map(Admission::demand).sum()
     }
 
-    /// Enters now, or waits for a place.
+    /// Admits the request at once or after a wait, or refuses it.
     async fn enter(
         &self,
         request: &Identified,
@@ -238,16 +243,17 @@
         }
     }
 
+    /// Starts waiting requests as far as the capacity allows.
     fn start_waiting_requests(&mut self, target: &Target) {
         while let Some(ticket) = self.core(target).start_next() {
             let result = self.waiting.remove(&ticket).map(|it| it.send(WaitResult::Start));
-            // A caller that went away in this moment gives the place back when its guard drops.
+            // If the caller has just disconnected, dropping its permit frees the capacity.
             let _ = result;
         }
     }
 }
 
-/// Prompt tokens that count as one unit of cost against a share.
+/// Number of prompt tokens per unit of cost that counts against an account's share.
 const TOKENS_PER_COST_UNIT: u32 = 512;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -257,7 +263,7 @@
     Released,
 }
 
-/// A request's place. Dropping it gives the place back, whatever the request's end.
+/// A request's place in the queue or among the running requests. Dropping it frees the place however the request ends.
 pub(crate) struct AdmissionPermit {
     admission: AdmissionControl,
     target: Target,
@@ -277,7 +283,7 @@
             PermitState::Waiting => {
                 state.waiting.remove(&self.ticket);
                 if !state.core(&self.target).cancel(self.ticket) {
-                    // It was called in the moment its caller went away.
+                    // The request was started at the moment its caller disconnected.
                     state.core(&self.target).finish(self.account, held);
                 }
             }
--- a/crates/quincevalve_entry/src/filters/claim.rs
+++ b/crates/quincevalve_entry/src/filters/claim.rs
@@ -1,4 +1,4 @@
-//! Claim: may this VM dispatch the request, or is it a repeat?
+//! Claim: decides whether this VM may dispatch the request, or whether it is a repeat of another one.
 
 use std::{
     sync::Arc,
@@ -28,8 +28,8 @@
 }
 
 impl Claim {
-    /// Only a non-idempotent request under a caller's key needs a claim: without a key no other request
-    /// can be its repeat, and this VM alone dispatches it.
+    /// Obtains the claim of a non-idempotent request with an idempotency key; other requests need none. Without a key
+    /// no other request can be a repeat, and only this VM dispatches it.
     async fn obtain_claim(&self, accepted: Accepted) -> Result<Claimed, Refusal> {
         let request = &accepted.request;
         let key = request.key.as_ref().filter(|_| request.execution == Execution::NonIdempotent);
@@ -42,8 +42,8 @@
         };
         let (tx, rx) = oneshot::channel();
         let filter = Self { shared: Arc::clone(&self.shared) };
-        // A task of its own: a caller that goes away must not end a claim half-way. If the claim is
-        // granted then, the request was accepted, and is run.
+        // A separate task, so that a caller that disconnects doesn't interrupt the claim. If the claim is granted after
+        // that, the request is accepted and runs.
         tokio::spawn(async move {
             let shared = Arc::clone(&filter.shared);
             if let Err(Ok(Claimed::New(accepted))) =
@@ -66,7 +66,7 @@
             return Ok(Claimed::New(accepted));
         }
         let result = self.refuse_or_attach(&accepted, claim, verdict).await;
-        // Repeats that came to this VM meanwhile wait at this answer: they get the same truth.
+        // Repeats that arrived at this VM meanwhile wait for this answer and get the same result.
         let end = result.as_ref().err().cloned().map_or(End::Moved, End::Refused);
         accepted.answer.end(end);
         self.shared.answers.forget(accepted.request.id);
@@ -84,7 +84,7 @@
                 Err(Refusal::new(RefusalKind::KeyReused, Outcome::NotRun))
             }
             Verdict::Taken { request: first, .. } => self.attach(accepted, first).await,
-            // The key may have run under another request, so `not-run` would be a lie.
+            // Another request with this key may have run, so the outcome can't be `not-run`.
             Verdict::Unsettled | Verdict::Granted => {
                 let refusal = Refusal::new(RefusalKind::ClaimUnavailable, Outcome::MayHaveRun);
                 Err(refusal.with_retry_after(UNSETTLED_RETRY_AFTER).with_request(claim.request))
@@ -92,7 +92,8 @@
         }
     }
 
-    /// Asks the slot's owner, or settles it here if that is this VM or can't be asked.
+    /// Requests the verdict from the slot's owner. Decides the claim locally if this VM is the owner or the owner is
+    /// unreachable.
     async fn request_verdict(&self, claim: LedgerClaim) -> Verdict {
         let shared = &self.shared;
         let slot = claim.key.slot(shared.claims.settings().slots);
@@ -103,16 +104,17 @@
                 client.claim(cx, claim).await
             });
             match call.await {
-                // The owner asked the store; asking again here would only make the caller wait twice.
+                // The owner has already queried the store; a second query would only double the caller's wait.
                 Ok(verdict) => return verdict,
                 Err(error) => log::debug!("request={}: slot {slot}: {error}", claim.request),
             }
         }
-        // Any VM may settle any claim: the same request under the same key is granted once more, and
-        // to this VM only.
+        // Any VM may decide any claim: a second claim is granted again only to the same request under the same key, and
+        // only this VM holds that request.
         settle_claim(shared, claim).await
     }
 
+    /// Attaches to the answer of the first request, on this VM or another.
     async fn attach(&self, accepted: &Accepted, first: RequestId) -> Result<Claimed, Refusal> {
         let shape = accepted.request.shape;
         if let Some(known) = self.shared.answers.find(first) {
@@ -127,6 +129,7 @@
     }
 }
 
+/// `Retry-After` of a refusal because the claim is undecided.
 const UNSETTLED_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 fn unix_seconds() -> u64 {
--- a/crates/quincevalve_entry/src/filters/dispatch.rs
+++ b/crates/quincevalve_entry/src/filters/dispatch.rs
@@ -1,4 +1,4 @@
-//! Dispatch: send the attempt to its server.
+//! Dispatch: sends the attempt to its server and waits for the head of the response.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -26,14 +26,14 @@
     pub(crate) shared: Arc<Shared>,
 }
 
-/// An attempt that a server has taken.
+/// An attempt that a server has accepted.
 pub(crate) struct Dispatched {
     pub(crate) attempt: Attempt,
     pub(crate) response: Response<Incoming>,
     pub(crate) in_flight: InFlight,
 }
 
-/// The note in the router that a request is on a server; dropping it takes the note back.
+/// The router's record of a request in flight on a server, removed on drop.
 pub(crate) struct InFlight {
     shared: Arc<Shared>,
     pub(crate) server: ServerIndex,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Notes that the prompt passed the prefill.
+    /// Records that the server has finished the prefill of the prompt.
     pub(crate) fn record_prompt_done(&mut self) {
         if !self.prompt_done {
             self.prompt_done = true;
@@ -99,8 +99,8 @@
 }
 
 impl Dispatch {
-    /// How long to wait for the head of an answer: engines send it when they take an generate, services
-    /// when they have done the work.
+    /// Returns the timeout for the head of the response: engines send it when they accept a request, services when they
+    /// have finished the work.
     fn response_timeout(&self, request: &Identified) -> Duration {
         match &request.work {
             Work::Generate(_) => self.shared.settings.pacing.head(),
@@ -140,8 +140,8 @@
                 let req =
                     call_request(address, call).map_err(|source| CallError::Form { source })?;
                 let http = self.shared.engines.http();
-                // A pooled connection can be silent, and then it stays unknown whether the call ran. For
-                // work that may not be repeated a new connection is cheaper than that.
+                // If a pooled connection is dead without notice, it is unknown whether the call ran. Work that must not
+                // be repeated therefore gets a new connection.
                 match request.execution {
                     Execution::NonIdempotent => http.send_fresh(address, req).await,
                     Execution::Idempotent => http.send(address, req).await,
@@ -150,7 +150,7 @@
         }
     }
 
-    /// The server answered, with an error status.
+    /// Handles a response with an error status.
     fn handle_error_response(
         &self,
         attempt: Attempt,
@@ -169,7 +169,7 @@
                 Failed::not_run(attempt.with_tried_server(in_flight.server), Cause::Refused);
             return Err(if leaving { failed.exempt_from_budget() } else { failed });
         }
-        // A plain service's own answer, errors included, is the caller's to read.
+        // A plain service's response, including errors, is passed on to the caller.
         let is_call = matches!(attempt.request.work, Work::Call(_));
         if is_call && response.status() != StatusCode::SERVICE_UNAVAILABLE {
             return Ok(Dispatched { attempt, response, in_flight });
@@ -177,6 +177,7 @@
         Err(Failed::may_have_run(attempt.with_tried_server(in_flight.server), Cause::Status))
     }
 
+    /// Handles a call that failed without a response.
     fn handle_call_error(
         &self,
         attempt: Attempt,
@@ -194,8 +195,8 @@
         if reclaim_announced { failed.exempt_from_budget() } else { failed }
     }
 
-    /// No answer at all. A pooled connection may have been forgotten on the way: the server is asked on
-    /// a new one, and is passed over only if that is silent too.
+    /// Handles a timeout without any response. A pooled connection may have been dropped by the network, so the
+    /// server is probed on a new one and is excluded only if the probe fails too.
     async fn handle_timeout(&self, attempt: Attempt, in_flight: &InFlight) -> Failed {
         let timeout = self.shared.settings.pacing.probe();
         let http = self.shared.engines.http();
@@ -208,8 +209,8 @@
     }
 }
 
-/// The server is well and the connection was not. An engine knows an order by the request's id, so
-/// sending it again on a new connection joins the same run, if there is one.
+/// Sends the request again to a server that responds while the old connection doesn't. An engine identifies a run by
+/// the request's id, so the new request joins the existing run, if there is one.
 fn resend_to_same_server(mut attempt: Attempt, in_flight: &InFlight) -> Failed {
     if matches!(attempt.request.work, Work::Call(_)) || attempt.resumes > MAX_RESENDS {
         return Failed::may_have_run(attempt, Cause::Silent);
@@ -219,8 +220,9 @@
     Failed::may_have_run(attempt, Cause::Silent).exempt_from_budget().resumable()
 }
 
-/// The longest wait for a service that the inventory no longer has.
+/// Response timeout for a service that is no longer in the inventory.
 const MAX_SERVICE_WAIT: Duration = Duration::from_secs(5);
+/// A request is not sent to the same server again once its run was resumed more often than this.
 const MAX_RESENDS: u32 = 2;
 
 fn header_is(headers: &HeaderMap, name: &str, value: &str) -> bool {
--- a/crates/quincevalve_entry/src/filters/identify.rs
+++ b/crates/quincevalve_entry/src/filters/identify.rs
@@ -1,4 +1,4 @@
-//! Identify: whose request is it, and what does it ask for?
+//! Identify: determines the account, the class and the work of a request.
 
 use std::sync::Arc;
 
@@ -19,10 +19,11 @@
 const CLASS_HEADER: &str = "quincevalve-class";
 const EXECUTION_HEADER: &str = "quincevalve-execution";
 const KEY_HEADER: &str = "idempotency-key";
+/// Maximum length of an idempotency key in bytes.
 const MAX_KEY_LEN: usize = 255;
 const SERVICE_PREFIX: &str = "/s/";
 
-/// Headers of a caller that are not passed on to a service: they concern this hop, or are secret.
+/// Request headers that are not forwarded to a service because they concern only this hop or are secret.
 const NOT_FORWARDED_HEADERS: [&str; 9] = [
     "authorization",
     "connection",
@@ -66,7 +67,7 @@
     }
 }
 
-/// Finds the account of a caller's API key.
+/// Returns the account of the caller's API key.
 pub(crate) fn identify_account<'a>(
     view: &'a View,
     headers: &HeaderMap,
@@ -156,8 +157,9 @@
     Ok((name, class))
 }
 
-/// The strictest_execution of all declared. A caller's own mark can tighten, never loosen: `idempotent` in the header
-/// has no effect on a service that the inventory marks as non-idempotent.
+/// Returns the strictest of the declared execution rules and the one in the caller's header. A caller can tighten the
+/// rule but not loosen it: `idempotent` in the header has no effect on a service that the inventory marks as
+/// non-idempotent.
 fn strictest_execution(
     headers: &HeaderMap,
     declared: [Execution; 2],
--- a/crates/quincevalve_entry/src/filters/relay.rs
+++ b/crates/quincevalve_entry/src/filters/relay.rs
@@ -1,4 +1,4 @@
-//! Relay: from the server's stream into the answer's log, each token once and in order.
+//! Relay: copies the server's stream into the answer, each token exactly once and in order.
 
 use std::{sync::Arc, time::Duration};
 
@@ -22,7 +22,7 @@
     shared::Shared,
 };
 
-/// Headers of a service that are not passed back: they concern the hop.
+/// Response headers of a service that are not forwarded because they concern only this hop.
 const HOP_HEADERS: [&str; 4] = ["connection", "keep-alive", "transfer-encoding", "upgrade"];
 
 pub(crate) struct Relay {
@@ -42,7 +42,7 @@
     }
 }
 
-/// What ended the wait for the next bytes.
+/// The event that ended the wait for the next bytes.
 enum StreamEvent {
     Bytes(bytes::Bytes),
     Ended,
@@ -63,7 +63,7 @@
     }
 }
 
-/// Whether a notice about the server still has to be weighed.
+/// Whether a reclaim notice for the server still has to be evaluated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LeavingWatch {
     Armed,
@@ -71,8 +71,8 @@
 }
 
 impl LeavingWatch {
-    /// A notice is weighed once; and once more when the first token has come, since before it a billed
-    /// run can't be moved.
+    /// Returns whether the notice must be evaluated: once, and again after the first token if it was first evaluated
+    /// before that, since a billed run can't be migrated before its first token.
     fn is_due(self, attempt: &Attempt) -> bool {
         match self {
             Self::Armed => true,
@@ -81,7 +81,7 @@
     }
 }
 
-/// What the events in one read amounted to.
+/// State of the stream after the events of one read.
 enum Progress {
     More,
     Whole,
@@ -109,7 +109,8 @@
             let event = tokio::select! {
                 biased;
                 frame = body.frame() => StreamEvent::from(frame),
-                shutdown_at = announced.as_mut(), if leaving.is_due(&attempt) => StreamEvent::Leaving(shutdown_at),
+                shutdown_at = announced.as_mut(), if leaving.is_due(&attempt) =>
+                    StreamEvent::Leaving(shutdown_at),
                 () = watchdog.expired() => StreamEvent::Silent,
             };
             match event {
@@ -142,7 +143,7 @@
                     return Err(self.handle_lost_stream(attempt, &in_flight, Cause::Silent).await);
                 }
                 StreamEvent::Leaving(shutdown_at) => {
-                    // A completed wait can't be asked again; the next one finds the notice at once.
+                    // A completed future must not be polled again; the new one completes at once.
                     announced.set(self.shared.departures.announced(name.as_str()));
                     match self.migrate_off_server(&mut attempt, &in_flight, shutdown_at).await {
                         Some(MigrationStep::Exported) => return Err(failed_after_export(attempt)),
@@ -154,7 +155,7 @@
         }
     }
 
-    /// Notes the first token's time; `true` if that is now.
+    /// Records the time of the first token. Returns `true` if this read contained it.
     fn record_first_token(&self, attempt: &mut Attempt, in_flight: &mut InFlight) -> bool {
         if attempt.first_token_at.is_some() || attempt.relay.next().0 == 0 {
             return false;
@@ -168,10 +169,10 @@
         true
     }
 
-    /// Whether nobody reads any more and nobody came back.
+    /// Returns whether the answer has had no reader for longer than the reattach period.
     ///
-    /// Non-idempotent work is finished all the same: it was started and is billed, and its answer is
-    /// kept for a caller who comes back late.
+    /// Non-idempotent work is never abandoned: it was started and is billed, and its answer is retained for a caller
+    /// that reattaches late.
     fn is_abandoned(&self, attempt: &Attempt) -> bool {
         let Some(since) = attempt.answer.unread_since() else { return false };
         let since = since.max(attempt.request.arrived);
@@ -180,6 +181,7 @@
             && self.shared.timer.now() - since > grace
     }
 
+    /// Cancels the run on the server.
     async fn cancel_abandoned(&self, attempt: Attempt, in_flight: &InFlight) -> Failed {
         let timeout = self.shared.settings.pacing.probe();
         let id = attempt.request.id;
@@ -189,8 +191,8 @@
         Failed::may_have_run(attempt, Cause::Abandoned)
     }
 
-    /// The stream is lost. The server is probed on a new connection: if it answers, it has the rest of
-    /// the answer, and reading on there computes nothing again.
+    /// Handles a lost stream. The server is probed on a new connection: if it responds, it has the rest of the answer,
+    /// and resuming there repeats no computation.
     async fn handle_lost_stream(
         &self,
         mut attempt: Attempt,
@@ -217,7 +219,8 @@
         self.shared.router().record_failure(self.shared.timer.now(), in_flight.server);
         let began = attempt.relay.next().0 > 0;
         let failed = Failed::may_have_run(attempt.with_tried_server(in_flight.server), cause);
-        // A stream that began is bound by the number of servers lost, not by load: no budget for it.
+        // Retries of a stream that has begun are limited by the number of lost servers, not caused by overload, so they
+        // are exempt from the budget.
         if reclaim_announced || began { failed.exempt_from_budget() } else { failed }
     }
 
@@ -236,7 +239,7 @@
             Work::Call(_) => (0, 0),
         };
         let answer_tokens = attempt.relay.next().0;
-        // The others on the server move at the same time; on average half of them are ahead.
+        // The other requests on the server migrate at the same time; on average half of them are ahead in the queue.
         let others = router.outstanding(in_flight.server).saturating_sub(1);
         ContinuationOptions {
             queued_migration_tokens: others * (prompt_tokens + answer_tokens) / 2,
@@ -250,8 +253,8 @@
         }
     }
 
-    /// The server is being taken back. `None` means: keep reading, it will finish in time or there is
-    /// nothing better to do.
+    /// Exports the run's state from a server that is being reclaimed, if that is the best option. Returns `None` if the
+    /// stream should be read on, because it finishes in time or no better option exists.
     async fn migrate_off_server(
         &self,
         attempt: &mut Attempt,
@@ -260,13 +263,13 @@
     ) -> Option<MigrationStep> {
         let time_left = shutdown_at - self.shared.timer.now();
         if time_left.is_zero() {
-            // Too late for anything: what the connection does next tells the rest.
+            // No time for an export; the stream either ends or fails.
             return None;
         }
         let options = self.continuation_options(attempt, in_flight, true, Some(time_left));
         let continuation = choose_continuation(&options, &MigrationCosts::default());
         let is_billed = attempt.request.execution == Execution::NonIdempotent;
-        // Before its first token a billed run can't be moved: starting it elsewhere would be a second run.
+        // A billed run can't be migrated before its first token: starting it elsewhere would be a second run.
         if continuation == Continuation::Finish || (is_billed && options.answer_tokens == 0) {
             return None;
         }
@@ -280,7 +283,7 @@
             }
             Err(error) => {
                 log::debug!("{id} {}: export: {error}", in_flight.name);
-                // A billed run that stays on a server until it goes is lost, so it is tried again.
+                // A billed run that is still on the server at its shutdown is lost, so the export is retried.
                 self.shared.timer.after(EXPORT_RETRY_INTERVAL).await;
                 Some(MigrationStep::RetryExport)
             }
@@ -326,8 +329,8 @@
                     self.shared.router().record_success(in_flight.server);
                     return Ok(attempt);
                 }
-                // The head went out with the first bytes; from then on another server's answer can't
-                // be joined to them, so the attempt is the last.
+                // The head is sent to the caller with the first bytes. A response from another server can't be appended
+                // to those, so there is no further attempt.
                 Some(Some(Err(_))) | None => {
                     self.shared.router().record_failure(self.shared.timer.now(), in_flight.server);
                     let failed = Failed::may_have_run(
@@ -341,18 +344,20 @@
     }
 }
 
+/// Maximum number of times that a run is resumed on its server.
 const MAX_RESUMES: u32 = 4;
+/// Progress timeout in milliseconds for a service that is no longer in the inventory.
 const DEFAULT_PROGRESS_TIMEOUT_MS: u64 = 5_000;
 
-/// Why the server isn't read on as before.
+/// Outcome of an attempt to export the run's state.
 enum MigrationStep {
-    /// Its state can be fetched by another server.
+    /// The state is exported, so another server can import it.
     Exported,
-    /// Its state could not be exported, and there is time for another try.
+    /// The export failed and is retried.
     RetryExport,
 }
 
-/// How long to wait before an export is tried again.
+/// Wait before a failed export is retried.
 const EXPORT_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 fn failed_after_export(mut attempt: Attempt) -> Failed {
@@ -360,7 +365,7 @@
     Failed::may_have_run(attempt, Cause::Moved).exempt_from_budget().resumable()
 }
 
-/// The tokens of one read that passed, one after the other in one text.
+/// The tokens accepted from one read, concatenated into one text.
 #[derive(Default)]
 struct TokenBatch {
     text: String,
@@ -379,7 +384,7 @@
     }
 }
 
-/// Takes all whole events of a read, and appends what passed with one wake-up of the readers.
+/// Processes all complete events of a read, and appends the accepted tokens with a single wake-up of the readers.
 fn process_events(attempt: &mut Attempt, buffer: &mut EventBuffer) -> Progress {
     let mut batch = TokenBatch::default();
     let progress = loop {
--- a/crates/quincevalve_entry/src/filters/route.rs
+++ b/crates/quincevalve_entry/src/filters/route.rs
@@ -1,4 +1,4 @@
-//! Route: which backend server gets this attempt?
+//! Route: chooses the backend server of an attempt.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -15,7 +15,7 @@
     pub(crate) shared: Arc<Shared>,
 }
 
-/// An attempt with its server.
+/// An attempt with the server chosen for it.
 pub(crate) struct Routed {
     pub(crate) attempt: Attempt,
     pub(crate) server: ServerIndex,
@@ -41,11 +41,11 @@
     }
 }
 
-/// How long held bulk work waits before it asks again.
+/// Interval at which waiting bulk work checks again for a server.
 const BULK_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Route {
-    /// Waits while every server is too full for bulk work, as long as the promise leaves time.
+    /// Chooses a server. Waits while every server is too busy for bulk work, up to half of the promised time.
     async fn choose_or_wait(&self, attempt: &Attempt) -> Result<ServerIndex, NoServer> {
         let request = &attempt.request;
         let timer = &self.shared.timer;
@@ -54,7 +54,7 @@
             if chosen != Err(NoServer::Busy) {
                 return chosen;
             }
-            // Past half of its promise it goes wherever there is a server.
+            // After half of the promised time, bulk work takes any available server.
             let waited = timer.now() - request.arrived;
             if waited >= request.promise.limit() / 2 {
                 return self.choose(attempt, Urgency::Interactive);
@@ -76,7 +76,7 @@
             tried,
         };
         let mut router = self.shared.router();
-        // Where every server was tried, a tried one that isn't shunned is better than none.
+        // If every server was tried, a tried one that is still available is better than none.
         let choice = match router.choose(&routing_request(&attempt.tried)) {
             Err(NoServer::Unavailable) => router.choose(&routing_request(&[])),
             other => other,
--- a/crates/quincevalve_entry/src/filters/settle.rs
+++ b/crates/quincevalve_entry/src/filters/settle.rs
@@ -1,11 +1,11 @@
-//! Settle: the end of a request, counted and written down once.
+//! Settle: counts and logs the end of a request, exactly once.
 
 use quincevalve_inventory::Promise;
 use quincevalve_names::TimePoint;
 
 use crate::{answer::End, reader::is_whole, request::Identified, shared::Shared};
 
-/// Notes how a request ended.
+/// Records how a request ended, in the answer table, the error budget, the metrics and the log.
 pub(crate) fn settle(
     shared: &Shared,
     request: &Identified,
@@ -16,7 +16,7 @@
     let now = shared.timer.now();
     shared.answers.record_ended(request.id);
     if matches!(end, End::Moved) {
-        // The VM that has the request now counts its end.
+        // The VM that took over the request counts its end.
         return;
     }
     let kept_promise = is_whole(end) && is_promise_kept(request, now, first_token_at);
@@ -37,6 +37,7 @@
     );
 }
 
+/// Returns whether the promised time was met.
 fn is_promise_kept(
     request: &Identified,
     now: TimePoint,
--- a/crates/quincevalve_entry/src/front.rs
+++ b/crates/quincevalve_entry/src/front.rs
@@ -1,4 +1,4 @@
-//! The callers' side: connections, bodies, paths.
+//! The HTTP interface for callers: connections, request bodies and paths.
 
 use std::{convert::Infallible, sync::Arc, time::Duration};
 
@@ -32,7 +32,7 @@
 
 type Reply = Response<EntryBody>;
 
-/// Accepts callers until `stop` says otherwise, then waits until open connections have ended.
+/// Accepts connections until `stop` is set, then waits until all open connections have ended.
 pub(crate) async fn accept(
     shared: Arc<Shared>,
     listener: TcpListener,
@@ -55,7 +55,7 @@
             drop(permit);
         });
     }
-    // Every permit is back once every connection has ended.
+    // All permits are available again once every connection has ended.
     let all = connections.acquire_many(max_connections.try_into().unwrap_or(u32::MAX)).await;
     drop(all);
 }
@@ -91,7 +91,7 @@
         let _ = stop.wait_for(|it| *it).await;
     };
     tokio::select! {
-        // A caller that goes away in the middle is not an error of this VM.
+        // A caller that disconnects early is not an error of this VM.
         _ = connection.as_mut() => {}
         () = stopped => {
             connection.as_mut().graceful_shutdown();
@@ -100,11 +100,11 @@
     }
 }
 
-/// A head of up to so many times the limit is still read, so that its caller gets the typed refusal; what
-/// is larger gets the library's bare status.
+/// Buffer size as a multiple of the head's size limit. A head that exceeds the limit but fits into the buffer gets a
+/// typed refusal; a larger one gets the HTTP library's bare status.
 const HEAD_BUFFER_FACTOR: usize = 4;
 
-/// The smallest buffer that the HTTP library takes.
+/// Minimum buffer size in bytes that the HTTP library accepts.
 const MIN_BUFFER_BYTES: usize = 8_192;
 
 fn close(mut reply: Reply) -> Reply {
@@ -112,8 +112,8 @@
     reply
 }
 
-/// Serves operators' tools until the runtime ends. A listener of its own, since what it tells names
-/// every account, and callers must not read it.
+/// Serves operators' tools until the runtime ends. It uses a separate listener, because the report names every account
+/// and must not be readable by callers.
 pub(crate) async fn serve_status(shared: Arc<Shared>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else { continue };
@@ -130,7 +130,7 @@
         let connection = hyper::server::conn::http1::Builder::new()
             .serve_connection(TokioIo::new(stream), service);
         tokio::spawn(async move {
-            // A tool that goes away in the middle is not an error of this VM.
+            // A tool that disconnects early is not an error of this VM.
             let _ = connection.await;
         });
     }
@@ -154,11 +154,11 @@
         _ => serve_request(&shared, req).await,
     };
     let reply = reply.unwrap_or_else(Refusal::into_response);
-    // A caller on a kept-alive connection moves on to another VM with its next request.
+    // A caller with a kept-alive connection reconnects to another VM for its next request.
     if leaving { close(reply) } else { reply }
 }
 
-/// Bytes of a request's path and headers.
+/// Returns the size of a request's path and headers in bytes.
 fn head_bytes(req: &Request<Incoming>) -> usize {
     let headers = req.headers().iter().map(|it| it.0.as_str().len() + it.1.len());
     let path = req.uri().path_and_query().map_or(0, |it| it.as_str().len());
@@ -229,7 +229,7 @@
     reply_from(shared, &answer, shape, Sequence(0)).await
 }
 
-/// Reads a body within its limits. Nothing was dispatched yet, so every refusal here is `not-run`.
+/// Reads a body within the size and progress limits. Nothing is dispatched yet, so every refusal here is `not-run`.
 async fn read_body(
     shared: &Shared,
     headers: &HeaderMap,
@@ -258,7 +258,7 @@
     }
 }
 
-/// Forms the reply once it is known whether there is an answer: a refusal keeps its own status.
+/// Builds the reply once it is known whether there is an answer, so that a refusal is sent with its own status.
 async fn reply_from(
     shared: &Arc<Shared>,
     answer: &Arc<Answer>,
@@ -292,7 +292,7 @@
     Ok(reply)
 }
 
-/// Counts a caller that waits for the first token as a reader.
+/// Counts a caller as a reader while it waits for the first token.
 struct ReaderGuard<'a> {
     shared: &'a Shared,
     answer: &'a Answer,
@@ -311,7 +311,7 @@
     }
 }
 
-/// The refusal, where an answer ended before anything of it could be sent.
+/// Returns the refusal as an error if the answer ended before it had any content.
 fn refuse_if_empty(answer: &Answer) -> Result<(), Refusal> {
     let refusal = answer.read(|it| match it.end() {
         Some(End::Refused(refusal)) if it.token_count() == 0 && it.head().is_none() => {
@@ -361,9 +361,9 @@
     reply
 }
 
-/// `GET /v1/requests/{id}?from=N`: reads an answer on, from a position.
+/// Handles `GET /v1/requests/{id}?from=N`, which resumes reading an answer from a position.
 ///
-/// The answer may be at any entry VM: here, where it was accepted, or where it was handed over to.
+/// The answer may be on this VM, on the entry VM that accepted the request, or on one that took it over.
 async fn reattach(shared: &Arc<Shared>, head: &Parts) -> Result<Reply, Refusal> {
     let view = shared.view();
     let account = crate::filters::identify_account(&view, &head.headers)?;
@@ -376,7 +376,7 @@
     let known = shared.answers.find(id);
     let (answer, shape) = match known {
         Some(it) if it.request.account == *account => (it.answer, it.request.shape),
-        // Whoever asks about another account's request learns nothing, not even that it exists.
+        // A request of another account is reported as unknown, so that its existence isn't revealed.
         Some(_) => return Err(no_such_request(id)),
         None => {
             let attached = remote::attach(shared, id, account).await;
--- a/crates/quincevalve_entry/src/openai.rs
+++ b/crates/quincevalve_entry/src/openai.rs
@@ -1,4 +1,4 @@
-//! The OpenAI-compatible shapes: requests in, chunks and whole answers out.
+//! The OpenAI-compatible formats of request bodies, stream chunks and complete responses.
 
 use std::fmt::Write as _;
 
@@ -9,13 +9,14 @@
 
 use crate::{answer::End, refusal::RefusalKind};
 
+/// Token limit for requests that state none.
 const DEFAULT_MAX_TOKENS: u32 = 256;
-/// Bytes of text that stand for one token in predictions.
+/// Bytes per token assumed when estimating the length of a prompt.
 const BYTES_PER_TOKEN: usize = 4;
-/// Bytes of a single-message prompt that count as its shared prefix.
+/// Maximum number of bytes of a single-message prompt that count as its shared prefix.
 const PREFIX_BYTES: usize = 256;
 
-/// Which of the two endpoints a stream belongs to.
+/// The endpoint that determines the format of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StreamShape {
     /// `/v1/chat/completions`.
@@ -24,8 +25,7 @@
     Text,
 }
 
-/// A request body of either endpoint. Fields that quincevalve doesn't use are passed over, since
-/// OpenAI clients send many.
+/// A request body of either endpoint. Unused fields are ignored, since OpenAI clients send many.
 #[derive(Debug, Deserialize)]
 pub(crate) struct CompletionBody {
     pub(crate) model: Option<String>,
@@ -44,7 +44,7 @@
 }
 
 impl CompletionBody {
-    /// Reads a body, naming the field that is wrong.
+    /// Parses a body. The error message names the invalid field.
     pub(crate) fn parse(bytes: &[u8]) -> Result<Self, RefusalKind> {
         serde_json::from_slice(bytes).map_err(|error| RefusalKind::BadRequest {
             param: "body",
@@ -52,7 +52,7 @@
         })
     }
 
-    /// The question to the model.
+    /// Converts the body into the work for the model, limited to `max_output_tokens`.
     pub(crate) fn into_generation(
         self,
         shape: StreamShape,
@@ -107,10 +107,10 @@
     (0..=at.min(text.len())).rev().find(|it| text.is_char_boundary(*it)).unwrap_or(0)
 }
 
-/// Writes the events of one stream.
+/// Encodes the server-sent events of one stream.
 ///
-/// Each event's `id` is the token's position, so that a caller who lost the connection can read on from
-/// there with `GET /v1/requests/{id}?from=N`.
+/// Each event's `id` is the token's position, so that a caller that lost the connection can resume from there with
+/// `GET /v1/requests/{id}?from=N`.
 #[derive(Debug)]
 pub(crate) struct ChunkWriter {
     shape: StreamShape,
@@ -145,7 +145,7 @@
         self.buffer.extend_from_slice(tail);
     }
 
-    /// Writes the end: the stream's end marker only where the answer is whole.
+    /// Writes the end of the stream. `[DONE]` is written only if the answer is complete.
     pub(crate) fn end(&mut self, end: &End, tokens: u32) {
         match end {
             End::Whole => {
@@ -177,7 +177,7 @@
     }
 }
 
-/// Writes a JSON string without building it elsewhere first.
+/// Writes `text` as a JSON string directly into the buffer.
 fn write_json_text(buffer: &mut BytesMut, text: &str) {
     buffer.extend_from_slice(b"\"");
     let mut unescaped_start = 0;
@@ -232,7 +232,7 @@
     total_tokens: u32,
 }
 
-/// A whole answer of either endpoint.
+/// Returns the complete, non-streamed response body of either endpoint.
 pub(crate) fn whole_body(
     id: RequestId,
     shape: StreamShape,
--- a/crates/quincevalve_entry/src/pipe.rs
+++ b/crates/quincevalve_entry/src/pipe.rs
@@ -1,22 +1,22 @@
-//! The request path's layout: filters in a pipe, joined by generics.
+//! Statically typed composition of the filters that form the request path.
 
 use std::future::Future;
 
-/// One filter: takes the output of the one before it, gives the input of the next.
+/// One stage of the request path. Its output is the input of the next stage.
 pub(crate) trait Filter<In>: Sync
 where
     In: Send,
 {
-    /// What the next filter takes.
+    /// Input of the next filter.
     type Out: Send;
-    /// Why the pipe ends here.
+    /// Error that ends the pipe at this filter.
     type Error: Send;
 
-    /// Does this filter's part.
+    /// Processes one input.
     fn apply(&self, input: In) -> impl Future<Output = Result<Self::Out, Self::Error>> + Send;
 }
 
-/// Two filters, one after the other.
+/// Two filters in sequence.
 pub(crate) struct Then<First, Second> {
     first: First,
     second: Second,
@@ -37,7 +37,7 @@
     }
 }
 
-/// Joins two filters.
+/// Returns a filter that applies `first`, then `second` to its output.
 pub(crate) const fn then<First, Second>(first: First, second: Second) -> Then<First, Second> {
     Then { first, second }
 }
--- a/crates/quincevalve_entry/src/refusal.rs
+++ b/crates/quincevalve_entry/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Refusals: what a caller is told when there is no answer, or no whole one.
+//! Error responses for requests that get no answer, or only an incomplete one.
 
 use std::{fmt, time::Duration};
 
@@ -9,58 +9,58 @@
 
 use crate::body::EntryBody;
 
-/// The response header that says whether a refused request can have run.
+/// Response header that states whether a refused request may have run.
 pub(crate) const OUTCOME_HEADER: HeaderName = HeaderName::from_static("quincevalve-outcome");
-/// The response header with the request's id.
+/// Response header with the request's id.
 pub(crate) const REQUEST_HEADER: HeaderName = HeaderName::from_static("quincevalve-request");
 
-/// Why there is no answer.
+/// The reason why a request gets no complete answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RefusalKind {
-    /// A field of the request is missing or wrong.
+    /// A field of the request is missing or invalid.
     BadRequest {
-        /// The field.
+        /// Name of the field.
         param: &'static str,
-        /// What is wrong and what is allowed.
+        /// Description of the problem and of the allowed values.
         message: String,
     },
-    /// No API key, or an unknown one.
+    /// The API key is missing or unknown.
     Unauthorized,
-    /// No such path.
+    /// The path doesn't exist.
     NoSuchPath,
-    /// No such model in the inventory.
+    /// The inventory doesn't contain the model.
     NoSuchModel,
-    /// No such service in the inventory.
+    /// The inventory doesn't contain the service.
     NoSuchService,
-    /// No such request, or its answer is no longer kept.
+    /// The request is unknown, or its answer is no longer retained.
     NoSuchRequest,
-    /// The head is larger than allowed.
+    /// The path and headers exceed the size limit.
     HeadTooLarge,
-    /// The body is larger than allowed.
+    /// The body exceeds the size limit.
     BodyTooLarge,
-    /// The body stopped arriving.
+    /// No part of the body arrived within the timeout.
     SlowBody,
-    /// The body broke off.
+    /// The connection failed before the body was complete.
     BrokenBody,
-    /// Too many connections are open.
+    /// The VM's connection limit is reached.
     TooManyConnections,
-    /// The account has as many requests in flight as it may.
+    /// The account's limit of concurrent requests is reached.
     AccountLimit,
-    /// Too many requests wait.
+    /// The admission queue is full.
     QueueFull,
-    /// The promise of the class can't be kept.
+    /// The time promised by the class can't be met.
     TooLate,
-    /// No server can take the request.
+    /// No server is available for the request.
     NoServer,
-    /// This VM is being stopped or taken back.
+    /// This VM is being stopped or reclaimed.
     Leaving,
-    /// The key was used for another request.
+    /// The idempotency key was already used for a different request.
     KeyReused,
-    /// The claim of a non-idempotent request can't be settled now.
+    /// The claim of a non-idempotent request can't be decided now.
     ClaimUnavailable,
-    /// A request with this key ran, or may have, and its answer is lost.
+    /// A request with this idempotency key ran or may have run, and its answer is lost.
     AlreadyClaimed,
-    /// Every attempt failed.
+    /// All attempts failed.
     BackendFailed,
 }
 
@@ -88,7 +88,7 @@
         }
     }
 
-    /// The `code` of the error body, stable for programs.
+    /// Returns the `code` of the error body, a stable identifier for client programs.
     pub const fn code(&self) -> &'static str {
         match self {
             Self::BadRequest { .. } => "bad_request",
@@ -160,16 +160,16 @@
     }
 }
 
-/// A refusal with its truth.
+/// An error response, which states whether the request may have run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// The reason.
     pub kind: RefusalKind,
-    /// Whether the request can have run.
+    /// Whether the request may have run.
     pub outcome: Outcome,
-    /// When to come back, where that helps.
+    /// Delay before a retry, if one may succeed.
     pub retry_after: Option<Duration>,
-    /// The request, once it has an id.
+    /// The request's id, if one was assigned.
     pub request: Option<RequestId>,
 }
 
@@ -192,7 +192,7 @@
         Self { request: Some(request), ..self }
     }
 
-    /// The error in the shape that OpenAI clients read.
+    /// Returns the error body in the format of the OpenAI API.
     pub(crate) fn to_json(&self) -> Bytes {
         let error = ErrorBody {
             error: ErrorFields {
@@ -203,7 +203,7 @@
                 outcome: self.outcome,
             },
         };
-        // These types always encode; the status and headers carry the truth in any case.
+        // Encoding these types can't fail. The status and the outcome header don't depend on the body.
         serde_json::to_vec(&error).unwrap_or_default().into()
     }
 
--- a/crates/quincevalve_entry/src/request.rs
+++ b/crates/quincevalve_entry/src/request.rs
@@ -1,4 +1,4 @@
-//! A request's typed stages in the pipe.
+//! Types that represent a request at each stage of the request path.
 
 use std::{sync::Arc, time::Duration};
 
@@ -10,14 +10,14 @@
 
 use crate::{answer::Answer, filters::AdmissionPermit, openai::StreamShape, view::View};
 
-/// A request with all its bytes, before anything is known of it.
+/// A request read in full, before it is parsed.
 pub(crate) struct Received {
     pub(crate) head: http::request::Parts,
     pub(crate) body: Bytes,
     pub(crate) arrived: TimePoint,
 }
 
-/// Known: whose it is and what it asks for.
+/// A request with its account, class and parsed work.
 pub(crate) struct Identified {
     pub(crate) id: RequestId,
     pub(crate) account: ClientAccountName,
@@ -31,14 +31,14 @@
     pub(crate) view: Arc<View>,
 }
 
-/// The form in which the caller wants the answer.
+/// The form in which the caller receives the answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Shape {
     /// A stream of OpenAI chunks.
     Stream(StreamShape),
-    /// One OpenAI answer.
+    /// A single OpenAI response body.
     Whole(StreamShape),
-    /// The service's bytes.
+    /// The bytes of a plain service's response.
     Bytes,
 }
 
@@ -67,6 +67,7 @@
 }
 
 impl Identified {
+    /// Returns the model or service that the request is for.
     pub(crate) fn target(&self) -> Target {
         match &self.work {
             Work::Generate(it) => Target::Model(it.model.clone()),
@@ -78,18 +79,20 @@
         if self.promise.is_interactive() { Urgency::Interactive } else { Urgency::Bulk }
     }
 
-    /// When the promise runs out.
+    /// Returns the time by which the class promises the answer.
     pub(crate) fn promise_deadline(&self) -> TimePoint {
         self.arrived + self.promise.limit()
     }
 
-    /// Until when attempts go on.
+    /// Returns the time after which the request is not retried.
     ///
-    /// An accepted request is answered in full, late rather than not at all; this bounds how late.
+    /// An accepted request is answered late rather than not at all; this bounds the delay.
     pub(crate) fn retry_deadline(&self) -> TimePoint {
         self.arrived + (self.promise.limit() * RETRY_TIME_FACTOR).max(MIN_RETRY_TIME)
     }
 
+    /// Returns the hash by which routing finds servers that hold the prompt's prefix. A call has no prefix, so the hash
+    /// of its id is used.
     pub(crate) fn prefix(&self) -> u64 {
         match &self.work {
             Work::Generate(it) => it.prefix,
@@ -97,6 +100,7 @@
         }
     }
 
+    /// Returns the estimated number of tokens in the prompt; 1 for a call.
     pub(crate) fn prompt_tokens(&self) -> u32 {
         match &self.work {
             Work::Generate(it) => it.prompt_tokens,
@@ -104,7 +108,7 @@
         }
     }
 
-    /// A hash of what is asked for, to tell a repeat from another request under the same key.
+    /// Returns a hash of the work, which distinguishes a repeat from a different request under the same key.
     pub(crate) fn fingerprint(&self) -> u64 {
         use quincevalve_names::{hash_text, mix};
         match &self.work {
@@ -117,30 +121,32 @@
     }
 }
 
+/// Time for retries, as a multiple of the promised time.
 const RETRY_TIME_FACTOR: u32 = 4;
+/// Minimum time for retries after the request's arrival.
 const MIN_RETRY_TIME: Duration = Duration::from_secs(30);
 
-/// Has a permit among the requests that run.
+/// A request that holds an admission permit.
 pub(crate) struct Admitted {
     pub(crate) request: Identified,
     pub(crate) permit: AdmissionPermit,
 }
 
-/// May be dispatched, or is a repeat.
+/// The result of the claim filter.
 pub(crate) enum Claimed {
-    /// New here: it is accepted and will be answered.
+    /// A new request, which is accepted and will be answered.
     New(Accepted),
-    /// A repeat: this is the first one's answer.
+    /// A repeat, which gets the answer of the first request.
     Known(Repeat),
 }
 
-/// A repeat of a request that is known.
+/// A repeat of a known request.
 pub(crate) struct Repeat {
     pub(crate) answer: Arc<Answer>,
     pub(crate) shape: Shape,
 }
 
-/// Accepted: from here on it is answered in full, or the truth is told.
+/// An accepted request: it gets a complete answer, or an error that states whether it may have run.
 pub(crate) struct Accepted {
     pub(crate) request: Arc<Identified>,
     pub(crate) answer: Arc<Answer>,
