--- a/crates/quincevalve_admin/src/client.rs
+++ b/crates/quincevalve_admin/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls of the administration API.
+//! HTTP client of the administration API.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -9,70 +9,76 @@
 use serde_json::Value;
 use snafu::{ResultExt, Snafu};
 
-const CONNECT: Duration = Duration::from_secs(2);
-const ANSWER: Duration = Duration::from_secs(15);
+/// Maximum time to connect to the control process.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum time to send the request and receive the whole response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// A call that got no answer.
+/// A call without a complete, valid response.
 #[derive(Debug, Snafu)]
 pub(crate) enum ClientError {
     #[snafu(display("{source}"))]
     Call { source: CallError },
-    #[snafu(display("{server}: no whole answer; ask `change ID` what became of it"))]
-    NoAnswer { server: SocketAddr },
-    #[snafu(display("{server}: not JSON: {source}"))]
-    Unreadable { server: SocketAddr, source: serde_json::Error },
+    #[snafu(display("{address}: no complete response; run `change ID` to query the outcome"))]
+    IncompleteResponse { address: SocketAddr },
+    #[snafu(display("{address}: invalid JSON: {source}"))]
+    InvalidJson { address: SocketAddr, source: serde_json::Error },
 }
 
 impl ClientError {
-    /// Whether the call can't have arrived.
+    /// Returns whether the request was certainly not sent, so that it had no effect.
     pub(crate) fn is_not_sent(&self) -> bool {
         matches!(self, Self::Call { source } if source.reach() == Reach::NotSent)
     }
 }
 
-/// An answer.
-pub(crate) struct Answer {
+/// A response of the administration API.
+pub(crate) struct ApiResponse {
     pub(crate) status: StatusCode,
+    /// Configuration revision from the `ETag` header.
     pub(crate) etag: Option<u64>,
     pub(crate) body: Value,
 }
 
-/// A client of one control process.
+/// A client of the administration API of one control process.
 pub(crate) struct Client {
-    pub(crate) server: SocketAddr,
+    pub(crate) address: SocketAddr,
+    /// Bearer token that authorizes the operator.
     pub(crate) key: String,
 }
 
 impl Client {
+    /// Sends one request on a connection of its own and reads the whole response.
     pub(crate) async fn call(
         &self,
         method: Method,
         path: &str,
         headers: &[(&str, String)],
         body: String,
-    ) -> Result<Answer, ClientError> {
-        let server = self.server;
+    ) -> Result<ApiResponse, ClientError> {
+        let address = self.address;
         let mut builder = Request::builder()
             .method(method)
-            .uri(format!("http://{server}{path}"))
+            .uri(format!("http://{address}{path}"))
             .header(header::AUTHORIZATION, format!("Bearer {}", self.key));
         for (name, value) in headers {
             builder = builder.header(*name, value);
         }
         let req = builder.body(Full::new(Bytes::from(body)));
         let req = req.map_err(|source| CallError::Form { source }).context(CallSnafu)?;
-        let http = HttpClient::new(None, CONNECT);
+        let http = HttpClient::new(None, CONNECT_TIMEOUT);
         let exchange = async {
-            let response = http.send_fresh(server, req).await.context(CallSnafu)?;
+            let response = http.send_fresh(address, req).await.context(CallSnafu)?;
             let (parts, body) = response.into_parts();
-            let body = body.collect().await.map_err(|_| ClientError::NoAnswer { server })?;
+            let body =
+                body.collect().await.map_err(|_| ClientError::IncompleteResponse { address })?;
             let body = serde_json::from_slice(&body.to_bytes());
             let etag = parts.headers.get(header::ETAG).and_then(|it| it.to_str().ok());
             let etag = etag.and_then(|it| it.trim_matches('"').parse().ok());
-            let body = body.context(UnreadableSnafu { server })?;
-            Ok(Answer { status: parts.status, etag, body })
+            let body = body.context(InvalidJsonSnafu { address })?;
+            Ok(ApiResponse { status: parts.status, etag, body })
         };
-        let answered = tokio::time::timeout(ANSWER, exchange).await;
-        answered.unwrap_or(Err(ClientError::NoAnswer { server }))
+        let result = tokio::time::timeout(RESPONSE_TIMEOUT, exchange).await;
+        result.unwrap_or(Err(ClientError::IncompleteResponse { address }))
     }
 }
--- a/crates/quincevalve_admin/src/commands.rs
+++ b/crates/quincevalve_admin/src/commands.rs
@@ -1,4 +1,4 @@
-//! What each command does.
+//! Runs the commands.
 
 use std::{
     fmt::Write as _,
@@ -10,73 +10,81 @@
 use snafu::{ResultExt, Snafu};
 
 use crate::{
-    client::{Answer, Client, ClientError},
+    client::{ApiResponse, Client, ClientError},
     options::{Command, Options},
 };
 
-const DONE: u8 = 0;
-const REFUSED: u8 = 1;
-const CONFLICT: u8 = 3;
-const UNKNOWN: u8 = 4;
-const NOT_REACHED: u8 = 5;
-
-/// A command that came to nothing.
+/// The command succeeded.
+const EXIT_SUCCESS: u8 = 0;
+/// The control process rejected the request or reported findings, or the input file is invalid.
+const EXIT_REJECTED: u8 = 1;
+/// The active revision is not the one that the change is based on.
+const EXIT_CONFLICT: u8 = 3;
+/// Whether the change took effect is unknown.
+const EXIT_UNKNOWN: u8 = 4;
+/// The control process is unreachable or unavailable.
+const EXIT_UNREACHABLE: u8 = 5;
+
+/// An error that prevents a command from completing.
 #[derive(Debug, Snafu)]
-pub(crate) enum Failure {
+pub(crate) enum CommandError {
     #[snafu(display("{}: {source}", file.display()))]
-    File { file: PathBuf, source: std::io::Error },
+    ReadFile { file: PathBuf, source: std::io::Error },
     #[snafu(display("{}: {source}", file.display()))]
-    Syntax { file: PathBuf, source: Box<toml::de::Error> },
+    InvalidToml { file: PathBuf, source: Box<toml::de::Error> },
     #[snafu(display("{source}"))]
     Client { source: ClientError },
-    #[snafu(display("the server has no revision to build on"))]
-    NoRevision,
+    #[snafu(display("the control process reported no configuration revision"))]
+    MissingRevision,
     #[snafu(display("{source}"))]
     Runtime { source: std::io::Error },
 }
 
-impl Failure {
-    pub(crate) fn code(&self) -> u8 {
+impl CommandError {
+    /// Returns the exit code of the process.
+    pub(crate) fn exit_code(&self) -> u8 {
         match self {
-            Self::File { .. } | Self::Syntax { .. } => REFUSED,
-            Self::Client { source } if source.is_not_sent() => NOT_REACHED,
-            Self::Client { .. } => UNKNOWN,
-            Self::NoRevision | Self::Runtime { .. } => NOT_REACHED,
+            Self::ReadFile { .. } | Self::InvalidToml { .. } => EXIT_REJECTED,
+            Self::Client { source } if source.is_not_sent() => EXIT_UNREACHABLE,
+            Self::Client { .. } => EXIT_UNKNOWN,
+            Self::MissingRevision | Self::Runtime { .. } => EXIT_UNREACHABLE,
         }
     }
 }
 
-pub(crate) async fn run(options: &Options) -> Result<u8, Failure> {
-    let client = Client { server: options.server, key: options.key.clone() };
-    let answer = match &options.command {
+/// Runs the command, prints the response and returns the exit code.
+pub(crate) async fn run(options: &Options) -> Result<u8, CommandError> {
+    let client = Client { address: options.control_address, key: options.key.clone() };
+    let response = match &options.command {
         Command::Check(file) | Command::Diff(file) => {
             let body = read_inventory(file)?;
             call(&client, Method::POST, "/v1/config/check", &[], body).await?
         }
-        Command::Apply { file, change, on } => {
+        Command::Apply { file, change_id, base_revision } => {
             let body = read_inventory(file)?;
-            let on = match on {
-                Some(on) => *on,
+            let base_revision = match base_revision {
+                Some(base_revision) => *base_revision,
                 None => current_revision(&client).await?,
             };
-            put(&client, body, on, change.as_deref()).await?
+            put_config(&client, body, base_revision, change_id.as_deref()).await?
         }
-        Command::RollForward { revision, change } => {
+        Command::RollForward { revision, change_id } => {
             let path = format!("/v1/history/{revision}");
-            let old = get(&client, &path).await?;
-            if old.status != StatusCode::OK {
-                return Ok(show(options, &old));
+            let earlier = get(&client, &path).await?;
+            if earlier.status != StatusCode::OK {
+                return Ok(handle_response(options, &earlier));
             }
-            let on = current_revision(&client).await?;
-            put(&client, old.body.to_string(), on, change.as_deref()).await?
+            let base_revision = current_revision(&client).await?;
+            put_config(&client, earlier.body.to_string(), base_revision, change_id.as_deref())
+                .await?
         }
         Command::Change(id) => get(&client, &format!("/v1/changes/{id}")).await?,
         Command::Status => get(&client, "/v1/status").await?,
         Command::History => get(&client, "/v1/history").await?,
-        Command::Drain(server) => drain(&client, "drain", server).await?,
-        Command::Undrain(server) => drain(&client, "undrain", server).await?,
+        Command::Drain(server) => set_drain(&client, "drain", server).await?,
+        Command::Undrain(server) => set_drain(&client, "undrain", server).await?,
     };
-    Ok(show(options, &answer))
+    Ok(handle_response(options, &response))
 }
 
 async fn call(
@@ -85,64 +93,71 @@
     path: &str,
     headers: &[(&str, String)],
     body: String,
-) -> Result<Answer, Failure> {
+) -> Result<ApiResponse, CommandError> {
     client.call(method, path, headers, body).await.context(ClientSnafu)
 }
 
-async fn get(client: &Client, path: &str) -> Result<Answer, Failure> {
+async fn get(client: &Client, path: &str) -> Result<ApiResponse, CommandError> {
     call(client, Method::GET, path, &[], String::new()).await
 }
 
-async fn current_revision(client: &Client) -> Result<u64, Failure> {
-    get(client, "/v1/config").await?.etag.ok_or(Failure::NoRevision)
+async fn current_revision(client: &Client) -> Result<u64, CommandError> {
+    get(client, "/v1/config").await?.etag.ok_or(CommandError::MissingRevision)
 }
 
-async fn put(
+/// Replaces the configuration if its revision is still `base_revision`. Prints the change id first, so that the operator
+/// can query the outcome if the response is lost.
+async fn put_config(
     client: &Client,
     body: String,
-    on: u64,
-    change: Option<&str>,
-) -> Result<Answer, Failure> {
-    let change = change.map_or_else(new_change_id, str::to_owned);
-    eprintln!("change {change}");
-    let headers = [("if-match", format!("\"{on}\"")), ("change-id", change)];
+    base_revision: u64,
+    change_id: Option<&str>,
+) -> Result<ApiResponse, CommandError> {
+    let change_id = change_id.map_or_else(new_change_id, str::to_owned);
+    eprintln!("change {change_id}");
+    let headers = [("if-match", format!("\"{base_revision}\"")), ("change-id", change_id)];
     call(client, Method::PUT, "/v1/config", &headers, body).await
 }
 
-async fn drain(client: &Client, verb: &str, server: &str) -> Result<Answer, Failure> {
+async fn set_drain(
+    client: &Client,
+    operation: &str,
+    server: &str,
+) -> Result<ApiResponse, CommandError> {
     let headers = [("change-id", new_change_id())];
-    call(client, Method::POST, &format!("/v1/{verb}/{server}"), &headers, String::new()).await
+    call(client, Method::POST, &format!("/v1/{operation}/{server}"), &headers, String::new()).await
 }
 
-/// An id that no other change has: the time and this process.
+/// Returns a unique change id: the wall-clock time in nanoseconds and the process id, both in hexadecimal.
 fn new_change_id() -> String {
-    let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
-    let nanos = since.map_or(0, |it| it.as_nanos());
+    let since_epoch = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
+    let nanos = since_epoch.map_or(0, |it| it.as_nanos());
     format!("{nanos:x}-{:x}", std::process::id())
 }
 
-/// Reads an inventory as JSON text; TOML is turned into it.
-fn read_inventory(file: &Path) -> Result<String, Failure> {
-    let text = std::fs::read_to_string(file).context(FileSnafu { file })?;
+/// Reads an inventory as JSON text. Files without the extension `json` are parsed as TOML and converted.
+fn read_inventory(file: &Path) -> Result<String, CommandError> {
+    let text = std::fs::read_to_string(file).context(ReadFileSnafu { file })?;
     if file.extension().is_some_and(|it| it == "json") {
         return Ok(text);
     }
-    let value: Value = toml::from_str(&text).map_err(Box::new).context(SyntaxSnafu { file })?;
+    let value: Value =
+        toml::from_str(&text).map_err(Box::new).context(InvalidTomlSnafu { file })?;
     Ok(value.to_string())
 }
 
-/// Prints an answer and returns the exit code.
-fn show(options: &Options, answer: &Answer) -> u8 {
-    print_answer(options, answer);
-    match answer.status {
-        StatusCode::OK if has_findings(&answer.body) => REFUSED,
-        StatusCode::OK => DONE,
-        StatusCode::PRECONDITION_FAILED => CONFLICT,
-        StatusCode::ACCEPTED | StatusCode::NOT_FOUND if answer.body["result"] == "unknown" => {
-            UNKNOWN
+/// Prints a response and returns the exit code.
+fn handle_response(options: &Options, response: &ApiResponse) -> u8 {
+    print_response(options, response);
+    match response.status {
+        StatusCode::OK if has_findings(&response.body) => EXIT_REJECTED,
+        StatusCode::OK => EXIT_SUCCESS,
+        StatusCode::PRECONDITION_FAILED => EXIT_CONFLICT,
+        StatusCode::ACCEPTED | StatusCode::NOT_FOUND if response.body["result"] == "unknown" => {
+            EXIT_UNKNOWN
         }
-        StatusCode::SERVICE_UNAVAILABLE => NOT_REACHED,
-        _ => REFUSED,
+        StatusCode::SERVICE_UNAVAILABLE => EXIT_UNREACHABLE,
+        _ => EXIT_REJECTED,
     }
 }
 
@@ -150,16 +165,16 @@
     body["findings"].as_array().is_some_and(|it| !it.is_empty())
 }
 
-#[expect(clippy::print_stdout, reason = "the answer is what the operator asked for")]
-fn print_answer(options: &Options, answer: &Answer) {
+#[expect(clippy::print_stdout, reason = "the response goes to stdout")]
+fn print_response(options: &Options, response: &ApiResponse) {
     if options.json {
-        println!("{}", answer.body);
+        println!("{}", response.body);
         return;
     }
-    match (&options.command, answer.status) {
-        (Command::Status, StatusCode::OK) => print!("{}", status_text(&answer.body)),
-        (Command::History, StatusCode::OK) => print!("{}", history_text(&answer.body)),
-        _ => println!("{}", serde_json::to_string_pretty(&answer.body).unwrap_or_default()),
+    match (&options.command, response.status) {
+        (Command::Status, StatusCode::OK) => print!("{}", status_text(&response.body)),
+        (Command::History, StatusCode::OK) => print!("{}", history_text(&response.body)),
+        _ => println!("{}", serde_json::to_string_pretty(&response.body).unwrap_or_default()),
     }
 }
 
@@ -172,20 +187,20 @@
         let _ = writeln!(
             text,
             "{:<28} {:<16} {:<8} revision {:<6} demand {}",
-            plain(&member["name"]),
-            plain(&member["data_centre"]),
-            plain(&member["state"]),
+            display_text(&member["name"]),
+            display_text(&member["data_centre"]),
+            display_text(&member["state"]),
             member["load"]["revision"],
             member["load"]["demand"],
         );
     }
-    for other in body["data_centres"].as_array().into_iter().flatten() {
+    for data_centre in body["data_centres"].as_array().into_iter().flatten() {
         let _ = writeln!(
             text,
             "data centre {:<16} {} members, revision {}",
-            plain(&other["data_centre"]),
-            other["members"],
-            other["revision"],
+            display_text(&data_centre["data_centre"]),
+            data_centre["members"],
+            data_centre["revision"],
         );
     }
     text
@@ -193,19 +208,21 @@
 
 fn history_text(body: &Value) -> String {
     let rows = body.as_array().into_iter().flatten();
-    let line = |row: &Value| {
-        let touched: Vec<_> = row["touched"].as_array().into_iter().flatten().map(plain).collect();
+    let format_row = |row: &Value| {
+        let touched: Vec<_> =
+            row["touched"].as_array().into_iter().flatten().map(display_text).collect();
         format!(
             "{:>6}  {}  by {:<16} {}\n",
             row["revision"],
-            plain(&row["change"]),
-            plain(&row["by"]),
+            display_text(&row["change"]),
+            display_text(&row["by"]),
             touched.join(", "),
         )
     };
-    rows.map(line).collect()
+    rows.map(format_row).collect()
 }
 
-fn plain(value: &Value) -> String {
+/// Returns a JSON string without its quotes, and any other value as JSON.
+fn display_text(value: &Value) -> String {
     value.as_str().map_or_else(|| value.to_string(), str::to_owned)
 }
--- a/crates/quincevalve_admin/src/main.rs
+++ b/crates/quincevalve_admin/src/main.rs
@@ -1,4 +1,4 @@
-//! `quincevalve-admin`: the operators' command line.
+//! `quincevalve-admin`: command-line tool for operators.
 
 mod client;
 mod commands;
@@ -6,7 +6,7 @@
 
 use std::process::ExitCode;
 
-use crate::{commands::Failure, options::Options};
+use crate::{commands::CommandError, options::Options};
 
 fn main() -> ExitCode {
     let options = match Options::parse(std::env::args_os().skip(1).collect()) {
@@ -14,19 +14,19 @@
         Ok(None) => return ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("quincevalve-admin: {error}");
-            return ExitCode::from(options::USAGE);
+            return ExitCode::from(options::EXIT_USAGE);
         }
     };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let outcome = match runtime {
+    let result = match runtime {
         Ok(runtime) => runtime.block_on(commands::run(&options)),
-        Err(source) => Err(Failure::Runtime { source }),
+        Err(source) => Err(CommandError::Runtime { source }),
     };
-    match outcome {
+    match result {
         Ok(code) => ExitCode::from(code),
         Err(error) => {
             eprintln!("quincevalve-admin: {error}");
-            ExitCode::from(error.code())
+            ExitCode::from(error.exit_code())
         }
     }
 }
--- a/crates/quincevalve_admin/src/options.rs
+++ b/crates/quincevalve_admin/src/options.rs
@@ -1,28 +1,30 @@
-//! The command line.
+//! Command-line options.
 
 use std::{ffi::OsString, net::SocketAddr, path::PathBuf};
 
 use snafu::{OptionExt, ResultExt, Snafu};
 
-/// Wrong use of the command line.
-pub(crate) const USAGE: u8 = 2;
+/// Exit code for invalid command-line arguments.
+pub(crate) const EXIT_USAGE: u8 = 2;
 
-/// What the operator asked for.
+/// Parsed command-line options.
 #[derive(Clone, Debug)]
 pub(crate) struct Options {
-    pub(crate) server: SocketAddr,
+    /// Address of the control process.
+    pub(crate) control_address: SocketAddr,
+    /// Bearer token from the key file, without surrounding whitespace.
     pub(crate) key: String,
     pub(crate) json: bool,
     pub(crate) command: Command,
 }
 
-/// A command.
+/// A command with its operands.
 #[derive(Clone, Debug)]
 pub(crate) enum Command {
     Check(PathBuf),
     Diff(PathBuf),
-    Apply { file: PathBuf, change: Option<String>, on: Option<u64> },
-    RollForward { revision: u64, change: Option<String> },
+    Apply { file: PathBuf, change_id: Option<String>, base_revision: Option<u64> },
+    RollForward { revision: u64, change_id: Option<String> },
     Change(String),
     Status,
     History,
@@ -30,43 +32,44 @@
     Undrain(String),
 }
 
-/// A command line that can't be understood.
+/// An error in the command-line arguments or the key file.
 #[derive(Debug, Snafu)]
 pub(crate) enum OptionsError {
     #[snafu(display("{source}; see --help"))]
-    Value { source: pico_args::Error },
+    InvalidValue { source: pico_args::Error },
     #[snafu(display("{}: {source}", file.display()))]
-    KeyFile { file: PathBuf, source: std::io::Error },
-    #[snafu(display("name a command; see --help"))]
-    NoCommand,
-    #[snafu(display("`{name}` is no command; see --help"))]
+    ReadKeyFile { file: PathBuf, source: std::io::Error },
+    #[snafu(display("a command is required; see --help"))]
+    MissingCommand,
+    #[snafu(display("unknown command `{name}`; see --help"))]
     UnknownCommand { name: String },
-    #[snafu(display("`{command}` needs {what}; see --help"))]
-    Missing { command: String, what: &'static str },
+    #[snafu(display("`{command}` requires {operand}; see --help"))]
+    MissingOperand { command: String, operand: &'static str },
     #[snafu(display("unknown argument {}; see --help", argument.display()))]
-    Unknown { argument: OsString },
+    UnknownArgument { argument: OsString },
 }
 
 const HELP: &str = "\
-The operators' command line.
+Administers the configuration of a running system.
 
 Usage: quincevalve-admin --server ADDRESS --key-file FILE [--json] COMMAND
 
 Commands:
-  check FILE             check an inventory (JSON or TOML), change nothing
-  diff FILE              check it and show what it would change
-  apply FILE             put it in force; [--on REVISION] [--change ID]
-  roll-forward REVISION  put an earlier content in force as a new revision; [--change ID]
-  change ID              what became of a change whose answer was lost
-  status                 which node has which revision in force, who is cut off
-  history                the changes, newest first
-  drain SERVER           give a backend server no new work
-  undrain SERVER         give it work again
+  check FILE             validate an inventory (JSON or TOML) without applying it
+  diff FILE              validate an inventory and show what it would change
+  apply FILE             apply an inventory; [--on REVISION] [--change ID]
+  roll-forward REVISION  apply the content of an earlier revision as a new revision; [--change ID]
+  change ID              show the outcome of a change, for example after a lost response
+  status                 show the active revision of each node and which nodes are unreachable
+  history                list changes, newest first
+  drain SERVER           stop sending new requests to a backend server
+  undrain SERVER         send requests to a backend server again
 
-Exit codes: 0 done, 1 refused, 2 wrong use, 3 another change came first, 4 unknown, 5 not reached";
+Exit codes: 0 success, 1 rejected, 2 usage error, 3 conflict with another change, 4 outcome unknown,
+5 control process unreachable";
 
 impl Options {
-    #[expect(clippy::print_stdout, reason = "--help and --version answer on stdout")]
+    #[expect(clippy::print_stdout, reason = "--help and --version print to stdout")]
     pub(crate) fn parse(arguments: Vec<OsString>) -> Result<Option<Self>, OptionsError> {
         let mut arguments = pico_args::Arguments::from_vec(arguments);
         if arguments.contains(["-h", "--help"]) {
@@ -77,45 +80,48 @@
             println!("quincevalve-admin {}", env!("CARGO_PKG_VERSION"));
             return Ok(None);
         }
-        let server = arguments.value_from_str("--server").context(ValueSnafu)?;
-        let file: PathBuf = arguments.value_from_str("--key-file").context(ValueSnafu)?;
-        let key = std::fs::read_to_string(&file).context(KeyFileSnafu { file })?;
+        let control_address = arguments.value_from_str("--server").context(InvalidValueSnafu)?;
+        let file: PathBuf = arguments.value_from_str("--key-file").context(InvalidValueSnafu)?;
+        let key = std::fs::read_to_string(&file).context(ReadKeyFileSnafu { file })?;
         let json = arguments.contains("--json");
-        let change = arguments.opt_value_from_str("--change").context(ValueSnafu)?;
-        let on = arguments.opt_value_from_str("--on").context(ValueSnafu)?;
-        let command = read_command(&mut arguments, change, on)?;
+        let change_id = arguments.opt_value_from_str("--change").context(InvalidValueSnafu)?;
+        let base_revision = arguments.opt_value_from_str("--on").context(InvalidValueSnafu)?;
+        let command = parse_command(&mut arguments, change_id, base_revision)?;
         if let Some(argument) = arguments.finish().into_iter().next() {
-            return UnknownSnafu { argument }.fail();
+            return UnknownArgumentSnafu { argument }.fail();
         }
-        Ok(Some(Self { server, key: key.trim().to_owned(), json, command }))
+        Ok(Some(Self { control_address, key: key.trim().to_owned(), json, command }))
     }
 }
 
-fn read_command(
+fn parse_command(
     arguments: &mut pico_args::Arguments,
-    change: Option<String>,
-    on: Option<u64>,
+    change_id: Option<String>,
+    base_revision: Option<u64>,
 ) -> Result<Command, OptionsError> {
-    let name = arguments.subcommand().context(ValueSnafu)?.context(NoCommandSnafu)?;
-    let mut operand = |what| {
-        let operand: Option<String> = arguments.opt_free_from_str().context(ValueSnafu)?;
-        operand.context(MissingSnafu { command: name.clone(), what })
+    let name = arguments.subcommand().context(InvalidValueSnafu)?.context(MissingCommandSnafu)?;
+    let mut next_operand = |operand| {
+        let value: Option<String> = arguments.opt_free_from_str().context(InvalidValueSnafu)?;
+        value.context(MissingOperandSnafu { command: name.clone(), operand })
     };
     Ok(match name.as_str() {
-        "check" => Command::Check(operand("a file")?.into()),
-        "diff" => Command::Diff(operand("a file")?.into()),
-        "apply" => Command::Apply { file: operand("a file")?.into(), change, on },
+        "check" => Command::Check(next_operand("a file")?.into()),
+        "diff" => Command::Diff(next_operand("a file")?.into()),
+        "apply" => {
+            Command::Apply { file: next_operand("a file")?.into(), change_id, base_revision }
+        }
         "roll-forward" => {
-            let revision = operand("a revision")?;
+            let revision = next_operand("a revision")?;
             let revision = revision.parse().ok();
-            let revision = revision.context(MissingSnafu { command: name, what: "a revision" })?;
-            Command::RollForward { revision, change }
+            let revision =
+                revision.context(MissingOperandSnafu { command: name, operand: "a revision" })?;
+            Command::RollForward { revision, change_id }
         }
-        "change" => Command::Change(operand("a change's id")?),
+        "change" => Command::Change(next_operand("a change id")?),
         "status" => Command::Status,
         "history" => Command::History,
-        "drain" => Command::Drain(operand("a backend server")?),
-        "undrain" => Command::Undrain(operand("a backend server")?),
+        "drain" => Command::Drain(next_operand("a backend server")?),
+        "undrain" => Command::Undrain(next_operand("a backend server")?),
         _ => return UnknownCommandSnafu { name }.fail(),
     })
 }
--- a/crates/quincevalve_burn/src/collect.rs
+++ b/crates/quincevalve_burn/src/collect.rs
@@ -1,4 +1,4 @@
-//! Reading what entry VMs expose.
+//! Fetches burn counts from entry VMs.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -6,26 +6,34 @@
 use quincevalve_entry::BurnReport;
 use quincevalve_ports::HttpClient;
 
-const CONNECT: Duration = Duration::from_secs(1);
-const ANSWER: Duration = Duration::from_secs(3);
+/// Maximum time to connect to an entry VM.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Maximum time until the whole response has arrived.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What came back from each entry VM.
+/// Burn reports of the entry VMs that responded, and the addresses of those that did not.
 pub(crate) struct Collected {
     pub(crate) reports: Vec<BurnReport>,
-    pub(crate) missing: Vec<SocketAddr>,
+    pub(crate) unreachable: Vec<SocketAddr>,
 }
 
-/// Reads all entry VMs.
+/// Requests the burn report of each entry VM, one after the other; failures are printed to stderr.
 pub(crate) async fn collect(entries: &[SocketAddr]) -> Collected {
-    let http = HttpClient::new(None, CONNECT);
-    let mut collected = Collected { reports: Vec::new(), missing: Vec::new() };
+    let http = HttpClient::new(None, CONNECT_TIMEOUT);
+    let mut collected = Collected { reports: Vec::new(), unreachable: Vec::new() };
     for entry in entries {
-        let call = http.call::<(), BurnReport>(Method::GET, *entry, "/internal/burn", None, ANSWER);
+        let call = http.call::<(), BurnReport>(
+            Method::GET,
+            *entry,
+            "/internal/burn",
+            None,
+            RESPONSE_TIMEOUT,
+        );
         match call.await {
             Ok(report) => collected.reports.push(report),
             Err(error) => {
                 eprintln!("quincevalve-burn: {error}");
-                collected.missing.push(*entry);
+                collected.unreachable.push(*entry);
             }
         }
     }
--- a/crates/quincevalve_burn/src/main.rs
+++ b/crates/quincevalve_burn/src/main.rs
@@ -1,4 +1,4 @@
-//! `quincevalve-burn`: the report on service-level burn per client account and class.
+//! `quincevalve-burn`: reports error budgets and burn rates per client account and request class.
 
 mod collect;
 mod options;
@@ -23,14 +23,15 @@
     let collected = runtime.block_on(collect::collect(&options.entries));
     let report = Report::new(options.objective, &collected);
     report.print(options.json);
-    if let Some(file) = &options.svg
-        && let Err(error) = plot::write(file, &report)
+    if let Some(path) = &options.svg_path
+        && let Err(error) = plot::write_svg(path, &report)
     {
         eprintln!("quincevalve-burn: {error}");
         return ExitCode::FAILURE;
     }
-    // A report that some VMs are missing from says so, and is no success for a script.
-    if report.missing.is_empty() { ExitCode::SUCCESS } else { ExitCode::from(INCOMPLETE) }
+    // An incomplete report exits with its own code, so that a script does not take it for a complete one.
+    if report.missing.is_empty() { ExitCode::SUCCESS } else { ExitCode::from(EXIT_INCOMPLETE) }
 }
 
-const INCOMPLETE: u8 = 3;
+/// Exit code when some entry VMs could not be reached.
+const EXIT_INCOMPLETE: u8 = 3;
--- a/crates/quincevalve_burn/src/plot.rs
+++ b/crates/quincevalve_burn/src/plot.rs
@@ -1,4 +1,4 @@
-//! The report as a picture.
+//! Plots burn rates as SVG.
 
 use std::path::{Path, PathBuf};
 
@@ -7,30 +7,30 @@
 
 use crate::report::{Report, WINDOWS};
 
-/// The plot can't be drawn.
+/// The plot could not be drawn or written.
 #[derive(Debug, Snafu)]
-#[snafu(display("{}: the plot can't be drawn", file.display()))]
+#[snafu(display("{}: could not write the plot", path.display()))]
 pub(crate) struct PlotError {
-    file: PathBuf,
+    path: PathBuf,
 }
 
-/// Draws each row's burn rates over the windows.
-pub(crate) fn write(file: &Path, report: &Report) -> Result<(), PlotError> {
-    draw(file, report).map_err(|_| PlotError { file: file.to_owned() })
+/// Writes a plot to `path` with one line per row: its burn rate in each window.
+pub(crate) fn write_svg(path: &Path, report: &Report) -> Result<(), PlotError> {
+    draw(path, report).map_err(|_| PlotError { path: path.to_owned() })
 }
 
-fn draw(file: &Path, report: &Report) -> Result<(), Box<dyn std::error::Error>> {
+fn draw(path: &Path, report: &Report) -> Result<(), Box<dyn std::error::Error>> {
     let rates = report.rows.iter().flat_map(|it| it.burn.iter().copied());
-    let highest = rates.fold(2.0, f64::max);
-    let last = WINDOWS.len() as f64 - 1.0;
-    let area = SVGBackend::new(file, (760, 440)).into_drawing_area();
+    let max_rate = rates.fold(2.0, f64::max);
+    let last_window = WINDOWS.len() as f64 - 1.0;
+    let area = SVGBackend::new(path, (760, 440)).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
-        .caption("Burn rate by window (1 spends the budget exactly)", ("sans-serif", 16))
+        .caption("Burn rate by window (1 uses up the budget exactly)", ("sans-serif", 16))
         .margin(12)
         .x_label_area_size(32)
         .y_label_area_size(48)
-        .build_cartesian_2d(0.0..last, 0.0..highest * 1.1)?;
+        .build_cartesian_2d(0.0..last_window, 0.0..max_rate * 1.1)?;
     chart
         .configure_mesh()
         .x_labels(WINDOWS.len())
@@ -38,9 +38,9 @@
             format!("{} min", WINDOWS[(it.round() as usize).min(WINDOWS.len() - 1)])
         })
         .draw()?;
-    chart.draw_series(LineSeries::new([(0.0, 1.0), (last, 1.0)], BLACK))?;
-    for (at, row) in report.rows.iter().enumerate() {
-        let color = Palette99::pick(at).to_rgba();
+    chart.draw_series(LineSeries::new([(0.0, 1.0), (last_window, 1.0)], BLACK))?;
+    for (index, row) in report.rows.iter().enumerate() {
+        let color = Palette99::pick(index).to_rgba();
         let points = row.burn.iter().enumerate().map(|(window, rate)| (window as f64, *rate));
         chart
             .draw_series(LineSeries::new(points, color.stroke_width(2)))?
--- a/crates/quincevalve_burn/src/report.rs
+++ b/crates/quincevalve_burn/src/report.rs
@@ -1,4 +1,4 @@
-//! Error budgets and burn rates.
+//! Computes error budgets and burn rates.
 
 use std::net::SocketAddr;
 
@@ -9,43 +9,47 @@
 
 use crate::collect::Collected;
 
-/// The windows, in minutes. A short one shows what happens now, a long one what it costs.
+/// Lengths of the burn-rate windows in minutes, ascending. Short windows show current failures, long windows their
+/// effect on the error budget.
 pub(crate) const WINDOWS: [u64; 4] = [5, 30, 60, 360];
 
-/// One account's requests of one class.
+/// Request counts and burn rates of one client account's requests of one class.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct Row {
     pub(crate) account: ClientAccountName,
     pub(crate) class: ClassName,
+    /// Requests in the longest window that met the service level.
     pub(crate) good: u64,
+    /// Requests in the longest window that did not.
     pub(crate) bad: u64,
-    /// The part of the error budget of the longest window that is left; below 0 if overspent.
+    /// Remaining fraction of the error budget over the longest window; negative if the budget is exceeded.
     pub(crate) budget_left: f64,
-    /// Burn rates in the order of [`WINDOWS`]: 1 spends the budget exactly in its window.
+    /// Burn rates in the order of [`WINDOWS`]; at 1, the budget is used up exactly at the end of the window.
     pub(crate) burn: Vec<f64>,
-    /// Some of the bad requests, the newest last.
+    /// A sample of the bad requests; each VM lists its newest last.
     pub(crate) examples: Vec<RequestId>,
 }
 
-/// The report.
+/// Burn rates of all accounts and classes over all entry VMs that responded.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct Report {
     pub(crate) objective: f64,
     pub(crate) window_minutes: Vec<u64>,
     pub(crate) rows: Vec<Row>,
-    /// Entry VMs that could not be reached: their requests are not in the rows.
+    /// Entry VMs that could not be reached; their requests are not counted in `rows`.
     pub(crate) missing: Vec<SocketAddr>,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Counts {
+struct WindowCounts {
+    /// Good and bad requests in each of [`WINDOWS`].
     by_window: [(u64, u64); WINDOWS.len()],
     examples: Vec<RequestId>,
 }
 
 impl Report {
     pub(crate) fn new(objective: f64, collected: &Collected) -> Self {
-        let mut counts: IndexMap<(ClientAccountName, ClassName), Counts> = IndexMap::new();
+        let mut counts: IndexMap<(ClientAccountName, ClassName), WindowCounts> = IndexMap::new();
         for report in &collected.reports {
             for row in &report.rows {
                 let key = (row.account.clone(), row.class.clone());
@@ -59,11 +63,11 @@
             objective,
             window_minutes: WINDOWS.to_vec(),
             rows: rows.collect(),
-            missing: collected.missing.clone(),
+            missing: collected.unreachable.clone(),
         }
     }
 
-    #[expect(clippy::print_stdout, reason = "the report is what the program is for")]
+    #[expect(clippy::print_stdout, reason = "the report goes to stdout")]
     pub(crate) fn print(&self, json: bool) {
         if json {
             println!("{}", serde_json::to_string(self).unwrap_or_default());
@@ -95,7 +99,7 @@
     }
 }
 
-impl Counts {
+impl WindowCounts {
     fn add(&mut self, report: &BurnReport, row: &BurnRow) {
         for bucket in &row.buckets {
             let age = report.minute.saturating_sub(bucket.minute);
@@ -111,7 +115,12 @@
 }
 
 impl Row {
-    fn new(objective: f64, account: ClientAccountName, class: ClassName, counts: Counts) -> Self {
+    fn new(
+        objective: f64,
+        account: ClientAccountName,
+        class: ClassName,
+        counts: WindowCounts,
+    ) -> Self {
         let burn: Vec<_> =
             counts.by_window.iter().map(|it| burn_rate(objective, it.0, it.1)).collect();
         let (good, bad) = counts.by_window[WINDOWS.len() - 1];
@@ -120,13 +129,13 @@
     }
 }
 
-/// How many times as fast as the objective allows the budget is spent.
+/// Returns the ratio of the observed failure rate to the failure rate that the objective allows; 0 without requests.
 fn burn_rate(objective: f64, good: u64, bad: u64) -> f64 {
-    let all = good + bad;
-    if all == 0 {
+    let total = good + bad;
+    if total == 0 {
         return 0.0;
     }
-    (bad as f64 / all as f64) / (1.0 - objective)
+    (bad as f64 / total as f64) / (1.0 - objective)
 }
 
 #[cfg(test)]
@@ -134,7 +143,7 @@
     use super::*;
 
     #[test]
-    fn a_burn_of_one_spends_the_budget_exactly() {
+    fn burn_rate_is_one_when_failures_equal_the_error_budget() {
         assert!((burn_rate(0.95, 95, 5) - 1.0).abs() < 1e-9);
         assert!(burn_rate(0.95, 100, 0).abs() < 1e-9);
         assert!(burn_rate(0.95, 0, 0).abs() < 1e-9);
@@ -142,7 +151,7 @@
     }
 
     #[test]
-    fn old_minutes_leave_the_short_window() {
+    fn short_window_excludes_buckets_older_than_its_length() {
         let bucket = |minute, bad| quincevalve_entry::BurnBucket { minute, good: 10, bad };
         let row = BurnRow {
             account: "a".into(),
@@ -151,7 +160,7 @@
             examples: std::collections::VecDeque::new(),
         };
         let report = BurnReport { minute: 100, rows: vec![row] };
-        let collected = Collected { reports: vec![report], missing: Vec::new() };
+        let collected = Collected { reports: vec![report], unreachable: Vec::new() };
         let report = Report::new(0.95, &collected);
         assert!(report.rows[0].burn[0].abs() < 1e-9);
         assert!(report.rows[0].burn[3] > 1.0);
