--- a/crates/quincevalve_admin/src/client.rs
+++ b/crates/quincevalve_admin/src/client.rs
@@ -19,10 +19,10 @@
 pub(crate) enum ClientError {
     #[snafu(display("{source}"))]
     Call { source: CallError },
-    #[snafu(display("{address}: no complete response; run `change ID` to query the outcome"))]
-    IncompleteResponse { address: SocketAddr },
-    #[snafu(display("{address}: invalid JSON: {source}"))]
-    InvalidJson { address: SocketAddr, source: serde_json::Error },
+    #[snafu(display("{server}: no complete response; run `change ID` to query the outcome"))]
+    IncompleteResponse { server: SocketAddr },
+    #[snafu(display("{server}: invalid JSON: {source}"))]
+    InvalidJson { server: SocketAddr, source: serde_json::Error },
 }
 
 impl ClientError {
@@ -56,10 +56,10 @@
         headers: &[(&str, String)],
         body: String,
     ) -> Result<ApiResponse, ClientError> {
-        let address = self.address;
+        let server = self.address;
         let mut builder = Request::builder()
             .method(method)
-            .uri(format!("http://{address}{path}"))
+            .uri(format!("http://{server}{path}"))
             .header(header::AUTHORIZATION, format!("Bearer {}", self.key));
         for (name, value) in headers {
             builder = builder.header(*name, value);
@@ -68,17 +68,17 @@
         let req = req.map_err(|source| CallError::Form { source }).context(CallSnafu)?;
         let http = HttpClient::new(None, CONNECT_TIMEOUT);
         let exchange = async {
-            let response = http.send_fresh(address, req).await.context(CallSnafu)?;
+            let response = http.send_fresh(server, req).await.context(CallSnafu)?;
             let (parts, body) = response.into_parts();
             let body =
-                body.collect().await.map_err(|_| ClientError::IncompleteResponse { address })?;
+                body.collect().await.map_err(|_| ClientError::IncompleteResponse { server })?;
             let body = serde_json::from_slice(&body.to_bytes());
             let etag = parts.headers.get(header::ETAG).and_then(|it| it.to_str().ok());
             let etag = etag.and_then(|it| it.trim_matches('"').parse().ok());
-            let body = body.context(InvalidJsonSnafu { address })?;
+            let body = body.context(InvalidJsonSnafu { server })?;
             Ok(ApiResponse { status: parts.status, etag, body })
         };
         let result = tokio::time::timeout(RESPONSE_TIMEOUT, exchange).await;
-        result.unwrap_or(Err(ClientError::IncompleteResponse { address }))
+        result.unwrap_or(Err(ClientError::IncompleteResponse { server }))
     }
 }
--- a/crates/quincevalve_admin/src/commands.rs
+++ b/crates/quincevalve_admin/src/commands.rs
@@ -119,13 +119,9 @@
     call(client, Method::PUT, "/v1/config", &headers, body).await
 }
 
-async fn set_drain(
-    client: &Client,
-    operation: &str,
-    server: &str,
-) -> Result<ApiResponse, CommandError> {
+async fn set_drain(client: &Client, verb: &str, server: &str) -> Result<ApiResponse, CommandError> {
     let headers = [("change-id", new_change_id())];
-    call(client, Method::POST, &format!("/v1/{operation}/{server}"), &headers, String::new()).await
+    call(client, Method::POST, &format!("/v1/{verb}/{server}"), &headers, String::new()).await
 }
 
 /// Returns a unique change id: the wall-clock time in nanoseconds and the process id, both in hexadecimal.
--- a/crates/quincevalve_standins/src/bin/quincevalve-standins.rs
+++ b/crates/quincevalve_standins/src/bin/quincevalve-standins.rs
@@ -1,4 +1,4 @@
-//! `quincevalve-standins`: platform and backend servers of an inventory, for trying the programs out.
+//! `quincevalve-standins`: simulates the platform and the backend servers of an inventory, for local use.
 
 use std::{net::SocketAddr, path::PathBuf, process::ExitCode, time::Duration};
 
@@ -10,21 +10,23 @@
 use tokio::net::TcpListener;
 
 const HELP: &str = "\
-Platform and backend servers of an inventory, for trying the programs out.
+Simulates the platform and the backend servers of an inventory, for local use.
 
 Usage: quincevalve-standins --inventory FILE --platform ADDRESS
 
-Listens on every address that the inventory gives a backend server.";
+Listens on ADDRESS as the platform and on the address of each backend server in the inventory.";
 
-const SERVICE_WORK: Duration = Duration::from_millis(8);
-const CACHE_TOKENS: u32 = 100_000;
+/// Processing time of a call to a plain service.
+const SERVICE_PROCESSING_TIME: Duration = Duration::from_millis(8);
+/// Capacity of the prefix cache of each engine, in prompt tokens.
+const PREFIX_CACHE_CAPACITY: u32 = 100_000;
 
 #[derive(Debug, Snafu)]
-enum Failure {
+enum StandinsError {
     #[snafu(display("{source}; see --help"))]
-    Option { source: pico_args::Error },
+    InvalidOption { source: pico_args::Error },
     #[snafu(display("{}: {source}", file.display()))]
-    File { file: PathBuf, source: std::io::Error },
+    ReadFile { file: PathBuf, source: std::io::Error },
     #[snafu(display("{source}"))]
     Inventory { source: ReadError },
     #[snafu(display("{address}: {source}"))]
@@ -33,7 +35,7 @@
     Runtime { source: std::io::Error },
 }
 
-#[expect(clippy::print_stdout, reason = "--help answers on stdout")]
+#[expect(clippy::print_stdout, reason = "--help prints to stdout")]
 fn main() -> ExitCode {
     let mut arguments = pico_args::Arguments::from_env();
     if arguments.contains(["-h", "--help"]) {
@@ -49,33 +51,34 @@
     }
 }
 
-fn run(mut arguments: pico_args::Arguments) -> Result<(), Failure> {
-    let file: PathBuf = arguments.value_from_str("--inventory").context(OptionSnafu)?;
-    let platform: SocketAddr = arguments.value_from_str("--platform").context(OptionSnafu)?;
-    let text = std::fs::read_to_string(&file).context(FileSnafu { file: &file })?;
+fn run(mut arguments: pico_args::Arguments) -> Result<(), StandinsError> {
+    let file: PathBuf = arguments.value_from_str("--inventory").context(InvalidOptionSnafu)?;
+    let platform_address: SocketAddr =
+        arguments.value_from_str("--platform").context(InvalidOptionSnafu)?;
+    let text = std::fs::read_to_string(&file).context(ReadFileSnafu { file: &file })?;
     let inventory = read_inventory(&file.display().to_string(), &text, Format::Toml);
     let inventory = inventory.context(InventorySnafu)?;
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
     runtime.context(RuntimeSnafu)?.block_on(async {
-        let listener = listen(platform).await?;
-        let cloud = Platform::new(1);
+        let listener = bind(platform_address).await?;
+        let simulated_platform = Platform::new(1);
         for (name, server) in &inventory.backend_server {
-            let listener = listen(server.address).await?;
+            let listener = bind(server.address).await?;
             match &server.serves {
                 Serves::Model(_) => {
                     let speed = EngineSpeed {
                         slots: server.slots,
                         prefill_tokens_per_s: server.prefill_tokens_per_s,
                         token_time: Duration::from_micros(u64::from(server.token_us)),
-                        cache_tokens: CACHE_TOKENS,
+                        cache_tokens: PREFIX_CACHE_CAPACITY,
                     };
                     tokio::spawn(Engine::new(speed, Incarnation(1), 1).serve(listener));
                 }
                 Serves::Service(_) => {
-                    tokio::spawn(PlainService::new(SERVICE_WORK).serve(listener));
+                    tokio::spawn(PlainService::new(SERVICE_PROCESSING_TIME).serve(listener));
                 }
             }
-            cloud.list_vm_now(ListedVm {
+            simulated_platform.list_vm_now(ListedVm {
                 name: name.to_string(),
                 data_centre: server.data_centre.clone(),
                 incarnation: Incarnation(1),
@@ -83,12 +86,15 @@
                 peer_address: None,
             });
         }
-        eprintln!("platform on {platform}, {} backend servers", inventory.backend_server.len());
-        cloud.serve(listener).await;
+        eprintln!(
+            "platform on {platform_address}, {} backend servers",
+            inventory.backend_server.len()
+        );
+        simulated_platform.serve(listener).await;
         Ok(())
     })
 }
 
-async fn listen(address: SocketAddr) -> Result<TcpListener, Failure> {
+async fn bind(address: SocketAddr) -> Result<TcpListener, StandinsError> {
     TcpListener::bind(address).await.context(ListenSnafu { address })
 }
--- a/crates/quincevalve_standins/src/engine.rs
+++ b/crates/quincevalve_standins/src/engine.rs
@@ -1,4 +1,4 @@
-//! The model engine stand-in over HTTP.
+//! HTTP server that simulates a model engine.
 
 use std::{
     fmt::Write as _,
@@ -33,39 +33,43 @@
     http_server::{Answer, StandinBody, json, plain, query_number, read_json, serve},
 };
 
-const REPORT_LAG: Duration = Duration::from_millis(100);
-const CACHE_EVENT_LAG: Duration = Duration::from_millis(200);
-const CACHE_EVENTS_KEPT: usize = 1_024;
+/// Minimum interval between two load reports; responses contain the report before the latest one.
+const LOAD_REPORT_INTERVAL: Duration = Duration::from_millis(100);
+/// Delay until a cache event becomes visible to readers.
+const CACHE_EVENT_DELAY: Duration = Duration::from_millis(200);
+/// Maximum number of cache events kept; beyond it, the oldest half is dropped.
+const MAX_CACHE_EVENTS: usize = 1_024;
 
-/// The faults that can be switched on.
-#[expect(clippy::struct_excessive_bools, reason = "switches that are on or off, each by itself")]
+/// Switches for injecting faults.
+#[expect(clippy::struct_excessive_bools, reason = "independent on/off switches")]
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EngineFaults {
-    /// Takes no new work and says so.
+    /// Rejects new requests and signals that it is leaving.
     pub leaving: bool,
-    /// Sends tokens doubled, out of order and with foreign ones between.
+    /// Sends duplicate tokens, tokens out of order and tokens of other requests.
     pub reorder: bool,
-    /// Loses one cache event in two and sends the rest late.
+    /// Drops half of the cache events at random and delays the others ten times as long.
     pub late_events: bool,
-    /// Takes orders with an old fencing number.
+    /// Accepts orders with an outdated fencing number.
     pub ignores_fencing: bool,
 }
 
-/// What the engine itself saw, for checkers.
+/// Counts of what the engine executed, for tests to check.
 #[derive(Clone, Debug, Default)]
 pub struct EngineLedger {
-    /// Starts by prompt: how often the engine began to generate for it from the first token on.
+    /// Number of times that each request was generated from its first token.
     pub started: FxHashMap<RequestId, u32>,
-    /// Context tokens computed a second time, for answers begun elsewhere.
+    /// Context tokens computed again for answers that another engine had started.
     pub recomputed_tokens: u64,
-    /// Orders refused because of their fencing number.
+    /// Orders rejected because of an outdated fencing number.
     pub fenced_orders: u64,
 }
 
 struct Generation {
-    prompt: u64,
+    prompt_hash: u64,
     total: u32,
     context_tokens: u32,
+    /// Tokens of the answer that exist, including those that another engine generated.
     emitted: u32,
     ended: bool,
     readers: Vec<mpsc::UnboundedSender<Bytes>>,
@@ -74,17 +78,19 @@
 struct State {
     model: EngineModel,
     generations: IndexMap<RequestId, Generation>,
+    /// Cache events with the time at which they become visible.
     cache_events: Vec<(Instant, CacheEvent)>,
-    next_event: u64,
-    report: (Instant, EngineLoad),
-    older_report: EngineLoad,
+    last_cache_event: u64,
+    /// The latest load report with the time at which it was made.
+    latest_report: (Instant, EngineLoad),
+    previous_report: EngineLoad,
     order: Option<EngineOrder>,
     faults: EngineFaults,
     ledger: EngineLedger,
     rng: Pcg64Mcg,
 }
 
-/// The stand-in; clones share one engine.
+/// A simulated engine; clones share its state.
 #[derive(Clone)]
 pub struct Engine {
     state: Arc<Mutex<State>>,
@@ -95,16 +101,16 @@
 }
 
 impl Engine {
-    /// Makes an engine; [`Engine::serve`] runs it.
+    /// Creates an engine; [`Engine::serve`] runs it.
     pub fn new(speed: EngineSpeed, incarnation: Incarnation, seed: u64) -> Self {
         let load = EngineLoad { incarnation, running: 0, queued_tokens: 0, leaving: false };
         let state = State {
             model: EngineModel::new(speed),
             generations: IndexMap::new(),
             cache_events: Vec::new(),
-            next_event: 0,
-            report: (Instant::now(), load),
-            older_report: load,
+            last_cache_event: 0,
+            latest_report: (Instant::now(), load),
+            previous_report: load,
             order: None,
             faults: EngineFaults::default(),
             ledger: EngineLedger::default(),
@@ -119,23 +125,23 @@
         }
     }
 
-    /// Switches faults.
+    /// Changes the injected faults.
     pub fn set_faults(&self, change: impl FnOnce(&mut EngineFaults)) {
         change(&mut self.lock().faults);
     }
 
-    /// What the engine saw so far.
+    /// Returns the counts since the engine was created.
     pub fn ledger(&self) -> EngineLedger {
         self.lock().ledger.clone()
     }
 
-    /// Answers on `listener` until the runtime ends.
+    /// Serves requests on `listener` until the runtime shuts down.
     pub async fn serve(self, listener: TcpListener) {
         let driver = self.clone();
-        tokio::spawn(async move { driver.drive().await });
+        tokio::spawn(async move { driver.run_model().await });
         serve(listener, move |req| {
             let engine = self.clone();
-            async move { engine.answer(req).await.unwrap_or_else(|it| it) }
+            async move { engine.handle(req).await.unwrap_or_else(|it| it) }
         })
         .await;
     }
@@ -148,7 +154,8 @@
         TimePoint(self.origin.elapsed().as_micros() as u64)
     }
 
-    async fn drive(self) {
+    /// Advances the model whenever an event is due.
+    async fn run_model(self) {
         loop {
             let next = {
                 let mut state = self.lock();
@@ -170,7 +177,7 @@
         }
     }
 
-    async fn answer(&self, req: Request<Incoming>) -> Result<Answer, Answer> {
+    async fn handle(&self, req: Request<Incoming>) -> Result<Answer, Answer> {
         let path = req.uri().path().to_owned();
         match (req.method().clone(), path.as_str()) {
             (Method::POST, "/v1/generate") => {
@@ -186,23 +193,23 @@
             }
             (Method::PUT, "/v1/state") => {
                 let order = read_json(req.into_body()).await?;
-                Ok(self.lock().take_order(order))
+                Ok(self.lock().accept_order(order))
             }
             (Method::POST, path) if path.starts_with("/v1/cancel/") => self.cancel(path),
-            (Method::POST, path) if path.starts_with("/v1/kv/") => self.export(path, &req),
-            (Method::GET, path) if path.starts_with("/v1/kv/") => self.exported(path),
+            (Method::POST, path) if path.starts_with("/v1/kv/") => self.export_kv(path, &req),
+            (Method::GET, path) if path.starts_with("/v1/kv/") => self.exported_kv(path),
             _ => Err(plain(StatusCode::NOT_FOUND, "no such path")),
         }
     }
 
     async fn generate(&self, order: Generate) -> Result<Answer, Answer> {
-        let imported = self.import(&order).await;
+        let imported = self.import_kv(&order).await;
         let (tx, rx) = mpsc::unbounded_channel();
         let mut response = Answer::new(StandinBody::Stream(rx));
         {
             let mut state = self.lock();
             if state.faults.leaving && !state.generations.contains_key(&order.request_id) {
-                return Err(refuse_leaving(self.incarnation));
+                return Err(reject_leaving(self.incarnation));
             }
             let now = self.now();
             state.attach(now, &order, imported, tx);
@@ -213,18 +220,18 @@
         Ok(response)
     }
 
-    /// Fetches an exported KV cache; returns the tokens that it covers.
-    async fn import(&self, order: &Generate) -> u32 {
+    /// Fetches an exported KV cache and returns the number of tokens that it covers, or 0 if there is none.
+    async fn import_kv(&self, order: &Generate) -> u32 {
         let Some(handle) = &order.import else { return 0 };
         let path = format!("/v1/kv/{}", handle.request_id);
-        let limit = Duration::from_secs(1);
+        let timeout = Duration::from_secs(1);
         let fetched =
-            self.http.call::<(), KvHandle>(Method::GET, handle.source, &path, None, limit);
+            self.http.call::<(), KvHandle>(Method::GET, handle.source, &path, None, timeout);
         fetched.await.map_or(0, |it| it.tokens)
     }
 
     fn cancel(&self, path: &str) -> Result<Answer, Answer> {
-        let id = request_id(path, "/v1/cancel/", "")?;
+        let id = parse_request_id(path, "/v1/cancel/", "")?;
         let mut state = self.lock();
         let mut outputs = Vec::new();
         state.model.cancel(self.now(), id, &mut outputs);
@@ -233,8 +240,8 @@
         Ok(json(&()))
     }
 
-    fn export(&self, path: &str, req: &Request<Incoming>) -> Result<Answer, Answer> {
-        let id = request_id(path, "/v1/kv/", "/export")?;
+    fn export_kv(&self, path: &str, req: &Request<Incoming>) -> Result<Answer, Answer> {
+        let id = parse_request_id(path, "/v1/kv/", "/export")?;
         let host = req.headers().get(http::header::HOST).and_then(|it| it.to_str().ok());
         let source = host.and_then(|it| it.parse().ok());
         let source = source.ok_or_else(|| plain(StatusCode::BAD_REQUEST, "host"))?;
@@ -242,37 +249,38 @@
         Ok(json(&KvHandle { source, request_id: id, tokens }))
     }
 
-    fn exported(&self, path: &str) -> Result<Answer, Answer> {
-        let id = request_id(path, "/v1/kv/", "")?;
+    fn exported_kv(&self, path: &str) -> Result<Answer, Answer> {
+        let id = parse_request_id(path, "/v1/kv/", "")?;
         let tokens = self.lock().kv_tokens(id)?;
         let source = std::net::SocketAddr::from(([0, 0, 0, 0], 0));
         Ok(json(&KvHandle { source, request_id: id, tokens }))
     }
 
+    /// Returns the load report before the latest one, so that callers work with outdated load information.
     fn load(&self) -> EngineLoad {
         let mut state = self.lock();
         let now = Instant::now();
-        if now.duration_since(state.report.0) >= REPORT_LAG {
-            let fresh = EngineLoad {
+        if now.duration_since(state.latest_report.0) >= LOAD_REPORT_INTERVAL {
+            let current = EngineLoad {
                 incarnation: self.incarnation,
                 running: state.model.running() + state.model.waiting(),
                 queued_tokens: state.model.queued_tokens(self.now()),
                 leaving: false,
             };
-            state.older_report = state.report.1;
-            state.report = (now, fresh);
+            state.previous_report = state.latest_report.1;
+            state.latest_report = (now, current);
         }
-        EngineLoad { leaving: state.faults.leaving, ..state.older_report }
+        EngineLoad { leaving: state.faults.leaving, ..state.previous_report }
     }
 }
 
-fn request_id(path: &str, prefix: &str, suffix: &str) -> Result<RequestId, Answer> {
+fn parse_request_id(path: &str, prefix: &str, suffix: &str) -> Result<RequestId, Answer> {
     let text = path.strip_prefix(prefix).and_then(|it| it.strip_suffix(suffix));
     let id = text.and_then(|it| it.parse().ok());
     id.ok_or_else(|| plain(StatusCode::BAD_REQUEST, "request id"))
 }
 
-fn refuse_leaving(incarnation: Incarnation) -> Answer {
+fn reject_leaving(incarnation: Incarnation) -> Answer {
     let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "leaving");
     let headers = response.headers_mut();
     headers.insert(INCARNATION_HEADER, http::HeaderValue::from(incarnation.0));
@@ -282,6 +290,7 @@
 }
 
 impl State {
+    /// Adds a reader to a generation, which is started unless it exists.
     fn attach(
         &mut self,
         now: TimePoint,
@@ -291,16 +300,16 @@
     ) {
         let id = order.request_id;
         if let Some(generation) = self.generations.get_mut(&id) {
-            // Resume: what exists already costs nothing.
+            // Resumed request: tokens that exist are sent again without being recomputed.
             generation.replay(id, order.from.0, &tx);
             generation.readers.push(tx);
             return;
         }
-        let prompt = hash_text(&order.prompt);
-        let total = answers::length(prompt, order.max_tokens);
+        let prompt_hash = hash_text(&order.prompt);
+        let total = answers::length(prompt_hash, order.max_tokens);
         let context_tokens = order.prompt_tokens + order.from.0;
         let generation = Generation {
-            prompt,
+            prompt_hash,
             total,
             context_tokens,
             emitted: order.from.0,
@@ -345,33 +354,33 @@
 
     fn publish_token(&mut self, id: RequestId, seq: Sequence) {
         let reorder = self.faults.reorder;
-        let draw: u32 = self.rng.random_range(0..6);
+        let variant: u32 = self.rng.random_range(0..6);
         let Some(generation) = self.generations.get_mut(&id) else { return };
         generation.emitted = seq.0 + 1;
-        let event = generation.event(id, seq.0);
+        let event = generation.token_event(id, seq.0);
         if !reorder {
             return generation.send(event);
         }
-        // A held-back token comes after its successor; doubles and foreign ones come between.
-        match draw {
+        // Sends a duplicate, a token of another request, an earlier token or a later token next to the expected one.
+        match variant {
             0 => {
                 generation.send(event.clone());
                 generation.send(event);
             }
             1 => {
-                let foreign = RequestId::new(id.home(), 1);
-                let stray = generation.event(foreign, seq.0);
-                generation.send(stray);
+                let other_id = RequestId::new(id.home(), 1);
+                let foreign = generation.token_event(other_id, seq.0);
+                generation.send(foreign);
                 generation.send(event);
             }
             2 if seq.0 > 0 => {
-                let old = generation.event(id, seq.0 - 1);
+                let earlier = generation.token_event(id, seq.0 - 1);
                 generation.send(event);
-                generation.send(old);
+                generation.send(earlier);
             }
             3 if seq.0 + 1 < generation.total => {
-                let early = generation.event(id, seq.0 + 1);
-                generation.send(early);
+                let later = generation.token_event(id, seq.0 + 1);
+                generation.send(later);
                 generation.send(event);
             }
             _ => generation.send(event),
@@ -386,15 +395,16 @@
     }
 
     fn publish_cache(&mut self, prefix: u64, holds: bool) {
-        self.next_event += 1;
+        self.last_cache_event += 1;
         if self.faults.late_events && self.rng.random_bool(0.5) {
             return;
         }
-        let lag = if self.faults.late_events { CACHE_EVENT_LAG * 10 } else { CACHE_EVENT_LAG };
-        let event = CacheEvent { number: self.next_event, prefix, holds };
-        self.cache_events.push((Instant::now() + lag, event));
-        if self.cache_events.len() > CACHE_EVENTS_KEPT {
-            self.cache_events.drain(..CACHE_EVENTS_KEPT / 2);
+        let delay =
+            if self.faults.late_events { CACHE_EVENT_DELAY * 10 } else { CACHE_EVENT_DELAY };
+        let event = CacheEvent { number: self.last_cache_event, prefix, holds };
+        self.cache_events.push((Instant::now() + delay, event));
+        if self.cache_events.len() > MAX_CACHE_EVENTS {
+            self.cache_events.drain(..MAX_CACHE_EVENTS / 2);
         }
     }
 
@@ -411,11 +421,11 @@
         Ok(generation.context_tokens + generation.emitted)
     }
 
-    fn take_order(&mut self, order: EngineOrder) -> Answer {
-        let held = self.order.as_ref().map_or(order.fencing, |it| it.fencing);
-        if order.fencing < held && !self.faults.ignores_fencing {
+    fn accept_order(&mut self, order: EngineOrder) -> Answer {
+        let current_fencing = self.order.as_ref().map_or(order.fencing, |it| it.fencing);
+        if order.fencing < current_fencing && !self.faults.ignores_fencing {
             self.ledger.fenced_orders += 1;
-            return plain(StatusCode::PRECONDITION_FAILED, "old fencing number");
+            return plain(StatusCode::PRECONDITION_FAILED, "outdated fencing number");
         }
         self.order = Some(order);
         json(&EngineState { order: self.order.clone() })
@@ -423,9 +433,9 @@
 }
 
 impl Generation {
-    fn event(&self, id: RequestId, seq: u32) -> Bytes {
-        let text = answers::token(self.prompt, seq).into();
-        encode("", &TokenEvent { id, seq: Sequence(seq), text })
+    fn token_event(&self, id: RequestId, seq: u32) -> Bytes {
+        let text = answers::token(self.prompt_hash, seq).into();
+        encode_event("", &TokenEvent { id, seq: Sequence(seq), text })
     }
 
     fn send(&mut self, event: Bytes) {
@@ -434,7 +444,7 @@
 
     fn replay(&self, id: RequestId, from: u32, tx: &mpsc::UnboundedSender<Bytes>) {
         for seq in from..self.emitted {
-            let _ = tx.send(self.event(id, seq));
+            let _ = tx.send(self.token_event(id, seq));
         }
         if self.ended {
             let _ = tx.send(end_event(id, self.total));
@@ -443,10 +453,11 @@
 }
 
 fn end_event(id: RequestId, tokens: u32) -> Bytes {
-    encode(END_EVENT, &EndEvent { id, tokens })
+    encode_event(END_EVENT, &EndEvent { id, tokens })
 }
 
-fn encode<T>(kind: &str, data: &T) -> Bytes
+/// Encodes a server-sent event; an empty `kind` omits the event name.
+fn encode_event<T>(kind: &str, data: &T) -> Bytes
 where
     T: serde::Serialize,
 {
@@ -454,7 +465,7 @@
     if !kind.is_empty() {
         let _ = writeln!(text, "event: {kind}");
     }
-    // These types always encode; an empty event would be dropped by the reader.
+    // Serialization of these types does not fail; readers would ignore an event without data.
     let data = serde_json::to_string(data).unwrap_or_default();
     let _ = write!(text, "data: {data}\n\n");
     text.into()
--- a/crates/quincevalve_standins/src/engine_model.rs
+++ b/crates/quincevalve_standins/src/engine_model.rs
@@ -1,76 +1,75 @@
-//! A model engine in virtual time: slots, a prefill that higher priorities go through first, a prefix
-//! cache.
+//! Simulates a model engine in virtual time: slots, a prefill queue with two priorities, and a prefix cache.
 
 use std::{cmp::Reverse, collections::BinaryHeap, time::Duration};
 
 use quincevalve_names::{RequestId, Sequence, TimePoint};
 use rustc_hash::FxHashMap;
 
-use crate::lru::PrefixCache;
+use crate::prefix_cache::PrefixCache;
 
-/// How fast an engine is.
+/// Speed and capacity of an engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EngineSpeed {
-    /// Requests that it runs at once.
+    /// Maximum number of requests that run concurrently.
     pub slots: u32,
-    /// Prompt tokens that it processes in a second.
+    /// Prompt tokens that the prefill processes per second.
     pub prefill_tokens_per_s: u32,
-    /// Time between two tokens of one answer.
+    /// Time between two consecutive tokens of an answer.
     pub token_time: Duration,
-    /// Prompt tokens that the prefix cache holds.
+    /// Capacity of the prefix cache in prompt tokens.
     pub cache_tokens: u32,
 }
 
-/// Work for an engine.
+/// A request to be processed by an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Job {
     /// The request.
     pub id: RequestId,
-    /// The prompt's prefix.
+    /// Hash of the prompt's prefix.
     pub prefix: u64,
     /// Tokens of the shared prefix.
     pub prefix_tokens: u32,
-    /// Tokens of the prompt and of the part of the answer that exists already.
+    /// Tokens of the prompt, and answer tokens that already exist.
     pub context_tokens: u32,
     /// Tokens of context whose KV cache was imported.
     pub imported_tokens: u32,
     /// The first token to generate.
     pub from: Sequence,
-    /// Tokens of the whole answer.
+    /// Number of tokens in the complete answer.
     pub total: u32,
-    /// Higher goes first.
+    /// Jobs with a higher priority start first; any priority above 0 precedes priority 0 in the prefill.
     pub priority: u8,
 }
 
-/// What an engine did.
+/// An event that an engine produced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ModelOutput {
     /// A token was generated.
     Token {
         /// The request.
         id: RequestId,
-        /// The position.
+        /// The position of the token in the answer.
         seq: Sequence,
     },
-    /// The answer is whole.
+    /// The answer is complete.
     End {
         /// The request.
         id: RequestId,
-        /// Tokens of the whole answer.
+        /// Number of tokens in the complete answer.
         tokens: u32,
     },
     /// The prefix cache changed.
     Cache {
-        /// The prefix.
+        /// Hash of the prefix.
         prefix: u64,
-        /// Whether it is held now.
+        /// Whether the cache now contains the prefix.
         holds: bool,
     },
-    /// A job's context went through the prefill.
+    /// A job was scheduled for prefill.
     Prefilled {
         /// The request.
         id: RequestId,
-        /// Tokens that had to be computed.
+        /// Context tokens that were not cached and have to be computed.
         computed: u32,
     },
 }
@@ -79,11 +78,11 @@
 struct Running {
     job: Job,
     next: Sequence,
-    /// For low priority: the time on the low clock at which the prefill is done.
+    /// For low priority: the time on the low-priority clock at which the prefill completes.
     prefilled_at: Option<TimePoint>,
 }
 
-/// The model. `(now, event) -> outputs`, no clock of its own.
+/// Deterministic model of an engine. Callers pass the time with each event and receive the outputs.
 #[derive(Clone, Debug)]
 pub struct EngineModel {
     speed: EngineSpeed,
@@ -92,18 +91,18 @@
     arrivals: u64,
     running: FxHashMap<RequestId, Running>,
     due: BinaryHeap<Reverse<(TimePoint, RequestId)>>,
-    /// When the prefill has no more work of high priority.
-    high_free: TimePoint,
-    /// All prefill work of high priority so far.
-    high_work: Duration,
-    /// When the prefill has no more work of low priority, on the low clock.
-    low_free: TimePoint,
+    /// Time at which the queued high-priority prefill completes.
+    high_done_at: TimePoint,
+    /// Total duration of all high-priority prefill submitted so far.
+    high_total: Duration,
+    /// Time on the low-priority clock at which the queued low-priority prefill completes.
+    low_done_at: TimePoint,
     cache: PrefixCache,
     computed_tokens: u64,
 }
 
 impl EngineModel {
-    /// Makes an idle engine.
+    /// Creates an idle engine.
     pub fn new(speed: EngineSpeed) -> Self {
         Self {
             speed,
@@ -112,15 +111,15 @@
             arrivals: 0,
             running: FxHashMap::default(),
             due: BinaryHeap::new(),
-            high_free: TimePoint::ZERO,
-            high_work: Duration::ZERO,
-            low_free: TimePoint::ZERO,
+            high_done_at: TimePoint::ZERO,
+            high_total: Duration::ZERO,
+            low_done_at: TimePoint::ZERO,
             cache: PrefixCache::new(speed.cache_tokens),
             computed_tokens: 0,
         }
     }
 
-    /// Takes a job.
+    /// Queues a job and starts it if a slot is free.
     pub fn submit(&mut self, now: TimePoint, job: Job, outputs: &mut Vec<ModelOutput>) {
         self.arrivals += 1;
         self.waiting.push((job.priority, Reverse(self.arrivals)));
@@ -128,19 +127,19 @@
         self.start_waiting(now, outputs);
     }
 
-    /// Drops a job, running or waiting.
+    /// Cancels a running or waiting job.
     pub fn cancel(&mut self, now: TimePoint, id: RequestId, outputs: &mut Vec<ModelOutput>) {
         self.waiting_jobs.retain(|_, it| it.id != id);
         self.running.remove(&id);
         self.start_waiting(now, outputs);
     }
 
-    /// When something happens next.
+    /// Returns the time of the next event.
     pub fn next_event(&self) -> Option<TimePoint> {
         self.due.peek().map(|it| it.0.0)
     }
 
-    /// Does all that is due.
+    /// Processes all events that are due.
     pub fn advance(&mut self, now: TimePoint, outputs: &mut Vec<ModelOutput>) {
         while let Some(Reverse((at, id))) = self.due.peek().copied() {
             if at > now {
@@ -155,7 +154,7 @@
         let low_clock = self.low_clock(at);
         let Some(running) = self.running.get_mut(&id) else { return };
         if let Some(until) = running.prefilled_at {
-            // Work of high priority came in between; the rest of the prefill is still to be done.
+            // High-priority work delayed the prefill: waits for the remaining time.
             if low_clock < until {
                 self.due.push(Reverse((at + (until - low_clock), id)));
                 return;
@@ -180,7 +179,7 @@
     fn start_waiting(&mut self, now: TimePoint, outputs: &mut Vec<ModelOutput>) {
         while self.running.len() < self.speed.slots as usize {
             let Some((_, Reverse(arrival))) = self.waiting.pop() else { return };
-            // A cancelled job leaves its place in the heap behind.
+            // Cancelled jobs stay in the heap and are skipped here.
             if let Some(job) = self.waiting_jobs.remove(&arrival) {
                 self.start(now, job, outputs);
             }
@@ -203,13 +202,14 @@
         self.due.push(Reverse((done + self.speed.token_time, job.id)));
     }
 
-    /// Time in which the prefill was free for work of low priority.
+    /// Returns the total time up to `now` in which the prefill was available to low-priority work.
     fn low_clock(&self, now: TimePoint) -> TimePoint {
-        let done = self.high_work.saturating_sub(self.high_free - now);
+        let done = self.high_total.saturating_sub(self.high_done_at - now);
         TimePoint(now.as_micros().saturating_sub(done.as_micros() as u64))
     }
 
-    /// Puts work into the prefill; returns when it is done, as far as is known now.
+    /// Queues prefill work and returns its estimated completion time; for low priority, also that time on the
+    /// low-priority clock, because later high-priority work delays it.
     fn prefill(
         &mut self,
         now: TimePoint,
@@ -217,35 +217,35 @@
         work: Duration,
     ) -> (TimePoint, Option<TimePoint>) {
         if priority > 0 {
-            self.high_free = self.high_free.max(now) + work;
-            self.high_work += work;
-            return (self.high_free, None);
+            self.high_done_at = self.high_done_at.max(now) + work;
+            self.high_total += work;
+            return (self.high_done_at, None);
         }
         let low_clock = self.low_clock(now);
-        self.low_free = self.low_free.max(low_clock) + work;
-        let wait = (self.high_free - now) + (self.low_free - low_clock);
-        (now + wait, Some(self.low_free))
+        self.low_done_at = self.low_done_at.max(low_clock) + work;
+        let wait = (self.high_done_at - now) + (self.low_done_at - low_clock);
+        (now + wait, Some(self.low_done_at))
     }
 
-    /// Requests running.
+    /// Returns the number of running requests.
     pub fn running(&self) -> u32 {
         self.running.len() as u32
     }
 
-    /// Context tokens that wait for the prefill or are in it.
+    /// Returns the number of context tokens that wait for prefill or are being processed.
     pub fn queued_tokens(&self, now: TimePoint) -> u32 {
         let waiting: u32 = self.waiting_jobs.values().map(|it| it.context_tokens).sum();
-        let low = self.low_free - self.low_clock(now);
-        let seconds = ((self.high_free - now) + low).as_secs_f64();
+        let low = self.low_done_at - self.low_clock(now);
+        let seconds = ((self.high_done_at - now) + low).as_secs_f64();
         waiting + (seconds * f64::from(self.speed.prefill_tokens_per_s)) as u32
     }
 
-    /// Jobs that wait for a slot.
+    /// Returns the number of jobs that wait for a slot.
     pub fn waiting(&self) -> u32 {
         self.waiting_jobs.len() as u32
     }
 
-    /// Tokens that went through the prefill since the start.
+    /// Returns the number of context tokens computed since the engine was created.
     pub const fn computed_tokens(&self) -> u64 {
         self.computed_tokens
     }
--- a/crates/quincevalve_standins/src/http_server.rs
+++ b/crates/quincevalve_standins/src/http_server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server that the stand-ins share.
+//! HTTP server and helpers that the stand-ins share.
 
 use std::{
     convert::Infallible,
@@ -16,13 +16,14 @@
 use serde::{Serialize, de::DeserializeOwned};
 use tokio::{net::TcpListener, sync::mpsc};
 
-const MAX_BODY: usize = 8 << 20;
+/// Maximum size of a request body.
+const MAX_BODY_BYTES: usize = 8 << 20;
 
-/// The body of a stand-in's answer.
+/// The response body of a stand-in.
 pub(crate) enum StandinBody {
-    /// All at once.
+    /// A body that is sent at once.
     Full(Full<Bytes>),
-    /// As it is made.
+    /// A body whose chunks are sent as they are produced.
     Stream(mpsc::UnboundedReceiver<Bytes>),
 }
 
@@ -59,15 +60,15 @@
     }
 }
 
-/// Reads a whole body.
+/// Reads a complete body; a failure or a body over the maximum size yields a response with status 400.
 pub(crate) async fn read(body: Incoming) -> Result<Bytes, Answer> {
-    let collected = Limited::new(body, MAX_BODY).collect().await;
+    let collected = Limited::new(body, MAX_BODY_BYTES).collect().await;
     collected
         .map(http_body_util::Collected::to_bytes)
         .map_err(|_| plain(StatusCode::BAD_REQUEST, "body"))
 }
 
-/// Reads a whole JSON body.
+/// Reads a complete body and parses it as JSON.
 pub(crate) async fn read_json<T>(body: Incoming) -> Result<T, Answer>
 where
     T: DeserializeOwned,
@@ -76,18 +77,18 @@
     serde_json::from_slice(&bytes).map_err(|it| plain(StatusCode::BAD_REQUEST, it.to_string()))
 }
 
-/// The value of a query parameter.
+/// Returns the value of a query parameter.
 pub(crate) fn query<'a>(uri: &'a http::Uri, name: &str) -> Option<&'a str> {
     let pairs = uri.query()?.split('&');
     pairs.filter_map(|it| it.split_once('=')).find(|it| it.0 == name).map(|it| it.1)
 }
 
-/// A numeric query parameter, 0 if absent.
+/// Returns the value of a numeric query parameter, or 0 if it is missing or invalid.
 pub(crate) fn query_number(uri: &http::Uri, name: &str) -> u64 {
     query(uri, name).and_then(|it| it.parse().ok()).unwrap_or(0)
 }
 
-/// Serves each connection in a task of its own until the runtime ends.
+/// Serves each connection in a task of its own until the runtime shuts down.
 pub(crate) async fn serve<H, F>(listener: TcpListener, handler: H)
 where
     H: Fn(Request<Incoming>) -> F + Clone + Send + 'static,
@@ -104,7 +105,7 @@
         let connection = hyper::server::conn::http1::Builder::new()
             .serve_connection(TokioIo::new(stream), service);
         tokio::spawn(async move {
-            // A caller that goes away in the middle is no fault of the stand-in.
+            // Ignores errors of connections that the caller closes during an exchange.
             let _ = connection.await;
         });
     }
--- a/crates/quincevalve_standins/src/lib.rs
+++ b/crates/quincevalve_standins/src/lib.rs
@@ -1,14 +1,14 @@
-//! Small stand-ins for the systems outside: model engine, plain service, platform, network.
+//! Simulated external systems: model engine, plain service, platform and network.
 //!
-//! They are scaffolding for the trial, the tests and the measurements. Each speaks the same protocol as
-//! what it stands for, and each fault is a typed switch.
+//! Tests, trials and measurements use them in place of the real systems. Each implements the protocol of the system that
+//! it replaces, and each fault can be injected with a typed switch.
 
 pub mod answers;
 mod engine;
 mod engine_model;
 mod http_server;
-mod lru;
 mod platform;
+mod prefix_cache;
 mod service;
 mod store_model;
 mod wire;
--- a/crates/quincevalve_standins/src/platform.rs
+++ b/crates/quincevalve_standins/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform stand-in over HTTP: key-value service, cloud API, VM list.
+//! HTTP server that simulates the platform: key-value service, cloud API and VM list.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard, PoisonError},
@@ -23,32 +23,35 @@
     store_model::StoreModel,
 };
 
-/// How long a change takes to show in the VM list.
-const LIST_LAG: Duration = Duration::from_millis(1_500);
+/// Delay until a change is visible in the VM list.
+const VM_LIST_DELAY: Duration = Duration::from_millis(1_500);
 
-/// The faults that can be switched on.
+/// Switches for injecting faults.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PlatformFaults {
-    /// The key-value service answers nothing.
+    /// The key-value service does not respond.
     pub store_outage: bool,
-    /// Every call to the key-value service takes so much longer.
+    /// Additional delay of every call to the key-value service.
     pub store_delay: Duration,
-    /// The share of writes that take effect though their answer is lost.
+    /// Fraction of writes that are processed but whose response is lost.
     pub store_ambiguous: f64,
-    /// Requests for VMs are refused.
+    /// Purchases of VMs are rejected.
     pub cloud_refusal: bool,
 }
 
 struct State {
     store: StoreModel,
+    /// By VM name: the time at which the last change becomes visible, the VM after and before it.
     vms: IndexMap<String, (Instant, ListedVm, Option<ListedVm>)>,
+    /// Notices with the time at which their VMs are reclaimed.
     notices: Vec<(Instant, Notice)>,
+    /// Purchases by idempotency token.
     purchases: IndexMap<String, Purchase>,
     faults: PlatformFaults,
     rng: Pcg64Mcg,
 }
 
-/// The stand-in; clones share one platform.
+/// A simulated platform; clones share its state.
 #[derive(Clone)]
 pub struct Platform {
     state: Arc<Mutex<State>>,
@@ -57,12 +60,12 @@
 }
 
 #[derive(Serialize)]
-struct ConflictAnswer {
+struct ConflictBody {
     current: KeyVersion,
 }
 
 impl Platform {
-    /// Makes a platform; [`Platform::serve`] runs it.
+    /// Creates a platform; [`Platform::serve`] runs it.
     pub fn new(seed: u64) -> Self {
         let state = State {
             store: StoreModel::default(),
@@ -79,30 +82,30 @@
         }
     }
 
-    /// Switches faults.
+    /// Changes the injected faults.
     pub fn set_faults(&self, change: impl FnOnce(&mut PlatformFaults)) {
         change(&mut self.lock().faults);
     }
 
-    /// Calls to the key-value service so far: reads and writes.
+    /// Returns the number of reads and writes that the key-value service received.
     pub fn store_calls(&self) -> (u64, u64) {
         let state = self.lock();
         (state.store.reads, state.store.writes)
     }
 
-    /// Puts a VM on the list, or changes its row; the list shows it later.
+    /// Adds a VM to the list or changes its entry; the change becomes visible after a delay.
     pub fn list_vm(&self, vm: ListedVm) {
         let mut state = self.lock();
         let before = state.vms.get(&vm.name).map(|it| it.1.clone());
-        state.vms.insert(vm.name.clone(), (Instant::now() + LIST_LAG, vm, before));
+        state.vms.insert(vm.name.clone(), (Instant::now() + VM_LIST_DELAY, vm, before));
     }
 
-    /// Puts a VM on the list at once, for those that exist from the start.
+    /// Adds a VM to the list without a delay, for VMs that exist from the start.
     pub fn list_vm_now(&self, vm: ListedVm) {
         self.lock().vms.insert(vm.name.clone(), (Instant::now(), vm, None));
     }
 
-    /// Announces that VMs will be taken back.
+    /// Announces that VMs will be reclaimed after `left`.
     pub fn announce(&self, vms: Vec<String>, left: Duration) {
         {
             let mut state = self.lock();
@@ -119,11 +122,11 @@
         self.changed.notify_waiters();
     }
 
-    /// Answers on `listener` until the runtime ends.
+    /// Serves requests on `listener` until the runtime shuts down.
     pub async fn serve(self, listener: TcpListener) {
         serve(listener, move |req| {
             let platform = self.clone();
-            async move { platform.answer(req).await.unwrap_or_else(|it| it) }
+            async move { platform.handle(req).await.unwrap_or_else(|it| it) }
         })
         .await;
     }
@@ -132,13 +135,13 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    async fn answer(&self, req: Request<Incoming>) -> Result<Answer, Answer> {
+    async fn handle(&self, req: Request<Incoming>) -> Result<Answer, Answer> {
         let path = req.uri().path().to_owned();
         match (req.method().clone(), path.as_str()) {
             (Method::GET, "/v1/vms") => Ok(json(&self.list())),
             (Method::POST, "/v1/vms") => self.purchase(read_json(req.into_body()).await?),
-            (Method::GET, "/v1/notices") => Ok(json(&self.notices(req.uri()).await)),
-            _ => self.store_answer(req, &path).await,
+            (Method::GET, "/v1/notices") => Ok(json(&self.wait_for_notices(req.uri()).await)),
+            _ => self.handle_store(req, &path).await,
         }
     }
 
@@ -154,11 +157,11 @@
 
     fn purchase(&self, order: PurchaseOrder) -> Result<Answer, Answer> {
         let mut state = self.lock();
-        if let Some(known) = state.purchases.get(&order.token) {
-            return Ok(json(known));
+        if let Some(existing) = state.purchases.get(&order.token) {
+            return Ok(json(existing));
         }
         if state.faults.cloud_refusal {
-            return Err(plain(StatusCode::INSUFFICIENT_STORAGE, "none of that class there now"));
+            return Err(plain(StatusCode::INSUFFICIENT_STORAGE, "no VM of this class available"));
         }
         let vm = format!("{}-{}-{}", order.data_centre, order.vm_class, state.purchases.len());
         let purchase = Purchase { vm };
@@ -166,7 +169,8 @@
         Ok(json(&purchase))
     }
 
-    async fn notices(&self, uri: &http::Uri) -> Vec<Notice> {
+    /// Waits until there are notices with a higher number than `after`, or until the requested time is over.
+    async fn wait_for_notices(&self, uri: &http::Uri) -> Vec<Notice> {
         let after = query_number(uri, "after");
         let deadline = Instant::now() + Duration::from_millis(query_number(uri, "wait_ms"));
         loop {
@@ -193,11 +197,11 @@
             .collect()
     }
 
-    async fn store_answer(&self, req: Request<Incoming>, path: &str) -> Result<Answer, Answer> {
+    async fn handle_store(&self, req: Request<Incoming>, path: &str) -> Result<Answer, Answer> {
         let faults = self.lock().faults;
         tokio::time::sleep(faults.store_delay).await;
         if faults.store_outage {
-            // An outage is silence: callers find it by their own limits.
+            // During an outage calls stay without a response, so that callers run into their timeouts.
             return std::future::pending().await;
         }
         let uri = req.uri().clone();
@@ -217,34 +221,34 @@
                 let body = read(req.into_body()).await?;
                 let value = String::from_utf8_lossy(&body);
                 let result = self.lock().store.swap(&key, expected, &value);
-                self.write_answer(result).await
+                self.respond_to_write(result).await
             }
             Method::DELETE => {
                 let result = self.lock().store.delete(&key, expected);
-                self.write_answer(result).await
+                self.respond_to_write(result).await
             }
             _ => Err(plain(StatusCode::METHOD_NOT_ALLOWED, "method")),
         }
     }
 
-    /// Answers a write, or loses the answer.
-    async fn write_answer<T>(&self, result: Result<T, KeyVersion>) -> Result<Answer, Answer>
+    /// Responds to a write, or drops the response if the fault is injected.
+    async fn respond_to_write<T>(&self, result: Result<T, KeyVersion>) -> Result<Answer, Answer>
     where
         T: Serialize,
     {
         self.changed.notify_waiters();
-        let lose = {
+        let drop_response = {
             let mut state = self.lock();
-            let share = state.faults.store_ambiguous;
-            share > 0.0 && state.rng.random_bool(share)
+            let probability = state.faults.store_ambiguous;
+            probability > 0.0 && state.rng.random_bool(probability)
         };
-        if lose {
+        if drop_response {
             return std::future::pending().await;
         }
         match result {
             Ok(value) => Ok(json(&value)),
             Err(current) => {
-                let mut answer = json(&ConflictAnswer { current });
+                let mut answer = json(&ConflictBody { current });
                 *answer.status_mut() = StatusCode::CONFLICT;
                 Err(answer)
             }
--- a/crates/quincevalve_standins/src/lru.rs
+++ b/crates/quincevalve_standins/src/prefix_cache.rs
@@ -1,9 +1,9 @@
-//! A prefix cache in limited memory.
+//! A prefix cache with a token limit and least-recently-used eviction.
 
 use indexmap::IndexMap;
 use rustc_hash::FxBuildHasher;
 
-/// Prefixes by last use, bounded by the tokens that they hold.
+/// Cached prefixes from least to most recently used, limited by their total number of tokens.
 #[derive(Clone, Debug)]
 pub(crate) struct PrefixCache {
     capacity: u32,
@@ -16,21 +16,21 @@
         Self { capacity, used: 0, entries: IndexMap::default() }
     }
 
-    /// Tokens of the prefix that are cached.
+    /// Returns the number of cached tokens of a prefix.
     pub(crate) fn tokens(&self, prefix: u64) -> u32 {
         self.entries.get(&prefix).copied().unwrap_or(0)
     }
 
-    /// Marks a prefix as used and holding `tokens`; returns what was evicted.
+    /// Marks a prefix as most recently used with at least `tokens` cached, and returns the prefixes that were evicted.
     pub(crate) fn insert(&mut self, prefix: u64, tokens: u32) -> Vec<u64> {
-        let known = self.entries.shift_remove(&prefix).unwrap_or(0);
-        let tokens = tokens.max(known).min(self.capacity);
-        self.used = self.used - known + tokens;
+        let previous = self.entries.shift_remove(&prefix).unwrap_or(0);
+        let tokens = tokens.max(previous).min(self.capacity);
+        self.used = self.used - previous + tokens;
         self.entries.insert(prefix, tokens);
         let mut evicted = Vec::new();
         while self.used > self.capacity {
-            let Some((oldest, held)) = self.entries.shift_remove_index(0) else { break };
-            self.used -= held;
+            let Some((oldest, evicted_tokens)) = self.entries.shift_remove_index(0) else { break };
+            self.used -= evicted_tokens;
             evicted.push(oldest);
         }
         evicted
--- a/crates/quincevalve_standins/src/service.rs
+++ b/crates/quincevalve_standins/src/service.rs
@@ -1,4 +1,4 @@
-//! The plain service stand-in over HTTP.
+//! HTTP server that simulates a plain service.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard, PoisonError},
@@ -16,36 +16,36 @@
     http_server::{Answer, plain, read, serve},
 };
 
-/// The request header by which a checker tells its requests apart.
+/// Request header that identifies the calls of a test.
 const MARK_HEADER: &str = "trial-mark";
 
-/// What the service itself saw, for checkers.
+/// Counts of what the service executed, for tests to check.
 #[derive(Clone, Debug, Default)]
 pub struct ServiceLedger {
-    /// Executions by mark.
+    /// Number of executions by the value of the `trial-mark` header.
     pub executions: FxHashMap<String, u32>,
 }
 
-/// The stand-in; clones share one service.
+/// A simulated plain service; clones share its state.
 #[derive(Clone)]
 pub struct PlainService {
     ledger: Arc<Mutex<ServiceLedger>>,
     leaving: Arc<std::sync::atomic::AtomicBool>,
-    work: Duration,
+    processing_time: Duration,
 }
 
 impl PlainService {
-    /// Makes a service that works for `work` on each call.
-    pub fn new(work: Duration) -> Self {
-        Self { ledger: Arc::default(), leaving: Arc::default(), work }
+    /// Creates a service whose calls take `processing_time` each.
+    pub fn new(processing_time: Duration) -> Self {
+        Self { ledger: Arc::default(), leaving: Arc::default(), processing_time }
     }
 
-    /// Makes it refuse new calls, and say so.
+    /// Rejects all further calls and signals that the service is leaving.
     pub fn leave(&self) {
         self.leaving.store(true, std::sync::atomic::Ordering::Relaxed);
     }
 
-    /// What the service saw so far.
+    /// Returns the counts since the service was created.
     pub fn ledger(&self) -> ServiceLedger {
         self.lock().clone()
     }
@@ -54,21 +54,21 @@
         self.ledger.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Answers on `listener` until the runtime ends.
+    /// Serves requests on `listener` until the runtime shuts down.
     pub async fn serve(self, listener: TcpListener) {
         serve(listener, move |req| {
             let service = self.clone();
-            async move { service.answer(req).await.unwrap_or_else(|it| it) }
+            async move { service.handle(req).await.unwrap_or_else(|it| it) }
         })
         .await;
     }
 
-    async fn answer(&self, req: Request<Incoming>) -> Result<Answer, Answer> {
+    async fn handle(&self, req: Request<Incoming>) -> Result<Answer, Answer> {
         if req.uri().path() == "/v1/load" {
             return Ok(plain(StatusCode::OK, "null"));
         }
         if self.leaving.load(std::sync::atomic::Ordering::Relaxed) {
-            return Err(refuse_leaving());
+            return Err(reject_leaving());
         }
         let mark = req.headers().get(MARK_HEADER).and_then(|it| it.to_str().ok());
         if let Some(mark) = mark {
@@ -76,12 +76,12 @@
         }
         let path = req.uri().path().to_owned();
         let body = read(req.into_body()).await?;
-        tokio::time::sleep(self.work).await;
+        tokio::time::sleep(self.processing_time).await;
         Ok(plain(StatusCode::OK, answers::service_answer(&path, &body)))
     }
 }
 
-fn refuse_leaving() -> Answer {
+fn reject_leaving() -> Answer {
     let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "leaving");
     let headers = response.headers_mut();
     headers.insert(STATE_HEADER, http::HeaderValue::from_static(STATE_LEAVING));
--- a/crates/quincevalve_standins/src/wire.rs
+++ b/crates/quincevalve_standins/src/wire.rs
@@ -1,4 +1,4 @@
-//! The network stand-in: a forwarder in front of one address that can be cut or go silent.
+//! Simulates the network: a TCP proxy in front of one address, whose connections can be partitioned or stalled.
 
 use std::{
     net::{IpAddr, SocketAddr},
@@ -18,10 +18,10 @@
     sync::watch,
 };
 
-/// The number of a data centre on the loopback network: the third part of the address.
+/// Number of a data centre in the loopback network: the third octet of its addresses.
 pub(crate) type Zone = u8;
 
-/// Which data centres can't reach each other now; clones share one state.
+/// Pairs of data centres that cannot reach each other; clones share the state.
 #[derive(Clone, Debug)]
 pub struct Cuts {
     pairs: Arc<Mutex<FxHashSet<(Zone, Zone)>>>,
@@ -35,32 +35,32 @@
 }
 
 impl Cuts {
-    /// Cuts two data centres from each other; a data centre can be cut from the platform's zone too.
+    /// Partitions two data centres from each other; one of them may be the zone of the platform.
     pub fn cut(&self, left: Zone, right: Zone) {
-        self.change(|it| {
+        self.update(|it| {
             it.insert((left, right));
             it.insert((right, left));
         });
     }
 
-    /// Joins everything again.
+    /// Removes all partitions.
     pub fn heal(&self) {
-        self.change(FxHashSet::clear);
+        self.update(FxHashSet::clear);
     }
 
-    fn change(&self, change: impl FnOnce(&mut FxHashSet<(Zone, Zone)>)) {
+    fn update(&self, change: impl FnOnce(&mut FxHashSet<(Zone, Zone)>)) {
         change(&mut self.pairs.lock().unwrap_or_else(PoisonError::into_inner));
         self.changed.send_modify(|it| *it += 1);
     }
 
-    fn is_cut(&self, left: Zone, right: Zone) -> bool {
+    fn is_partitioned(&self, left: Zone, right: Zone) -> bool {
         self.pairs.lock().unwrap_or_else(PoisonError::into_inner).contains(&(left, right))
     }
 
-    /// Waits while two data centres are cut from each other.
-    async fn wait_joined(&self, left: Zone, right: Zone) {
+    /// Waits until two data centres are no longer partitioned.
+    async fn wait_until_connected(&self, left: Zone, right: Zone) {
         let mut changed = self.changed.subscribe();
-        while self.is_cut(left, right) {
+        while self.is_partitioned(left, right) {
             if changed.changed().await.is_err() {
                 return;
             }
@@ -68,28 +68,30 @@
     }
 }
 
-/// A forwarder to one address.
+/// A TCP proxy in front of one address.
 #[derive(Clone, Debug)]
 pub struct Wire {
     target: SocketAddr,
     zone: Zone,
     cuts: Cuts,
-    silenced: Arc<AtomicU64>,
-    opened: Arc<AtomicU64>,
+    /// Connections with a number up to this one are stalled.
+    stalled: Arc<AtomicU64>,
+    /// Number of connections accepted so upstream.
+    accepted: Arc<AtomicU64>,
 }
 
 impl Wire {
-    /// Makes a forwarder to `target`, which stands in `zone`.
+    /// Creates a proxy to `target`, which is in `zone`.
     pub fn new(target: SocketAddr, zone: Zone, cuts: Cuts) -> Self {
-        Self { target, zone, cuts, silenced: Arc::default(), opened: Arc::default() }
+        Self { target, zone, cuts, stalled: Arc::default(), accepted: Arc::default() }
     }
 
-    /// Makes every open connection silent for good. New ones work.
+    /// Permanently stalls all open connections without closing them; new connections work.
     pub fn silence_open(&self) {
-        self.silenced.store(self.opened.load(Ordering::SeqCst), Ordering::SeqCst);
+        self.stalled.store(self.accepted.load(Ordering::SeqCst), Ordering::SeqCst);
     }
 
-    /// Forwards from `listener` until the runtime ends.
+    /// Forwards connections from `listener` until the runtime shuts down.
     pub async fn serve(self, listener: TcpListener) {
         loop {
             let Ok((stream, peer)) = listener.accept().await else { continue };
@@ -98,18 +100,18 @@
         }
     }
 
-    async fn forward(self, near: TcpStream, peer: SocketAddr) {
-        let number = self.opened.fetch_add(1, Ordering::SeqCst) + 1;
+    async fn forward(self, client: TcpStream, peer: SocketAddr) {
+        let number = self.accepted.fetch_add(1, Ordering::SeqCst) + 1;
         let source = zone_of(peer.ip());
-        self.cuts.wait_joined(source, self.zone).await;
-        let Ok(far) = TcpStream::connect(self.target).await else { return };
-        let _ = (near.set_nodelay(true), far.set_nodelay(true));
-        let (near_read, near_write) = near.into_split();
-        let (far_read, far_write) = far.into_split();
-        let back = self.clone();
+        self.cuts.wait_until_connected(source, self.zone).await;
+        let Ok(upstream) = TcpStream::connect(self.target).await else { return };
+        let _ = (client.set_nodelay(true), upstream.set_nodelay(true));
+        let (client_read, client_write) = client.into_split();
+        let (upstream_read, upstream_write) = upstream.into_split();
+        let response_proxy = self.clone();
         tokio::join!(
-            self.copy(number, source, near_read, far_write),
-            back.copy(number, source, far_read, near_write),
+            self.copy(number, source, client_read, upstream_write),
+            response_proxy.copy(number, source, upstream_read, client_write),
         );
     }
 
@@ -122,10 +124,10 @@
     ) {
         let mut buffer = vec![0; 16 << 10];
         while let Ok(length) = from.read(&mut buffer).await {
-            if self.silenced.load(Ordering::SeqCst) >= number {
+            if self.stalled.load(Ordering::SeqCst) >= number {
                 return std::future::pending().await;
             }
-            self.cuts.wait_joined(source, self.zone).await;
+            self.cuts.wait_until_connected(source, self.zone).await;
             if length == 0 || to.write_all(&buffer[..length]).await.is_err() {
                 return;
             }
