--- a/crates/quincevalve_standins/src/platform.rs
+++ b/crates/quincevalve_standins/src/platform.rs
@@ -201,7 +201,7 @@
         let faults = self.lock().faults;
         tokio::time::sleep(faults.store_delay).await;
         if faults.store_outage {
-            // During an outage calls stay without a response, so that callers run into their timeouts.
+            // During an outage calls get no response, so that callers run into their timeouts.
             return std::future::pending().await;
         }
         let uri = req.uri().clone();
--- a/crates/quincevalve_standins/src/wire.rs
+++ b/crates/quincevalve_standins/src/wire.rs
@@ -76,7 +76,7 @@
     cuts: Cuts,
     /// Connections with a number up to this one are stalled.
     stalled: Arc<AtomicU64>,
-    /// Number of connections accepted so upstream.
+    /// Number of connections accepted so far.
     accepted: Arc<AtomicU64>,
 }
 
