--- a/crates/quincevalve_entry/tests/silent_caller.rs
+++ b/crates/quincevalve_entry/tests/silent_caller.rs
@@ -119,6 +119,6 @@
     read_all(&mut again, &mut whole).await;
     let whole = String::from_utf8_lossy(&whole);
     assert!(whole.contains("[DONE]"), "the answer was lost");
-    let expected = answers::whole("user: go on\n", TOKENS).split_whitespace().count();
+    let expected = answers::full_answer("user: go on\n", TOKENS).split_whitespace().count();
     assert!(whole.contains(&format!("\"completion_tokens\":{expected}")));
 }
--- a/crates/quincevalve_measure/src/arena.rs
+++ b/crates/quincevalve_measure/src/arena.rs
@@ -227,8 +227,8 @@
             prefix_tokens: facts.prefix_tokens,
             context_tokens: prompt + from,
             imported_tokens: imported,
-            from: Sequence(from),
-            total: asked.answer_tokens,
+            first_token: Sequence(from),
+            total_tokens: asked.answer_tokens,
             priority: u8::from(self.setup.priorities && facts.interactive),
         };
         let server = choice.server;
--- a/crates/quincevalve_standins/src/answers.rs
+++ b/crates/quincevalve_standins/src/answers.rs
@@ -13,24 +13,24 @@
 /// Returns the number of tokens in the answer to a prompt, which is given by its hash.
 ///
 /// ```
-/// let tokens = quincevalve_standins::answers::length(7, 40);
+/// let tokens = quincevalve_standins::answers::token_count(7, 40);
 /// assert!((20..=40).contains(&tokens));
 /// ```
-pub fn length(prompt: u64, max_tokens: u32) -> u32 {
+pub fn token_count(prompt: u64, max_tokens: u32) -> u32 {
     let min_tokens = (max_tokens / 2).max(1);
     let range = u64::from(max_tokens - min_tokens + 1);
     min_tokens + (mix(prompt, LENGTH_KEY) % range) as u32
 }
 
 /// Returns the text of the token at position `seq` of the answer to a prompt, which is given by its hash.
-pub fn token(prompt: u64, seq: u32) -> &'static str {
+pub fn token_text(prompt: u64, seq: u32) -> &'static str {
     SYLLABLES[(mix(prompt, u64::from(seq)) % SYLLABLES.len() as u64) as usize]
 }
 
 /// Returns the complete answer to a prompt.
-pub fn whole(prompt: &str, max_tokens: u32) -> String {
+pub fn full_answer(prompt: &str, max_tokens: u32) -> String {
     let hash = hash_text(prompt);
-    (0..length(hash, max_tokens)).map(|it| token(hash, it)).collect()
+    (0..token_count(hash, max_tokens)).map(|it| token_text(hash, it)).collect()
 }
 
 /// Returns the response body of a plain service to a call.
--- a/crates/quincevalve_standins/src/engine.rs
+++ b/crates/quincevalve_standins/src/engine.rs
@@ -56,7 +56,7 @@
 
 /// Counts of what the engine executed, for tests to check.
 #[derive(Clone, Debug, Default)]
-pub struct EngineLedger {
+pub struct EngineCounters {
     /// Number of times that each request was generated from its first token.
     pub started: FxHashMap<RequestId, u32>,
     /// Context tokens computed again for answers that another engine had started.
@@ -86,7 +86,7 @@
     previous_report: EngineLoad,
     order: Option<EngineOrder>,
     faults: EngineFaults,
-    ledger: EngineLedger,
+    counters: EngineCounters,
     rng: Pcg64Mcg,
 }
 
@@ -113,7 +113,7 @@
             previous_report: load,
             order: None,
             faults: EngineFaults::default(),
-            ledger: EngineLedger::default(),
+            counters: EngineCounters::default(),
             rng: Pcg64Mcg::seed_from_u64(seed),
         };
         Self {
@@ -131,8 +131,8 @@
     }
 
     /// Returns the counts since the engine was created.
-    pub fn ledger(&self) -> EngineLedger {
-        self.lock().ledger.clone()
+    pub fn counters(&self) -> EngineCounters {
+        self.lock().counters.clone()
     }
 
     /// Serves requests on `listener` until the runtime shuts down.
@@ -306,7 +306,7 @@
             return;
         }
         let prompt_hash = hash_text(&order.prompt);
-        let total = answers::length(prompt_hash, order.max_tokens);
+        let total = answers::token_count(prompt_hash, order.max_tokens);
         let context_tokens = order.prompt_tokens + order.from.0;
         let generation = Generation {
             prompt_hash,
@@ -318,7 +318,7 @@
         };
         self.generations.insert(id, generation);
         if order.from.0 == 0 {
-            *self.ledger.started.entry(id).or_default() += 1;
+            *self.counters.started.entry(id).or_default() += 1;
         }
         let job = Job {
             id,
@@ -326,8 +326,8 @@
             prefix_tokens: order.prompt_tokens,
             context_tokens,
             imported_tokens: imported,
-            from: order.from,
-            total,
+            first_token: order.from,
+            total_tokens: total,
             priority: order.priority,
         };
         let mut outputs = Vec::new();
@@ -348,7 +348,7 @@
 
     fn count_recomputed(&mut self, id: RequestId, computed: u32) {
         if self.generations.get(&id).is_some_and(|it| it.emitted > 0) {
-            self.ledger.recomputed_tokens += u64::from(computed);
+            self.counters.recomputed_tokens += u64::from(computed);
         }
     }
 
@@ -424,7 +424,7 @@
     fn accept_order(&mut self, order: EngineOrder) -> Answer {
         let current_fencing = self.order.as_ref().map_or(order.fencing, |it| it.fencing);
         if order.fencing < current_fencing && !self.faults.ignores_fencing {
-            self.ledger.fenced_orders += 1;
+            self.counters.fenced_orders += 1;
             return plain(StatusCode::PRECONDITION_FAILED, "outdated fencing number");
         }
         self.order = Some(order);
@@ -434,7 +434,7 @@
 
 impl Generation {
     fn token_event(&self, id: RequestId, seq: u32) -> Bytes {
-        let text = answers::token(self.prompt_hash, seq).into();
+        let text = answers::token_text(self.prompt_hash, seq).into();
         encode_event("", &TokenEvent { id, seq: Sequence(seq), text })
     }
 
--- a/crates/quincevalve_standins/src/engine_model.rs
+++ b/crates/quincevalve_standins/src/engine_model.rs
@@ -34,9 +34,9 @@
     /// Tokens of context whose KV cache was imported.
     pub imported_tokens: u32,
     /// The first token to generate.
-    pub from: Sequence,
+    pub first_token: Sequence,
     /// Number of tokens in the complete answer.
-    pub total: u32,
+    pub total_tokens: u32,
     /// Jobs with a higher priority start first; any priority above 0 precedes priority 0 in the prefill.
     pub priority: u8,
 }
@@ -162,7 +162,7 @@
             running.prefilled_at = None;
         }
         let seq = running.next;
-        let total = running.job.total;
+        let total = running.job.total_tokens;
         if seq.0 < total {
             outputs.push(ModelOutput::Token { id, seq });
             running.next = seq.next();
@@ -198,7 +198,7 @@
             outputs.push(ModelOutput::Cache { prefix: evicted, holds: false });
         }
         outputs.push(ModelOutput::Cache { prefix: job.prefix, holds: true });
-        self.running.insert(job.id, Running { job, next: job.from, prefilled_at });
+        self.running.insert(job.id, Running { job, next: job.first_token, prefilled_at });
         self.due.push(Reverse((done + self.speed.token_time, job.id)));
     }
 
--- a/crates/quincevalve_standins/src/lib.rs
+++ b/crates/quincevalve_standins/src/lib.rs
@@ -7,17 +7,17 @@
 mod engine;
 mod engine_model;
 mod http_server;
+mod network_proxy;
 mod platform;
 mod prefix_cache;
 mod service;
 mod store_model;
-mod wire;
 
 pub use crate::{
-    engine::{Engine, EngineFaults, EngineLedger},
+    engine::{Engine, EngineCounters, EngineFaults},
     engine_model::{EngineModel, EngineSpeed, Job, ModelOutput},
+    network_proxy::{NetworkProxy, Partitions},
     platform::{Platform, PlatformFaults},
-    service::{PlainService, ServiceLedger},
+    service::{PlainService, ServiceCounters},
     store_model::StoreModel,
-    wire::{Cuts, Wire},
 };
--- a/crates/quincevalve_standins/src/wire.rs
+++ b/crates/quincevalve_standins/src/network_proxy.rs
@@ -23,20 +23,20 @@
 
 /// Pairs of data centres that cannot reach each other; clones share the state.
 #[derive(Clone, Debug)]
-pub struct Cuts {
+pub struct Partitions {
     pairs: Arc<Mutex<FxHashSet<(Zone, Zone)>>>,
     changed: watch::Sender<u64>,
 }
 
-impl Default for Cuts {
+impl Default for Partitions {
     fn default() -> Self {
         Self { pairs: Arc::default(), changed: watch::Sender::new(0) }
     }
 }
 
-impl Cuts {
+impl Partitions {
     /// Partitions two data centres from each other; one of them may be the zone of the platform.
-    pub fn cut(&self, left: Zone, right: Zone) {
+    pub fn separate(&self, left: Zone, right: Zone) {
         self.update(|it| {
             it.insert((left, right));
             it.insert((right, left));
@@ -70,24 +70,24 @@
 
 /// A TCP proxy in front of one address.
 #[derive(Clone, Debug)]
-pub struct Wire {
+pub struct NetworkProxy {
     target: SocketAddr,
     zone: Zone,
-    cuts: Cuts,
+    partitions: Partitions,
     /// Connections with a number up to this one are stalled.
     stalled: Arc<AtomicU64>,
     /// Number of connections accepted so far.
     accepted: Arc<AtomicU64>,
 }
 
-impl Wire {
+impl NetworkProxy {
     /// Creates a proxy to `target`, which is in `zone`.
-    pub fn new(target: SocketAddr, zone: Zone, cuts: Cuts) -> Self {
-        Self { target, zone, cuts, stalled: Arc::default(), accepted: Arc::default() }
+    pub fn new(target: SocketAddr, zone: Zone, partitions: Partitions) -> Self {
+        Self { target, zone, partitions, stalled: Arc::default(), accepted: Arc::default() }
     }
 
     /// Permanently stalls all open connections without closing them; new connections work.
-    pub fn silence_open(&self) {
+    pub fn stall_open_connections(&self) {
         self.stalled.store(self.accepted.load(Ordering::SeqCst), Ordering::SeqCst);
     }
 
@@ -95,15 +95,15 @@
     pub async fn serve(self, listener: TcpListener) {
         loop {
             let Ok((stream, peer)) = listener.accept().await else { continue };
-            let wire = self.clone();
-            tokio::spawn(async move { wire.forward(stream, peer).await });
+            let proxy = self.clone();
+            tokio::spawn(async move { proxy.forward(stream, peer).await });
         }
     }
 
     async fn forward(self, client: TcpStream, peer: SocketAddr) {
         let number = self.accepted.fetch_add(1, Ordering::SeqCst) + 1;
         let source = zone_of(peer.ip());
-        self.cuts.wait_until_connected(source, self.zone).await;
+        self.partitions.wait_until_connected(source, self.zone).await;
         let Ok(upstream) = TcpStream::connect(self.target).await else { return };
         let _ = (client.set_nodelay(true), upstream.set_nodelay(true));
         let (client_read, client_write) = client.into_split();
@@ -127,7 +127,7 @@
             if self.stalled.load(Ordering::SeqCst) >= number {
                 return std::future::pending().await;
             }
-            self.cuts.wait_until_connected(source, self.zone).await;
+            self.partitions.wait_until_connected(source, self.zone).await;
             if length == 0 || to.write_all(&buffer[..length]).await.is_err() {
                 return;
             }
--- a/crates/quincevalve_standins/src/platform.rs
+++ b/crates/quincevalve_standins/src/platform.rs
@@ -34,9 +34,9 @@
     /// Additional delay of every call to the key-value service.
     pub store_delay: Duration,
     /// Fraction of writes that are processed but whose response is lost.
-    pub store_ambiguous: f64,
+    pub lost_write_response_rate: f64,
     /// Purchases of VMs are rejected.
-    pub cloud_refusal: bool,
+    pub reject_purchases: bool,
 }
 
 struct State {
@@ -106,7 +106,7 @@
     }
 
     /// Announces that VMs will be reclaimed after `left`.
-    pub fn announce(&self, vms: Vec<String>, left: Duration) {
+    pub fn announce_reclaim(&self, vms: Vec<String>, left: Duration) {
         {
             let mut state = self.lock();
             let number = state.notices.len() as u64 + 1;
@@ -160,7 +160,7 @@
         if let Some(existing) = state.purchases.get(&order.token) {
             return Ok(json(existing));
         }
-        if state.faults.cloud_refusal {
+        if state.faults.reject_purchases {
             return Err(plain(StatusCode::INSUFFICIENT_STORAGE, "no VM of this class available"));
         }
         let vm = format!("{}-{}-{}", order.data_centre, order.vm_class, state.purchases.len());
@@ -239,7 +239,7 @@
         self.changed.notify_waiters();
         let drop_response = {
             let mut state = self.lock();
-            let probability = state.faults.store_ambiguous;
+            let probability = state.faults.lost_write_response_rate;
             probability > 0.0 && state.rng.random_bool(probability)
         };
         if drop_response {
--- a/crates/quincevalve_standins/src/service.rs
+++ b/crates/quincevalve_standins/src/service.rs
@@ -21,7 +21,7 @@
 
 /// Counts of what the service executed, for tests to check.
 #[derive(Clone, Debug, Default)]
-pub struct ServiceLedger {
+pub struct ServiceCounters {
     /// Number of executions by the value of the `trial-mark` header.
     pub executions: FxHashMap<String, u32>,
 }
@@ -29,7 +29,7 @@
 /// A simulated plain service; clones share its state.
 #[derive(Clone)]
 pub struct PlainService {
-    ledger: Arc<Mutex<ServiceLedger>>,
+    counters: Arc<Mutex<ServiceCounters>>,
     leaving: Arc<std::sync::atomic::AtomicBool>,
     processing_time: Duration,
 }
@@ -37,21 +37,21 @@
 impl PlainService {
     /// Creates a service whose calls take `processing_time` each.
     pub fn new(processing_time: Duration) -> Self {
-        Self { ledger: Arc::default(), leaving: Arc::default(), processing_time }
+        Self { counters: Arc::default(), leaving: Arc::default(), processing_time }
     }
 
     /// Rejects all further calls and signals that the service is leaving.
-    pub fn leave(&self) {
+    pub fn start_leaving(&self) {
         self.leaving.store(true, std::sync::atomic::Ordering::Relaxed);
     }
 
     /// Returns the counts since the service was created.
-    pub fn ledger(&self) -> ServiceLedger {
+    pub fn counters(&self) -> ServiceCounters {
         self.lock().clone()
     }
 
-    fn lock(&self) -> MutexGuard<'_, ServiceLedger> {
-        self.ledger.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, ServiceCounters> {
+        self.counters.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Serves requests on `listener` until the runtime shuts down.
--- a/crates/quincevalve_trial/src/faults.rs
+++ b/crates/quincevalve_trial/src/faults.rs
@@ -24,14 +24,14 @@
             Fault::CrashBackend => self.crash_backend(pick),
             Fault::CrashEntry => self.crash_entry(pick),
             Fault::StoreOutage => self.spell_of(|it| it.store_outage = true),
-            Fault::StoreAmbiguous => self.spell_of(|it| it.store_ambiguous = AMBIGUOUS),
+            Fault::StoreAmbiguous => self.spell_of(|it| it.lost_write_response_rate = AMBIGUOUS),
             Fault::StoreSlow => self.spell_of(|it| it.store_delay = SLOW),
             Fault::LeasePause => self.freeze_entry(pick),
             Fault::SilentConnection => self.silence(),
             Fault::Partition => self.partition(pick),
             Fault::LateEvents => self.engines(|it| it.late_events = true),
             Fault::Reorder => self.engines(|it| it.reorder = true),
-            Fault::CloudRefusal => self.platform.set_faults(|it| it.cloud_refusal = true),
+            Fault::CloudRefusal => self.platform.set_faults(|it| it.reject_purchases = true),
             Fault::PlannedStop => self.planned_stop(pick),
             // The workload itself is the fault.
             Fault::Overload => {}
@@ -78,7 +78,7 @@
     }
 
     fn announce(&self, names: Vec<String>, backends: &[usize]) {
-        self.platform.announce(names, NOTICE);
+        self.platform.announce_reclaim(names, NOTICE);
         for index in backends {
             self.backends[*index].leave();
         }
@@ -147,7 +147,7 @@
     /// Every open connection to a backend server goes silent for good; new ones work.
     fn silence(&self) {
         for vm in &self.backends {
-            vm.wire.silence_open();
+            vm.wire.stall_open_connections();
         }
     }
 
@@ -156,9 +156,9 @@
         let zones = self.inventory.data_centre.len() as u8;
         let lost = (pick % usize::from(zones)) as u8 + 1;
         for zone in (1..=zones).filter(|it| *it != lost) {
-            self.cuts.cut(lost, zone);
+            self.cuts.separate(lost, zone);
         }
-        self.cuts.cut(lost, PLATFORM_ZONE);
+        self.cuts.separate(lost, PLATFORM_ZONE);
         std::thread::sleep(SPELL);
         self.cuts.heal();
     }
@@ -175,7 +175,7 @@
     fn leave(&self) {
         match &self.backend {
             Backend::Engine(engine) => engine.set_faults(|it| it.leaving = true),
-            Backend::Service(service) => service.leave(),
+            Backend::Service(service) => service.start_leaving(),
         }
     }
 }
--- a/crates/quincevalve_trial/src/verdict.rs
+++ b/crates/quincevalve_trial/src/verdict.rs
@@ -50,14 +50,14 @@
         for vm in &world.backends {
             match &vm.backend {
                 Backend::Engine(engine) => {
-                    let ledger = engine.ledger();
+                    let ledger = engine.counters();
                     seen.recomputed += ledger.recomputed_tokens;
                     for (id, count) in ledger.started {
                         *seen.started.entry(id).or_default() += count;
                     }
                 }
                 Backend::Service(service) => {
-                    for (mark, count) in service.ledger().executions {
+                    for (mark, count) in service.counters().executions {
                         *seen.executions.entry(mark).or_default() += count;
                     }
                 }
@@ -136,7 +136,7 @@
 fn expected(ask: &Ask) -> String {
     match ask {
         Ask::Model { prompt, max_tokens, .. } => {
-            answers::whole(&format!("user: {prompt}\n"), *max_tokens)
+            answers::full_answer(&format!("user: {prompt}\n"), *max_tokens)
         }
         Ask::Service { body, .. } => answers::service_answer("/calls", body.as_bytes()),
     }
--- a/crates/quincevalve_trial/src/world.rs
+++ b/crates/quincevalve_trial/src/world.rs
@@ -13,7 +13,7 @@
 use quincevalve_names::{DataCentreName, EntryVmName, Incarnation, Revision};
 use quincevalve_ports::cloud::{ListedVm, VmState};
 use quincevalve_program::{LogSettings, MetricsSettings};
-use quincevalve_standins::{Cuts, Engine, EngineSpeed, PlainService, Platform, Wire};
+use quincevalve_standins::{Engine, EngineSpeed, NetworkProxy, Partitions, PlainService, Platform};
 use snafu::{OptionExt, ResultExt, Snafu};
 use tokio::{net::TcpListener, sync::mpsc};
 
@@ -57,7 +57,7 @@
     pub(crate) data_centre: DataCentreName,
     pub(crate) price_milli: u64,
     pub(crate) backend: Backend,
-    pub(crate) wire: Wire,
+    pub(crate) wire: NetworkProxy,
     pub(crate) thread: VmThread,
     pub(crate) ended: Option<Instant>,
 }
@@ -82,7 +82,7 @@
 /// Everything.
 pub(crate) struct World {
     pub(crate) platform: Platform,
-    pub(crate) cuts: Cuts,
+    pub(crate) cuts: Partitions,
     pub(crate) backends: Vec<BackendVm>,
     pub(crate) entries: Vec<EntryThread>,
     pub(crate) inventory: Inventory,
@@ -111,10 +111,10 @@
 impl World {
     pub(crate) fn start(options: &Options) -> Result<Self, WorldError> {
         let mut inventory = options.user.inventory().context(InventorySnafu)?;
-        let cuts = Cuts::default();
+        let cuts = Partitions::default();
         let mut wires = Vec::new();
         let (platform, platform_thread, platform_address) = start_platform(options.seed)?;
-        let wire = Wire::new(platform_address, PLATFORM_ZONE, cuts.clone());
+        let wire = NetworkProxy::new(platform_address, PLATFORM_ZONE, cuts.clone());
         let (listener, platform_address) = bind(loopback(PLATFORM_ZONE, 1))?;
         wires.push((wire, listener));
         let mut backends = Vec::new();
@@ -227,7 +227,7 @@
     inventory: &Inventory,
     position: usize,
     seed: u64,
-    cuts: &Cuts,
+    cuts: &Partitions,
 ) -> Result<StartedBackend, WorldError> {
     let (name, server) = &inventory.backend_server.as_slice()[position..]
         .first()
@@ -264,14 +264,16 @@
         data_centre: server.data_centre.clone(),
         price_milli: price.copied().unwrap_or(0),
         backend,
-        wire: Wire::new(real, zone, cuts.clone()),
+        wire: NetworkProxy::new(real, zone, cuts.clone()),
         thread,
         ended: None,
     };
     Ok((vm, listener, address))
 }
 
-fn start_network(wires: Vec<(Wire, std::net::TcpListener)>) -> Result<VmThread, WorldError> {
+fn start_network(
+    wires: Vec<(NetworkProxy, std::net::TcpListener)>,
+) -> Result<VmThread, WorldError> {
     let started = VmThread::start(move |ready| async move {
         for (wire, listener) in wires {
             if let Ok(listener) = TcpListener::from_std(listener) {
@@ -371,12 +373,12 @@
     admin: SocketAddr,
 }
 
-type Wires = Vec<(Wire, std::net::TcpListener)>;
+type Wires = Vec<(NetworkProxy, std::net::TcpListener)>;
 
 fn start_entry(
     plan: EntryPlan,
     zone: u8,
-    cuts: &Cuts,
+    cuts: &Partitions,
     inventory: &Inventory,
 ) -> Result<(EntryThread, Wires), WorldError> {
     let view = View::new(Revision(0), inventory.clone());
@@ -400,7 +402,7 @@
     });
     let EntryPlan { name, data_centre, control_wire, entry_wire, .. } = plan;
     let (thread, addresses) = started.context(StartSnafu { name: name.as_str() })?;
-    let wire = |target| Wire::new(target, zone, cuts.clone());
+    let wire = |target| NetworkProxy::new(target, zone, cuts.clone());
     let wires =
         vec![(wire(addresses.control), control_wire.0), (wire(addresses.peers), entry_wire.0)];
     let entry = EntryThread {
