--- a/crates/quincevalve_admin/src/options.rs
+++ b/crates/quincevalve_admin/src/options.rs
@@ -43,8 +43,8 @@
     MissingCommand,
     #[snafu(display("unknown command `{name}`; see --help"))]
     UnknownCommand { name: String },
-    #[snafu(display("`{command}` requires {operand}; see --help"))]
-    MissingOperand { command: String, operand: &'static str },
+    #[snafu(display("`{command}` requires {operand_name}; see --help"))]
+    MissingOperand { command: String, operand_name: &'static str },
     #[snafu(display("unknown argument {}; see --help", argument.display()))]
     UnknownArgument { argument: OsString },
 }
@@ -100,9 +100,9 @@
     base_revision: Option<u64>,
 ) -> Result<Command, OptionsError> {
     let name = arguments.subcommand().context(InvalidValueSnafu)?.context(MissingCommandSnafu)?;
-    let mut next_operand = |operand| {
+    let mut next_operand = |operand_name| {
         let value: Option<String> = arguments.opt_free_from_str().context(InvalidValueSnafu)?;
-        value.context(MissingOperandSnafu { command: name.clone(), operand })
+        value.context(MissingOperandSnafu { command: name.clone(), operand_name })
     };
     Ok(match name.as_str() {
         "check" => Command::Check(next_operand("a file")?.into()),
@@ -113,8 +113,8 @@
         "roll-forward" => {
             let revision = next_operand("a revision")?;
             let revision = revision.parse().ok();
-            let revision =
-                revision.context(MissingOperandSnafu { command: name, operand: "a revision" })?;
+            let revision = revision
+                .context(MissingOperandSnafu { command: name, operand_name: "a revision" })?;
             Command::RollForward { revision, change_id }
         }
         "change" => Command::Change(next_operand("a change id")?),
--- a/crates/quincevalve_standins/src/engine.rs
+++ b/crates/quincevalve_standins/src/engine.rs
@@ -369,8 +369,8 @@
             }
             1 => {
                 let other_id = RequestId::new(id.home(), 1);
-                let foreign = generation.token_event(other_id, seq.0);
-                generation.send(foreign);
+                let foreign_event = generation.token_event(other_id, seq.0);
+                generation.send(foreign_event);
                 generation.send(event);
             }
             2 if seq.0 > 0 => {
--- a/crates/quincevalve_standins/src/store_model.rs
+++ b/crates/quincevalve_standins/src/store_model.rs
@@ -74,8 +74,8 @@
     /// Acquires or renews a lease, and returns the lease as it is then. An unexpired lease of another holder stays.
     pub fn lease(&mut self, now: TimePoint, name: &str, holder: &str, ttl: Duration) -> Lease {
         self.writes += 1;
-        let current = self.leases.get(name);
-        let lease = match current {
+        let held = self.leases.get(name);
+        let lease = match held {
             Some(held) if held.holder == holder && held.expires_at > now => {
                 LeaseEntry { expires_at: now + ttl, ..held.clone() }
             }
