--- a/crates/quincevalve_routing/src/router.rs
+++ b/crates/quincevalve_routing/src/router.rs
@@ -75,7 +75,7 @@
 /// ```
 /// use std::time::Duration;
 /// use quincevalve_names::TimePoint;
-/// use quincevalve_routing::{RoutingRequest, PredictedFirstToken, Router, ServerSpec, Target, Urgency};
+/// use quincevalve_routing::{PredictedFirstToken, Router, RoutingRequest, ServerSpec, Target, Urgency};
 ///
 /// let pool = Target::Model("dossier".into());
 /// let mut router = Router::new(PredictedFirstToken, 7);
