--- a/crates/quincevalve_inventory/src/checks.rs
+++ b/crates/quincevalve_inventory/src/checks.rs
@@ -1,4 +1,4 @@
-//! The checks on a whole inventory: one file each, listed in [`Check::ALL`].
+//! Checks on a whole inventory. Each check has its own file and is listed in [`Check::ALL`].
 
 pub mod account_keys;
 pub mod addresses;
@@ -12,7 +12,7 @@
 
 use crate::Inventory;
 
-/// A check. Adding one is one file, one variant and one line in each table here.
+/// A check. A new check needs a file, a variant, and an entry in [`Check::ALL`], [`Check::name`] and `Check::run`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Check {
     /// See [`account_keys`].
@@ -32,7 +32,7 @@
 }
 
 impl Check {
-    /// Every check, in the order in which findings are shown.
+    /// All checks, in the order in which their findings are reported.
     pub const ALL: [Self; 7] = [
         Self::Names,
         Self::References,
@@ -43,7 +43,7 @@
         Self::Prices,
     ];
 
-    /// The name that a finding carries.
+    /// Returns the check's name as shown in its findings.
     pub const fn name(self) -> &'static str {
         match self {
             Self::AccountKeys => "account-keys",
@@ -69,14 +69,14 @@
     }
 }
 
-/// One fault in an inventory.
+/// An error in an inventory.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
-    /// The check that found it.
+    /// The check that reported the error.
     pub check: Check,
-    /// The field, as a dotted path.
+    /// The invalid field, as a dotted path.
     pub field: String,
-    /// What is wrong and what is allowed.
+    /// A description of the error and of the allowed values.
     pub problem: String,
 }
 
@@ -86,7 +86,7 @@
     }
 }
 
-/// Collects what one check finds.
+/// Collects the findings of one check.
 struct Findings<'all> {
     check: Check,
     all: &'all mut Vec<Finding>,
--- a/crates/quincevalve_inventory/src/checks/account_keys.rs
+++ b/crates/quincevalve_inventory/src/checks/account_keys.rs
@@ -1,7 +1,7 @@
-//! Finds accounts without a key, and keys that two accounts share.
+//! Reports accounts without an API key, and API keys that belong to several accounts.
 //!
-//! A key names the account that pays and whose answers it may read. Were it in two accounts, one
-//! customer could be billed for, or re-attach to, the requests of another.
+//! A key identifies the account that is billed and whose answers the caller may read. If two accounts had the same key,
+//! one customer could be billed for the requests of another, or re-attach to them.
 //!
 //! Example: `account.hotel.key_sha256: the account has no key, so nobody can call with it`.
 
--- a/crates/quincevalve_inventory/src/checks/addresses.rs
+++ b/crates/quincevalve_inventory/src/checks/addresses.rs
@@ -1,6 +1,7 @@
-//! Finds backend servers that share an address, and addresses that can't be called.
+//! Reports backend servers that share an address, and addresses that can't be connected to.
 //!
-//! Two names at one address would count its capacity twice and drain only half of it.
+//! With two names for one address, its capacity would be counted twice, and draining one name would leave the other in
+//! use.
 //!
 //! Example: `backend_server.b.address: 10.0.0.7:80 is also the address of a`.
 
--- a/crates/quincevalve_inventory/src/checks/capacity.rs
+++ b/crates/quincevalve_inventory/src/checks/capacity.rs
@@ -1,6 +1,6 @@
-//! Finds servers and accounts whose declared capacity is zero.
+//! Reports servers, accounts and models with a limit, rate or weight of zero.
 //!
-//! Predictions divide by these numbers, and a server without slots would look free forever.
+//! Predictions divide by these numbers, and a server with zero slots would always appear to be idle.
 //!
 //! Example: `backend_server.a.slots: must be 1 or more`.
 
--- a/crates/quincevalve_inventory/src/checks/class_promises.rs
+++ b/crates/quincevalve_inventory/src/checks/class_promises.rs
@@ -1,6 +1,6 @@
-//! Finds latency promises that nobody can keep.
+//! Reports classes with a promised latency of zero.
 //!
-//! A promise of zero would refuse every request of the class.
+//! Every request of such a class would be refused.
 //!
 //! Example: `class.desk.promise: a promise of 0 ms refuses every request`.
 
--- a/crates/quincevalve_inventory/src/checks/names.rs
+++ b/crates/quincevalve_inventory/src/checks/names.rs
@@ -1,6 +1,6 @@
-//! Finds names that can't stand in a URL, a metric or a log line.
+//! Reports names that can't be used in a URL, a metric key or a log line.
 //!
-//! Names travel in paths (`/s/{service}`), metric keys and key prefixes of the platform's store.
+//! Names are part of URL paths (`/s/{service}`), metric keys and key prefixes in the platform's store.
 //!
 //! Example: `service.seat booking: a name has 1 to 64 of a-z, A-Z, 0-9, '-', '_', '.'`.
 
@@ -9,7 +9,8 @@
 use super::Findings;
 use crate::Inventory;
 
-const MAX_NAME: usize = 64;
+/// Maximum length of a name, in bytes.
+const MAX_NAME_LENGTH: usize = 64;
 
 pub(super) fn check(inventory: &Inventory, findings: &mut Findings<'_>) {
     check_names("region", inventory.region.keys(), findings);
@@ -29,7 +30,8 @@
     for name in names {
         let name = name.to_string();
         if !is_well_formed(&name) {
-            let problem = format!("a name has 1 to {MAX_NAME} of a-z, A-Z, 0-9, '-', '_', '.'");
+            let problem =
+                format!("a name has 1 to {MAX_NAME_LENGTH} of a-z, A-Z, 0-9, '-', '_', '.'");
             findings.push(format!("{table}.{name}"), problem);
         }
     }
@@ -37,5 +39,5 @@
 
 fn is_well_formed(name: &str) -> bool {
     let allowed = |it: u8| it.is_ascii_alphanumeric() || matches!(it, b'-' | b'_' | b'.');
-    (1..=MAX_NAME).contains(&name.len()) && name.bytes().all(allowed)
+    (1..=MAX_NAME_LENGTH).contains(&name.len()) && name.bytes().all(allowed)
 }
--- a/crates/quincevalve_inventory/src/checks/prices.rs
+++ b/crates/quincevalve_inventory/src/checks/prices.rs
@@ -1,6 +1,6 @@
-//! Finds machine classes without a price where servers use them.
+//! Reports machine classes that have no price in a data centre where servers use them.
 //!
-//! The plan compares predicted cost. A missing price would read as free and draw every purchase.
+//! The planner compares predicted costs. A missing price would count as zero, and every purchase would use that class.
 //!
 //! Example: `vm_class.spot.price_milli.erding: no price, but backend server a uses it there`.
 
--- a/crates/quincevalve_inventory/src/key_hash.rs
+++ b/crates/quincevalve_inventory/src/key_hash.rs
@@ -1,4 +1,4 @@
-//! API keys, kept only as hashes.
+//! API keys, stored only as hashes.
 
 use std::fmt;
 
@@ -11,14 +11,14 @@
 
 /// The SHA-256 hash of an API key.
 ///
-/// Keys are random and long, so a plain hash is enough; a slow one would only protect guessable
-/// secrets. Whoever reads the inventory can't call with what it holds.
+/// Keys are long and random, so a fast hash is sufficient; a slow hash is needed only for secrets that can be guessed.
+/// A reader of the inventory can't make requests with the hashes in it.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
 pub struct KeyHash([u8; HASH_BYTES]);
 
 impl KeyHash {
-    /// Hashes a key as a caller sends it.
+    /// Hashes a key in the form that a caller sends.
     ///
     /// ```
     /// use quincevalve_inventory::KeyHash;
@@ -29,7 +29,7 @@
         Self(Sha256::digest(key.as_bytes()).into())
     }
 
-    /// Compares in constant time, so that response times say nothing about a stored hash.
+    /// Compares two hashes in constant time, so that response times reveal nothing about a stored hash.
     pub fn matches(&self, other: &Self) -> bool {
         self.0.ct_eq(&other.0).into()
     }
@@ -47,7 +47,7 @@
     }
 }
 
-/// The text is not a SHA-256 hash.
+/// The error for a text that is not a hexadecimal SHA-256 hash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("a key hash is 64 hexadecimal digits (the SHA-256 of the key)"))]
 pub struct InvalidKeyHash;
@@ -60,8 +60,8 @@
             return Err(InvalidKeyHash);
         }
         let mut bytes = [0; HASH_BYTES];
-        for (byte, at) in bytes.iter_mut().zip((0..text.len()).step_by(2)) {
-            *byte = u8::from_str_radix(&text[at..at + 2], 16).map_err(|_| InvalidKeyHash)?;
+        for (byte, start) in bytes.iter_mut().zip((0..text.len()).step_by(2)) {
+            *byte = u8::from_str_radix(&text[start..start + 2], 16).map_err(|_| InvalidKeyHash)?;
         }
         Ok(Self(bytes))
     }
--- a/crates/quincevalve_inventory/src/lib.rs
+++ b/crates/quincevalve_inventory/src/lib.rs
@@ -1,7 +1,7 @@
-//! The operators' inventory and rules: the model, reading it, and the checks on the whole of it.
+//! The operators' inventory and rules: the data model, the parser and the checks.
 //!
-//! An inventory is only ever taken as a whole, after every check has passed. A node therefore never
-//! serves from half a change.
+//! An inventory is accepted only as a whole, after all checks have passed. A node therefore never serves from a
+//! partially applied change.
 
 pub mod checks;
 mod key_hash;
--- a/crates/quincevalve_inventory/src/model.rs
+++ b/crates/quincevalve_inventory/src/model.rs
@@ -1,4 +1,4 @@
-//! The inventory's tables.
+//! The data model of the inventory.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -11,23 +11,23 @@
 
 use crate::KeyHash;
 
-/// All that operators declare: what is served, where, for whom, and by which rules.
+/// Everything that operators declare: models and services, servers, data centres, accounts, and the rules for them.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Inventory {
-    /// Regions; routing spills over between data centres of one region only.
+    /// Regions. Routing uses other data centres only within the same region.
     pub region: IndexMap<RegionName, Region>,
     /// Data centres.
     pub data_centre: IndexMap<DataCentreName, DataCentre>,
     /// Client accounts.
     pub account: IndexMap<ClientAccountName, ClientAccount>,
-    /// Classes of request, the first listed comes first under contention.
+    /// Request classes, in order of priority under contention, highest first.
     pub class: IndexMap<ClassName, Class>,
     /// Language models.
     pub model: IndexMap<ModelName, Model>,
     /// Plain services.
     pub service: IndexMap<ServiceName, Service>,
-    /// Machine classes that the cloud offers, with their prices.
+    /// VM classes that the cloud offers, with their prices.
     pub vm_class: IndexMap<String, VmClass>,
     /// Backend servers.
     pub backend_server: IndexMap<BackendServerName, BackendServer>,
@@ -42,7 +42,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DataCentre {
-    /// The region that it belongs to.
+    /// The region of the data centre.
     pub region: RegionName,
 }
 
@@ -50,14 +50,15 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClientAccount {
-    /// SHA-256 hashes of the account's API keys; several, so that keys can be changed without a gap.
+    /// SHA-256 hashes of the account's API keys. An account may have several keys, so that a key can be replaced without
+    /// an interruption.
     pub key_sha256: Vec<KeyHash>,
-    /// The account's weight in fair shares.
+    /// The account's weight in weighted fair queueing.
     #[serde(default = "default_weight")]
     pub weight: u32,
-    /// The class of requests that name none.
+    /// The class of requests that don't specify one.
     pub default_class: ClassName,
-    /// Requests of this account that one entry VM serves or queues at once.
+    /// Maximum number of requests of this account that one entry VM processes or queues concurrently.
     #[serde(default = "default_max_concurrent")]
     pub max_concurrent: u32,
 }
@@ -70,49 +71,49 @@
     256
 }
 
-/// Whether work may be repeated.
+/// Whether a request may be executed more than once.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum Execution {
-    /// May run again, its effects are the same.
+    /// The request may run again with the same effect.
     #[default]
     Idempotent,
-    /// Runs at most once.
+    /// The request must run at most once.
     NonIdempotent,
 }
 
-/// A class of request.
+/// A request class.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// What is promised to callers.
+    /// The latency promised to callers.
     pub promise: Promise,
-    /// Whether requests of this class may be repeated.
+    /// Whether requests of this class may be executed more than once.
     #[serde(default)]
     pub execution: Execution,
 }
 
-/// A latency promise.
+/// A promised latency.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Promise {
-    /// The caller waits: milliseconds to the first token, for 95 in 100.
+    /// Milliseconds to the first token, for 95 of 100 requests. Used for interactive callers.
     FirstTokenMs(u64),
-    /// The caller needs the whole answer by then: milliseconds to the end.
+    /// Milliseconds until the answer is complete. Used for callers that need only the whole answer.
     CompleteMs(u64),
 }
 
 impl Promise {
-    /// The promised time.
+    /// Returns the promised time.
     pub const fn limit(self) -> Duration {
         match self {
             Self::FirstTokenMs(millis) | Self::CompleteMs(millis) => Duration::from_millis(millis),
         }
     }
 
-    /// Whether a caller waits for the first token.
+    /// Returns whether the promise is for the first token, that is, for interactive callers.
     pub const fn is_interactive(self) -> bool {
         matches!(self, Self::FirstTokenMs(_))
     }
@@ -122,10 +123,10 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Model {
-    /// The version that workers load.
+    /// The version of the model that workers load.
     #[serde(default)]
     pub version: Option<String>,
-    /// The longest answer, in tokens.
+    /// Maximum length of an answer, in tokens.
     #[serde(default = "default_max_output")]
     pub max_output_tokens: u32,
 }
@@ -138,9 +139,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Whether its calls may be repeated.
+    /// Whether calls of the service may be executed more than once.
     pub execution: Execution,
-    /// The longest time without a byte from the service, in milliseconds.
+    /// Timeout without a byte from the service, in milliseconds.
     #[serde(default = "default_service_progress")]
     pub progress_ms: u64,
 }
@@ -149,27 +150,27 @@
     5_000
 }
 
-/// How long the cloud lets a machine be kept.
+/// How long the cloud lets operators keep a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Tenure {
-    /// May be taken back with seconds of notice.
+    /// The cloud may reclaim the machine with a few seconds of notice.
     Reclaimable,
-    /// Kept until given back.
+    /// The machine is kept until it is released.
     OnDemand,
 }
 
-/// A machine class of the cloud.
+/// A VM class of the cloud.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct VmClass {
-    /// How long it is kept.
+    /// How long machines of this class may be kept.
     pub tenure: Tenure,
-    /// Price of an hour, in thousandths of the operators' currency, by data centre.
+    /// Price per hour, in thousandths of the operators' currency, by data centre.
     pub price_milli: IndexMap<DataCentreName, u64>,
 }
 
-/// What a backend server serves.
+/// The model or service that a backend server serves.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Serves {
@@ -179,13 +180,13 @@
     Service(ServiceName),
 }
 
-/// Whether a backend server refuses orders with an old fencing number.
+/// Whether a backend server rejects orders with a stale fencing number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Fencing {
-    /// It refuses them.
+    /// The server rejects stale orders.
     Checked,
-    /// It doesn't look at the number.
+    /// The server does not check the fencing number.
     #[default]
     Ignored,
 }
@@ -194,26 +195,26 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BackendServer {
-    /// Where it stands.
+    /// The data centre of the server.
     pub data_centre: DataCentreName,
-    /// Its address, an IP number and port.
+    /// IP address and port of the server.
     pub address: SocketAddr,
-    /// What it serves.
+    /// The model or service that the server runs.
     pub serves: Serves,
-    /// The machine class that it runs on.
+    /// The VM class that the server runs on.
     pub vm_class: String,
-    /// Requests that it runs at once.
+    /// Number of requests that the server runs concurrently.
     pub slots: u32,
-    /// Prompt tokens that it processes in a second (source: the engine's own benchmark).
+    /// Prompt tokens that the server processes per second, according to the engine's own benchmark.
     #[serde(default = "default_prefill")]
     pub prefill_tokens_per_s: u32,
-    /// Microseconds between two tokens of one answer.
+    /// Time between two tokens of one answer, in microseconds.
     #[serde(default = "default_token_us")]
     pub token_us: u32,
-    /// Whether it checks fencing numbers of orders.
+    /// Whether the server checks the fencing numbers of orders.
     #[serde(default)]
     pub fencing: Fencing,
-    /// `true` while operators take it out of service: it gets no new work.
+    /// `true` while operators drain the server: it receives no new requests.
     #[serde(default)]
     pub drain: bool,
 }
--- a/crates/quincevalve_inventory/src/read.rs
+++ b/crates/quincevalve_inventory/src/read.rs
@@ -1,4 +1,4 @@
-//! Reading an inventory from TOML or JSON text.
+//! Parsing an inventory from TOML or JSON text.
 
 use snafu::Snafu;
 
@@ -10,29 +10,29 @@
 /// The text format of an inventory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Format {
-    /// TOML, what operators write.
+    /// TOML, used in the operators' files.
     Toml,
-    /// JSON, what the administration API takes.
+    /// JSON, used by the administration API.
     Json,
 }
 
-/// An inventory that can't be taken.
+/// The error for an inventory that is not accepted.
 #[derive(Debug, Snafu)]
 pub enum ReadError {
-    /// The text isn't of the format, or a field is unknown, missing or of the wrong type.
+    /// The text is not valid in its format, or a field is unknown, missing or of the wrong type.
     #[snafu(display("{file}: {problem}"))]
     Syntax {
-        /// The file, as the operator named it.
+        /// The file's name, as given by the operator.
         file: String,
-        /// The parser's message, with line, field and what is allowed.
+        /// The parser's message, with the line, the field and the allowed values.
         problem: String,
     },
-    /// The whole was read and checks found faults in it.
+    /// The text was parsed, but checks found errors in the inventory.
     #[snafu(display("{}", display_findings(file, findings)))]
     Invalid {
-        /// The file, as the operator named it.
+        /// The file's name, as given by the operator.
         file: String,
-        /// Every fault found, not only the first.
+        /// All findings, not only the first.
         findings: Vec<Finding>,
     },
 }
@@ -42,7 +42,7 @@
     lines.join("\n")
 }
 
-/// Reads and checks a whole inventory.
+/// Parses an inventory and runs all checks on it; `file` is used only in errors.
 ///
 /// # Examples
 ///
--- a/crates/quincevalve_inventory/tests/refused.rs
+++ b/crates/quincevalve_inventory/tests/refused.rs
@@ -1,20 +1,20 @@
-//! What operators are shown for an inventory that can't be taken, pinned.
+//! Compares the errors that operators see for invalid inventories with fixtures.
 
 use std::path::Path;
 
 use quincevalve_inventory::{Format, read_inventory};
 
-/// Set it to write the expected texts anew; then read every change to them.
-const UPDATE: &str = "UPDATE_FIXTURES";
+/// Environment variable that makes the test rewrite the expected texts. Review every change to them.
+const UPDATE_VARIABLE: &str = "UPDATE_FIXTURES";
 
-fn refused(path: &Path, text: String) -> datatest_stable::Result<()> {
+fn rejects_with_expected_errors(path: &Path, text: String) -> datatest_stable::Result<()> {
     let name = path.file_name().unwrap_or_default().to_string_lossy();
     let error = match read_inventory(&name, &text, Format::Toml) {
-        Ok(_) => return Err(format!("{name} was taken").into()),
+        Ok(_) => return Err(format!("{name} was accepted").into()),
         Err(error) => format!("{}\n", error.to_string().trim_end()),
     };
     let expected = path.with_extension("txt");
-    if std::env::var_os(UPDATE).is_some() {
+    if std::env::var_os(UPDATE_VARIABLE).is_some() {
         std::fs::write(&expected, &error)?;
     }
     let expected = std::fs::read_to_string(expected)?;
@@ -25,5 +25,5 @@
 }
 
 datatest_stable::harness! {
-    { test = refused, root = "resources/test/fixtures", pattern = r".*\.toml$" },
+    { test = rejects_with_expected_errors, root = "resources/test/fixtures", pattern = r".*\.toml$" },
 }
--- a/crates/quincevalve_names/src/lib.rs
+++ b/crates/quincevalve_names/src/lib.rs
@@ -1,7 +1,7 @@
-//! Names, numbers and times that every part of quincevalve shares.
+//! Names, identifiers, counters and points in time that all crates of quincevalve share.
 //!
-//! The crate has no I/O. It exists so that a request id, a revision or a fencing number is one type
-//! everywhere, and cannot be mixed up with another number.
+//! The crate performs no I/O. Its newtypes keep a request id, a revision or a fencing number from being confused with
+//! other numbers.
 
 mod mix;
 mod numbers;
--- a/crates/quincevalve_names/src/mix.rs
+++ b/crates/quincevalve_names/src/mix.rs
@@ -1,20 +1,20 @@
-//! Hashing that is the same on every node and in every build.
+//! Hash functions with the same results on every node and in every build.
 //!
-//! Rendezvous choices must agree between nodes, so they can't use a hasher whose seed or algorithm
-//! may differ between two versions of the program.
+//! Nodes must agree on rendezvous hashing, so it can't use a hasher whose seed or algorithm may differ between two
+//! versions of the program.
 
 use sha2::{Digest, Sha256};
 
-/// A 64-bit hash of a text, from SHA-256, stable across versions.
+/// Returns the first 64 bits of a text's SHA-256 hash. The result is stable across versions.
 ///
 /// ```
 /// assert_ne!(quincevalve_names::hash_text("erding"), quincevalve_names::hash_text("freising"));
 /// ```
 pub fn hash_text(text: &str) -> u64 {
-    first_bytes(Sha256::digest(text.as_bytes()))
+    first_u64(Sha256::digest(text.as_bytes()))
 }
 
-/// Hashes several byte strings into one number; where one ends and the next begins counts too.
+/// Hashes several byte strings into one number. The boundaries between the strings affect the result.
 ///
 /// ```
 /// use quincevalve_names::hash_parts;
@@ -26,16 +26,16 @@
         hasher.update((part.len() as u64).to_be_bytes());
         hasher.update(part);
     }
-    first_bytes(hasher.finalize())
+    first_u64(hasher.finalize())
 }
 
-fn first_bytes(digest: impl AsRef<[u8]>) -> u64 {
+fn first_u64(digest: impl AsRef<[u8]>) -> u64 {
     let mut first = [0; 8];
     first.copy_from_slice(&digest.as_ref()[..8]);
     u64::from_be_bytes(first)
 }
 
-/// Mixes two 64-bit values into one whose bits all depend on both.
+/// Mixes two 64-bit values into one, each bit of which depends on both.
 ///
 /// ```
 /// assert_ne!(quincevalve_names::mix(1, 2), quincevalve_names::mix(2, 1));
@@ -47,9 +47,9 @@
     value ^ (value >> 31)
 }
 
-/// The rendezvous score of `member` for `key`: the member with the highest score holds the key.
+/// Returns the rendezvous hashing score of `member` for `key`: the member with the highest score owns the key.
 ///
-/// When a member goes, only its own keys move, and each to the member that was second for it.
+/// When a member is removed, only its own keys move, each to the member with the second-highest score.
 pub const fn rendezvous_score(key: u64, member: u64) -> u64 {
     mix(key, member)
 }
--- a/crates/quincevalve_names/src/numbers.rs
+++ b/crates/quincevalve_names/src/numbers.rs
@@ -1,4 +1,4 @@
-//! Counters with a meaning of their own.
+//! Counters, each as its own type.
 
 use std::fmt;
 
@@ -15,7 +15,7 @@
         pub struct $name(pub $inner);
 
         impl $name {
-            /// The value after this one.
+            /// Returns the next value.
             pub const fn next(self) -> Self {
                 Self(self.0 + 1)
             }
@@ -30,19 +30,19 @@
 }
 
 number! {
-    /// A revision of the operators' configuration. A node never applies a lower one.
+    /// A revision of the operators' configuration. A node never applies a lower revision than its current one.
     Revision(u64)
 }
 number! {
-    /// A fencing number: an order that carries a lower one than the last seen is stale.
+    /// A fencing number. An order with a lower number than the highest one received is stale.
     FencingNumber(u64)
 }
 number! {
-    /// An incarnation of a VM: a restart under the same address gets a higher one.
+    /// An incarnation of a VM. Each restart under the same address has a higher number.
     Incarnation(u64)
 }
 number! {
-    /// The position of a token in an answer, from zero.
+    /// The position of a token in an answer, starting at zero.
     Sequence(u32)
 }
 number! {
--- a/crates/quincevalve_names/src/outcome.rs
+++ b/crates/quincevalve_names/src/outcome.rs
@@ -1,24 +1,24 @@
-//! What a refusal says about the request's execution.
+//! Whether a refused request was executed.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Whether a refused request can have run, sent in the `quincevalve-outcome` header.
+/// Whether a refused request may have run, as sent in the `quincevalve-outcome` header.
 ///
-/// `NotRun` is a promise: callers may repeat the request without risk. It is given only where no byte
-/// of the request can have reached a backend server, or that server itself said that it did not run.
+/// `NotRun` is a guarantee: callers may safely repeat the request. It is sent only if no byte of the request can have
+/// reached a backend server, or if the server itself reported that the request did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// The request truly did not run.
+    /// The request did not run.
     NotRun,
     /// The request ran, is running, or may have run.
     MayHaveRun,
 }
 
 impl Outcome {
-    /// The header value.
+    /// Returns the value of the header.
     ///
     /// ```
     /// assert_eq!(quincevalve_names::Outcome::NotRun.as_str(), "not-run");
--- a/crates/quincevalve_names/src/request_id.rs
+++ b/crates/quincevalve_names/src/request_id.rs
@@ -1,4 +1,4 @@
-//! The identity of one accepted request.
+//! The identifier of an accepted request.
 
 use std::{fmt, str::FromStr};
 
@@ -7,13 +7,16 @@
 
 use crate::mix::hash_text;
 
+/// Prefix of a request id as text.
 const PREFIX: &str = "req-";
+/// Number of hexadecimal digits after the prefix.
 const DIGITS: usize = 32;
+/// Position of the home tag in the id, in bits; the lower bits are random.
 const HOME_SHIFT: u32 = 96;
 
-/// A short tag of the entry VM that accepted a request.
+/// A 32-bit hash of the name of the entry VM that accepted a request.
 ///
-/// It lets any entry VM find the record's first holder from the id alone, without a lookup service.
+/// The tag lets any entry VM find the first holder of the request's record from the id alone, without a lookup service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct HomeTag(pub u32);
@@ -24,13 +27,13 @@
     }
 }
 
-/// The id of a request: the accepting entry VM's tag and a random part.
+/// The id of a request: the tag of the entry VM that accepted it, and 96 random bits.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
 pub struct RequestId(u128);
 
 impl RequestId {
-    /// Makes an id from its home and 96 random bits; higher bits of `random` are ignored.
+    /// Creates an id from the accepting VM's tag and the lower 96 bits of `random`.
     ///
     /// ```
     /// use quincevalve_names::{HomeTag, RequestId};
@@ -43,12 +46,12 @@
         Self(((home.0 as u128) << HOME_SHIFT) | low)
     }
 
-    /// The tag of the entry VM that accepted the request.
+    /// Returns the tag of the entry VM that accepted the request.
     pub const fn home(self) -> HomeTag {
         HomeTag((self.0 >> HOME_SHIFT) as u32)
     }
 
-    /// A 64-bit hash of the id, for rendezvous.
+    /// Returns a 64-bit hash of the id, for rendezvous hashing.
     pub const fn hash64(self) -> u64 {
         (self.0 as u64) ^ ((self.0 >> 64) as u64).rotate_left(31)
     }
@@ -66,7 +69,7 @@
     }
 }
 
-/// The text is not a request id of this system.
+/// The error for a text that is not a request id of this system.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("a request id is `req-` and 32 hexadecimal digits"))]
 pub struct InvalidRequestId;
--- a/crates/quincevalve_names/src/text_names.rs
+++ b/crates/quincevalve_names/src/text_names.rs
@@ -1,10 +1,10 @@
-//! Names that operators write in the inventory, one type per kind of thing.
+//! Names as text, with one type for each kind of named object.
 
 use std::{fmt, sync::Arc};
 
 use serde::{Deserialize, Serialize};
 
-/// Declares a cheap-to-clone name type over shared text.
+/// Declares a name type over shared text, which is cheap to clone.
 macro_rules! text_name {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
@@ -13,7 +13,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// The name as the operator wrote it.
+            /// Returns the name as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -44,15 +44,15 @@
     EntryVmName
 }
 text_name! {
-    /// A data centre, the unit that reclaims and partitions hit as a whole.
+    /// A data centre. Reclaims and network partitions can affect all of its VMs at once.
     DataCentreName
 }
 text_name! {
-    /// A region: data centres with short delays between them.
+    /// A region: data centres with low network latency between them.
     RegionName
 }
 text_name! {
-    /// A customer of the operators, the unit of fair shares and of service-level objectives.
+    /// A customer of the operators. Fair shares and service-level objectives apply per account.
     ClientAccountName
 }
 text_name! {
@@ -60,19 +60,19 @@
     BackendServerName
 }
 text_name! {
-    /// A language model as callers name it.
+    /// A language model, as named in requests.
     ModelName
 }
 text_name! {
-    /// A plain service as callers name it in `/s/{service}/…`.
+    /// A plain service, as named in request paths (`/s/{service}/…`).
     ServiceName
 }
 text_name! {
-    /// A class of request with its latency promise.
+    /// A request class, which has a promised latency.
     ClassName
 }
 text_name! {
-    /// A version of a service's software, as its backend servers name it.
+    /// A version of a service's software, as reported by its backend servers.
     ServerVersion
 }
 text_name! {
--- a/crates/quincevalve_names/src/time_point.rs
+++ b/crates/quincevalve_names/src/time_point.rs
@@ -1,4 +1,4 @@
-//! Points in time as decision cores see them.
+//! Points in time, as passed to the decision cores.
 
 use std::{
     ops::{Add, Sub},
@@ -7,10 +7,10 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A point in time, in microseconds since an origin that the owner of the clock chose.
+/// A point in time, in microseconds since an origin defined by the clock's owner.
 ///
-/// Cores never read a clock: `now` is an argument, so that tests and measurements drive them in
-/// virtual time and get the same run each time.
+/// Decision cores never read a clock. They take `now` as an argument, so that tests and measurements can run them
+/// deterministically in virtual time.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -18,10 +18,10 @@
 pub struct TimePoint(pub u64);
 
 impl TimePoint {
-    /// The origin.
+    /// The origin of the clock.
     pub const ZERO: Self = Self(0);
 
-    /// A point so many milliseconds after the origin.
+    /// Returns the point `millis` milliseconds after the origin.
     ///
     /// ```
     /// use quincevalve_names::TimePoint;
@@ -31,17 +31,17 @@
         Self(millis * 1_000)
     }
 
-    /// Microseconds since the origin.
+    /// Returns the microseconds since the origin.
     pub const fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// The time since `earlier`, zero if `earlier` lies later.
+    /// Returns the time since `earlier`, or zero if `earlier` is later than `self`.
     pub const fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
 
-    /// The moment so long before it, or the origin where that is later.
+    /// Returns the point `duration` before `self`, or the origin if that is later.
     ///
     /// ```
     /// use std::time::Duration;
--- a/crates/quincevalve_timer/src/alarm.rs
+++ b/crates/quincevalve_timer/src/alarm.rs
@@ -1,4 +1,4 @@
-//! A single wait.
+//! A future that completes after a delay.
 
 use std::{
     future::Future,
@@ -8,7 +8,7 @@
 
 use tokio::sync::oneshot;
 
-/// Completes at its time; dropping it gives the wait up.
+/// A future that completes at a point in time. Dropping it cancels the wait.
 #[derive(Debug)]
 pub struct Alarm {
     pub(crate) fired: oneshot::Receiver<()>,
@@ -18,7 +18,7 @@
     type Output = ();
 
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<()> {
-        // The service ends only with the process; then nobody waits any more.
+        // An error means that the service has ended, which happens only when the process stops.
         Pin::new(&mut self.fired).poll(cx).map(drop)
     }
 }
--- a/crates/quincevalve_timer/src/lib.rs
+++ b/crates/quincevalve_timer/src/lib.rs
@@ -1,7 +1,7 @@
-//! The timer service: one place that reads the clock and wakes its subscribers.
+//! The timer service: a task that reads the clock and wakes its subscribers.
 //!
-//! Parts never sleep by themselves. They subscribe here, so that a test with paused time controls
-//! every wait of a process, and so that one task per process owns all periodic work.
+//! Other components of a process never sleep on their own but subscribe to this service. A test with paused time then
+//! controls every wait of a process, and one task per process schedules all periodic work.
 
 mod alarm;
 mod service;
--- a/crates/quincevalve_timer/src/service.rs
+++ b/crates/quincevalve_timer/src/service.rs
@@ -1,4 +1,4 @@
-//! The service task and the handle that parts use to reach it.
+//! The timer's task and its handle.
 
 use std::{cmp::Reverse, collections::BinaryHeap, future::Future, time::Duration};
 
@@ -10,7 +10,7 @@
 
 use crate::{Alarm, Subscription, Watchdog};
 
-/// The handle of the timer service; clones share one service.
+/// A handle of the timer service. Clones share one service.
 ///
 /// # Examples
 ///
@@ -27,11 +27,11 @@
 #[derive(Clone, Debug)]
 pub struct Timer {
     origin: Instant,
-    orders: mpsc::UnboundedSender<Order>,
+    commands: mpsc::UnboundedSender<Command>,
 }
 
 #[derive(Debug)]
-enum Order {
+enum Command {
     Every { period: Duration, ticks: mpsc::Sender<TimePoint> },
     Once { at: Instant, fired: oneshot::Sender<()> },
 }
@@ -42,32 +42,32 @@
 }
 
 impl Timer {
-    /// Starts the service on the current runtime. It ends when the last handle is dropped.
+    /// Starts the service on the current runtime. The service ends when the last handle is dropped.
     pub fn start() -> Self {
-        let (orders, rx) = mpsc::unbounded_channel();
+        let (commands, rx) = mpsc::unbounded_channel();
         let origin = Instant::now();
         tokio::spawn(Service::new(origin, rx).run());
-        Self { origin, orders }
+        Self { origin, commands }
     }
 
-    /// The present, in time since the service's start.
+    /// Returns the current time, relative to the start of the service.
     pub fn now(&self) -> TimePoint {
         TimePoint(self.origin.elapsed().as_micros() as u64)
     }
 
-    /// Subscribes to a tick in each `period`.
+    /// Subscribes to a tick every `period`.
     pub fn every(&self, period: Duration) -> Subscription {
         let (tx, ticks) = mpsc::channel(1);
-        let order = Order::Every { period, ticks: tx };
-        // A service that has ended drops the sender, and the subscriber's next tick is `None`.
-        let _ = self.orders.send(order);
+        let command = Command::Every { period, ticks: tx };
+        // If the service has ended, the sender is dropped and the subscriber's next tick is `None`.
+        let _ = self.commands.send(command);
         Subscription { ticks }
     }
 
-    /// A future that completes `delay` from now.
+    /// Returns a future that completes after `delay`.
     pub fn after(&self, delay: Duration) -> Alarm {
         let (fired, rx) = oneshot::channel();
-        let _ = self.orders.send(Order::Once { at: Instant::now() + delay, fired });
+        let _ = self.commands.send(Command::Once { at: Instant::now() + delay, fired });
         Alarm { fired: rx }
     }
 
@@ -76,7 +76,7 @@
         Watchdog::new(self.clone(), limit)
     }
 
-    /// Runs `work` for at most `limit`. `None` means that the time ran out.
+    /// Runs `work` for at most `limit`. Returns `None` on timeout.
     pub async fn timeout<F>(&self, limit: Duration, work: F) -> Option<F::Output>
     where
         F: Future + Send,
@@ -92,20 +92,20 @@
 
 struct Service {
     origin: Instant,
-    orders: mpsc::UnboundedReceiver<Order>,
+    commands: mpsc::UnboundedReceiver<Command>,
     queue: BinaryHeap<Reverse<(Instant, u64)>>,
     waiters: std::collections::HashMap<u64, Waiter>,
-    next: u64,
+    next_id: u64,
 }
 
 impl Service {
-    fn new(origin: Instant, orders: mpsc::UnboundedReceiver<Order>) -> Self {
+    fn new(origin: Instant, commands: mpsc::UnboundedReceiver<Command>) -> Self {
         Self {
             origin,
-            orders,
+            commands,
             queue: BinaryHeap::new(),
             waiters: std::collections::HashMap::new(),
-            next: 0,
+            next_id: 0,
         }
     }
 
@@ -114,8 +114,8 @@
             let due = self.queue.peek().map(|it| it.0.0);
             tokio::select! {
                 biased;
-                order = self.orders.recv() => match order {
-                    Some(order) => self.take(order),
+                command = self.commands.recv() => match command {
+                    Some(command) => self.schedule(command),
                     None => return,
                 },
                 () = wait_until(due) => self.fire(Instant::now()),
@@ -123,20 +123,20 @@
         }
     }
 
-    fn take(&mut self, order: Order) {
-        match order {
-            Order::Every { period, ticks } => {
+    fn schedule(&mut self, command: Command) {
+        match command {
+            Command::Every { period, ticks } => {
                 let at = Instant::now() + period;
                 self.push(at, Waiter::Every { period, ticks });
             }
-            Order::Once { at, fired } => self.push(at, Waiter::Once(fired)),
+            Command::Once { at, fired } => self.push(at, Waiter::Once(fired)),
         }
     }
 
     fn push(&mut self, at: Instant, waiter: Waiter) {
-        self.next += 1;
-        self.queue.push(Reverse((at, self.next)));
-        self.waiters.insert(self.next, waiter);
+        self.next_id += 1;
+        self.queue.push(Reverse((at, self.next_id)));
+        self.waiters.insert(self.next_id, waiter);
     }
 
     fn fire(&mut self, now: Instant) {
@@ -174,7 +174,7 @@
     use super::*;
 
     #[tokio::test(start_paused = true)]
-    async fn a_slow_subscriber_gets_one_merged_tick() {
+    async fn merges_missed_ticks_of_a_slow_subscriber() {
         let timer = Timer::start();
         let mut subscription = timer.every(Duration::from_millis(10));
         timer.after(Duration::from_millis(55)).await;
@@ -182,12 +182,12 @@
         let next = subscription.tick().await.unwrap();
         assert!(
             next >= TimePoint::from_millis(60),
-            "a backlog of old ticks was delivered: {next:?}"
+            "missed ticks were delivered one by one: {next:?}"
         );
     }
 
     #[tokio::test(start_paused = true)]
-    async fn within_gives_up_at_the_limit() {
+    async fn timeout_returns_none_at_the_limit() {
         let timer = Timer::start();
         let never = std::future::pending::<()>();
         assert_eq!(timer.timeout(Duration::from_secs(3), never).await, None);
--- a/crates/quincevalve_timer/src/watchdog.rs
+++ b/crates/quincevalve_timer/src/watchdog.rs
@@ -1,4 +1,4 @@
-//! A limit on the time without progress.
+//! A timeout on the absence of progress.
 
 use std::time::Duration;
 
@@ -6,10 +6,10 @@
 
 use crate::{Alarm, Timer};
 
-/// Barks when nothing has moved for its limit.
+/// Expires when no progress has been recorded for a limit.
 ///
-/// Progress only notes the time, and the alarm is set anew when it fires early. A stream of thousands of
-/// tokens so costs a few alarms and not one for each token.
+/// Recording progress only stores the time; an alarm that fires too early is set again. A stream of thousands of tokens
+/// therefore needs a few alarms and not one for each token.
 #[derive(Debug)]
 pub struct Watchdog {
     timer: Timer,
@@ -25,12 +25,12 @@
         Self { timer, limit, progress_at, alarm }
     }
 
-    /// Notes progress.
+    /// Records progress at the current time.
     pub fn record_progress(&mut self) {
         self.progress_at = self.timer.now();
     }
 
-    /// Notes progress, and that from now on another limit holds.
+    /// Records progress and changes the limit.
     pub fn record_progress_with_limit(&mut self, limit: Duration) {
         self.record_progress();
         if limit < self.limit {
@@ -39,7 +39,7 @@
         self.limit = limit;
     }
 
-    /// Waits until nothing has moved for the limit.
+    /// Waits until no progress has been recorded for the limit.
     ///
     /// ```
     /// # use std::time::Duration;
@@ -56,11 +56,11 @@
     pub async fn expired(&mut self) {
         loop {
             (&mut self.alarm).await;
-            let still = self.timer.now() - self.progress_at;
-            if still >= self.limit {
+            let elapsed = self.timer.now() - self.progress_at;
+            if elapsed >= self.limit {
                 return;
             }
-            self.alarm = self.timer.after(self.limit.saturating_sub(still));
+            self.alarm = self.timer.after(self.limit.saturating_sub(elapsed));
         }
     }
 }
