--- a/crates/quincevalve_peers/src/calls.rs
+++ b/crates/quincevalve_peers/src/calls.rs
@@ -1,4 +1,4 @@
-//! Calling peers.
+//! Clients for calls to peers.
 
 use std::{
     future::Future,
@@ -24,20 +24,20 @@
     tls::PeerSecurity,
 };
 
-/// A call to a peer that failed.
+/// The error for a failed call to a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum CallFailure {
-    /// No connection: the call can't have arrived.
+    /// There was no connection, so the peer can't have received the call.
     #[snafu(display("no connection to the peer"))]
     NotSent,
-    /// No answer: the call may have arrived.
+    /// There was no answer; the peer may have received the call.
     #[snafu(display("no answer from the peer"))]
     Unknown,
 }
 
 /// A client of one peer service.
 pub trait PeerClient: Clone + Send + Sync + 'static {
-    /// Starts a client on a connection.
+    /// Creates a client on an open connection.
     fn open(stream: PeerStream) -> Self;
 }
 
@@ -57,28 +57,28 @@
 peer_client!(ControlPeerClient);
 peer_client!(LocalControlClient);
 
-/// Peers' connections by address; clones share them.
+/// A pool of connections to peers, by address. Clones share the connections.
 #[derive(Clone)]
 pub struct PeerClients<C> {
     security: PeerSecurity,
     local: Option<IpAddr>,
-    connect: Duration,
-    open: Arc<Mutex<std::collections::HashMap<SocketAddr, C>>>,
+    connect_timeout: Duration,
+    clients: Arc<Mutex<std::collections::HashMap<SocketAddr, C>>>,
 }
 
 impl<C> PeerClients<C>
 where
     C: PeerClient,
 {
-    /// Makes an empty set; connections leave from `local` and are given up after `connect`.
-    pub fn new(security: PeerSecurity, local: Option<IpAddr>, connect: Duration) -> Self {
-        Self { security, local, connect, open: Arc::default() }
+    /// Creates an empty pool. Connections are opened from `local`, with a timeout of `connect_timeout`.
+    pub fn new(security: PeerSecurity, local: Option<IpAddr>, connect_timeout: Duration) -> Self {
+        Self { security, local, connect_timeout, clients: Arc::default() }
     }
 
-    /// Calls a peer and waits for its answer for at most `limit`.
+    /// Calls a peer and waits at most `limit` for its answer.
     ///
-    /// A connection whose answer doesn't come is dropped: it may have gone silent for good, and the
-    /// next call opens a new one.
+    /// If there is no answer, the connection is dropped, because it may never deliver an answer again. The next call
+    /// opens a new connection.
     pub async fn call<F, Called, A>(
         &self,
         address: SocketAddr,
@@ -100,15 +100,15 @@
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, std::collections::HashMap<SocketAddr, C>> {
-        self.open.lock().unwrap_or_else(PoisonError::into_inner)
+        self.clients.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     async fn client(&self, address: SocketAddr) -> Result<C, CallFailure> {
-        let known = self.lock().get(&address).cloned();
-        if let Some(client) = known {
+        let existing = self.lock().get(&address).cloned();
+        if let Some(client) = existing {
             return Ok(client);
         }
-        let opened = tokio::time::timeout(self.connect, self.connect(address)).await;
+        let opened = tokio::time::timeout(self.connect_timeout, self.connect(address)).await;
         let stream = opened.ok().flatten().ok_or(CallFailure::NotSent)?;
         let client = C::open(stream);
         self.lock().insert(address, client.clone());
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Forgets peers that are gone.
+    /// Closes the connections to peers for whose address `keep` returns `false`.
     pub fn retain(&self, keep: impl Fn(&SocketAddr) -> bool) {
         self.lock().retain(|it, _| keep(it));
     }
--- a/crates/quincevalve_peers/src/entry.rs
+++ b/crates/quincevalve_peers/src/entry.rs
@@ -1,66 +1,67 @@
-//! What entry processes ask of each other.
+//! The RPC service of entry processes for each other.
 
 use quincevalve_ledger::{Claim, Verdict};
 use quincevalve_names::{ClientAccountName, EntryVmName, RequestId};
 use quincevalve_recovery::{AnswerRecord, HandOverId, ReceiverVerdict};
 use serde::{Deserialize, Serialize};
 
-/// A record on its way to another entry VM.
+/// The hand-over of a record to another entry VM.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HandOver {
-    /// Who hands over.
+    /// The VM that hands the record over.
     pub sender: EntryVmName,
-    /// The hand-over's id; the same id twice is taken once.
+    /// The id of the hand-over. Two hand-overs with the same id take effect once.
     pub id: HandOverId,
     /// The record.
     pub record: AnswerRecord,
 }
 
-/// How an answer ended, as far as a page shows it.
+/// The state of an answer at the end of a page.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PageEnd {
-    /// Not yet.
+    /// The answer has not ended.
     Open,
-    /// It is whole.
+    /// The answer is complete.
     Whole,
-    /// There is no whole answer, and the request did not run.
+    /// The answer is incomplete, and the request did not run.
     NotRun,
-    /// There is no whole answer, and the request may have run.
+    /// The answer is incomplete, and the request may have run.
     MayHaveRun,
-    /// Another VM has the request now.
+    /// The request was handed over to another VM.
     Moved,
 }
 
-/// A part of an answer.
+/// A segment of an answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AnswerPage {
-    /// Whose request it is.
+    /// The account that made the request.
     pub account: ClientAccountName,
-    /// The request's fingerprint.
+    /// The fingerprint of the request.
     pub fingerprint: u64,
-    /// Whether it is a service's answer.
+    /// Whether the answer is from a plain service, not from a model.
     pub is_call: bool,
     /// The position of the first token.
     pub from: u32,
     /// Tokens from that position on.
     pub tokens: Vec<String>,
-    /// A service's status, 0 until it is known.
+    /// The status of a service's answer; 0 until it is known.
     pub status: u16,
-    /// A service's headers.
+    /// The headers of a service's answer.
     pub headers: Vec<(String, Vec<u8>)>,
-    /// A service's bytes, from the start; only with the end.
+    /// The whole body of a service's answer. Empty until the answer has ended.
     pub bytes: Vec<u8>,
-    /// The end.
+    /// The state of the answer after this segment.
     pub end: PageEnd,
 }
 
-/// The service of one entry process.
+/// The service of an entry process for other entry processes.
 #[tarpc::service]
 pub trait EntryPeer {
-    /// Settles a claim in a slot that this VM owns.
+    /// Decides a claim in a slot that this VM owns.
     async fn claim(claim: Claim) -> Verdict;
-    /// Takes a record over.
+    /// Accepts or rejects the hand-over of a record.
     async fn hand_over(order: HandOver) -> ReceiverVerdict;
-    /// Reads an answer from a position on; waits a while for something new. `None`: not known here.
+    /// Reads an answer from position `from`, waiting at most `wait_ms` for new content. Returns `None` if this VM does
+    /// not have the answer.
     async fn read_answer(id: RequestId, from: u32, wait_ms: u32) -> Option<AnswerPage>;
 }
--- a/crates/quincevalve_peers/src/lib.rs
+++ b/crates/quincevalve_peers/src/lib.rs
@@ -1,4 +1,4 @@
-//! How the system's own processes talk: tarpc over mutual TLS, or plain TCP on loopback.
+//! RPC between the system's own processes: tarpc over mutual TLS, or over plain TCP on loopback.
 
 mod calls;
 mod control;
@@ -18,7 +18,7 @@
     tls::{PeerSecurity, PeerTls, PeerTlsError},
 };
 
-/// What [`serve_peer`] needs from other crates.
+/// Crates that the expansion of [`serve_peer`] refers to.
 #[doc(hidden)]
 pub mod reexport {
     pub use futures;
--- a/crates/quincevalve_peers/src/server.rs
+++ b/crates/quincevalve_peers/src/server.rs
@@ -1,4 +1,4 @@
-//! Accepting peers.
+//! Accepting connections from peers.
 
 use std::{future::Future, net::SocketAddr};
 
@@ -8,10 +8,11 @@
 
 use crate::{stream::PeerStream, tls::PeerSecurity};
 
-/// The largest message between peers: a revision of the inventory with room to grow.
-const MAX_FRAME: usize = 4 << 20;
+/// Maximum size of a message between peers, in bytes. The largest message is a revision of the inventory; the limit leaves
+/// room for it to grow.
+const MAX_FRAME_BYTES: usize = 4 << 20;
 
-/// The address for peers can't be listened on.
+/// The error for an address that can't be bound.
 #[derive(Debug, Snafu)]
 #[snafu(display("{address}: {source}"))]
 pub struct BindError {
@@ -19,7 +20,7 @@
     source: std::io::Error,
 }
 
-/// Where peers call.
+/// A listener for connections from peers.
 #[derive(Debug)]
 pub struct PeerListener {
     listener: TcpListener,
@@ -27,19 +28,19 @@
 }
 
 impl PeerListener {
-    /// Listens.
+    /// Binds a listener to `address`.
     pub async fn bind(address: SocketAddr) -> Result<Self, BindError> {
         let listener = TcpListener::bind(address).await.context(BindSnafu { address })?;
         let address = listener.local_addr().context(BindSnafu { address })?;
         Ok(Self { listener, address })
     }
 
-    /// The address in use.
+    /// Returns the bound address.
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Lets in every peer that `security` vouches for, and gives its connection to `serve`.
+    /// Accepts the connections of all peers that `security` authenticates, and passes them to `serve`.
     pub async fn accept<F, Served>(self, security: PeerSecurity, serve: F)
     where
         F: Fn(PeerStream) -> Served + Clone + Send + 'static,
@@ -53,21 +54,22 @@
             tokio::spawn(async move {
                 match security.accept(stream).await {
                     Ok(stream) => serve(stream).await,
-                    Err(error) => log::warn!("a peer at {peer} was not let in: {error}"),
+                    Err(error) => log::warn!("rejected the connection of peer {peer}: {error}"),
                 }
             });
         }
     }
 }
 
-/// The framing that both ends of a peer connection use.
+/// Returns the framing codec for both ends of a peer connection.
 pub fn peer_codec() -> LengthDelimitedCodec {
-    LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME).new_codec()
+    LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec()
 }
 
-/// Serves one connection with a tarpc service.
+/// Serves a connection with a tarpc service.
 ///
-/// A macro, since the service's own future has to be known to be sent between threads.
+/// This is a macro because the concrete type of the service's future must be known for the compiler to verify that it is
+/// `Send`.
 #[macro_export]
 macro_rules! serve_peer {
     ($stream:expr, $service:expr) => {{
--- a/crates/quincevalve_peers/src/stream.rs
+++ b/crates/quincevalve_peers/src/stream.rs
@@ -1,4 +1,4 @@
-//! A connection to a peer, encrypted or not.
+//! A connection to a peer, over TLS or plain TCP.
 
 use std::{
     io,
@@ -12,7 +12,9 @@
 };
 use tokio_rustls::TlsStream;
 
-/// An enum, so that one code path serves both without indirection.
+/// A connection to a peer.
+///
+/// This is an enum so that the same code handles both kinds without dynamic dispatch.
 #[derive(Debug)]
 pub enum PeerStream {
     /// Plain TCP, for loopback.
--- a/crates/quincevalve_peers/src/tls.rs
+++ b/crates/quincevalve_peers/src/tls.rs
@@ -1,4 +1,4 @@
-//! Mutual TLS from PEM files, reloaded without a restart.
+//! Mutual TLS with PEM files, which can be reloaded without a restart.
 
 use std::{
     net::{IpAddr, SocketAddr},
@@ -25,40 +25,42 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PeerTls {
-    /// Certificates of the authorities that may vouch for peers. During a change the file holds the
-    /// old and the new one, so that peers with either are let in.
+    /// Certificates of the authorities that may sign peers' certificates. While an authority is being replaced, the file
+    /// contains the old and the new one, so that peers with a certificate of either are accepted.
     pub authorities: PathBuf,
-    /// This VM's certificate chain; it must name the VM's IP number.
+    /// This VM's certificate chain. The certificate must contain the VM's IP address.
     pub certificate: PathBuf,
     /// This VM's private key.
     pub key: PathBuf,
 }
 
-/// Peer security that can't be set up.
+/// The error for TLS files or addresses that can't be used, and for failed handshakes.
 #[derive(Debug, Snafu)]
 pub enum PeerTlsError {
-    /// A file can't be read as PEM.
+    /// A file can't be read or is not valid PEM.
     #[snafu(display("{}: {source}", file.display()))]
     Pem {
         /// The file.
         file: PathBuf,
-        /// Why.
+        /// The cause.
         source: pem::Error,
     },
-    /// The files don't make a usable identity.
+    /// The certificate, the key or an authority's certificate is invalid.
     #[snafu(display("peer_tls: {source}"))]
     Identity {
-        /// Why.
+        /// The cause.
         source: rustls::Error,
     },
-    /// The authorities can't be used.
+    /// No verifier can be built from the authorities.
     #[snafu(display("peer_tls.authorities: {source}"))]
     Authorities {
-        /// Why.
+        /// The cause.
         source: VerifierBuilderError,
     },
-    /// Plain TCP was asked for on an address that isn't loopback.
-    #[snafu(display("{address}: peers are let in without TLS on loopback only; set [peer_tls]"))]
+    /// Plain TCP was requested on an address that is not a loopback address.
+    #[snafu(display(
+        "{address}: peer connections without TLS are allowed on loopback only; set [peer_tls]"
+    ))]
     PlainTcpNotLoopback {
         /// The address.
         address: IpAddr,
@@ -66,50 +68,51 @@
     /// The TLS handshake failed.
     #[snafu(display("{source}"))]
     Handshake {
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
 }
 
 #[derive(Clone)]
-struct Configs {
+struct TlsConfigs {
     server: Arc<ServerConfig>,
     client: Arc<ClientConfig>,
 }
 
-/// How peers are let in and called; clones share one state.
+/// Accepts and opens connections to peers, with mutual TLS or plain TCP. Clones share one state.
 #[derive(Clone)]
 pub struct PeerSecurity {
     files: Option<Arc<PeerTls>>,
-    configs: Arc<RwLock<Option<Configs>>>,
+    configs: Arc<RwLock<Option<TlsConfigs>>>,
 }
 
 impl PeerSecurity {
-    /// Sets security up: mutual TLS, or plain TCP if `files` is `None` and `own` is loopback.
+    /// Loads the files for mutual TLS, or selects plain TCP if `files` is `None` and `own` is a loopback address.
     pub fn new(files: Option<PeerTls>, own: IpAddr) -> Result<Self, PeerTlsError> {
         let configs = match &files {
-            Some(files) => Some(load(files)?),
+            Some(files) => Some(load_tls_configs(files)?),
             None if own.is_loopback() => None,
             None => return PlainTcpNotLoopbackSnafu { address: own }.fail(),
         };
         Ok(Self { files: files.map(Arc::new), configs: Arc::new(RwLock::new(configs)) })
     }
 
-    /// Reads the files again. Open connections go on; if the files can't be used, the old ones stay.
+    /// Reloads the files. Open connections are not affected. If the files can't be used, the previous configuration stays in
+    /// effect.
     pub fn reload(&self) -> Result<(), PeerTlsError> {
         let Some(files) = &self.files else { return Ok(()) };
-        let configs = load(files)?;
+        let configs = load_tls_configs(files)?;
         if let Ok(mut current) = self.configs.write() {
             *current = Some(configs);
         }
         Ok(())
     }
 
-    fn configs(&self) -> Option<Configs> {
+    fn configs(&self) -> Option<TlsConfigs> {
         self.configs.read().ok().and_then(|it| it.clone())
     }
 
-    /// Wraps a connection that a peer opened.
+    /// Performs the handshake on a connection that a peer opened.
     pub(crate) async fn accept(&self, stream: TcpStream) -> Result<PeerStream, PeerTlsError> {
         let Some(configs) = self.configs() else { return Ok(PeerStream::Plain(stream)) };
         let accepted = TlsAcceptor::from(configs.server).accept(stream).await;
@@ -117,7 +120,7 @@
         Ok(PeerStream::Tls(Box::new(stream.into())))
     }
 
-    /// Wraps a connection that this process opened.
+    /// Performs the handshake on a connection that this process opened.
     pub(crate) async fn connect(
         &self,
         address: SocketAddr,
@@ -131,7 +134,7 @@
     }
 }
 
-fn load(files: &PeerTls) -> Result<Configs, PeerTlsError> {
+fn load_tls_configs(files: &PeerTls) -> Result<TlsConfigs, PeerTlsError> {
     let mut roots = RootCertStore::empty();
     for certificate in read_certificates(&files.authorities)? {
         roots.add(certificate).context(IdentitySnafu)?;
@@ -155,7 +158,7 @@
         .with_root_certificates(roots)
         .with_client_auth_cert(chain, read_key(&files.key)?)
         .context(IdentitySnafu)?;
-    Ok(Configs { server: Arc::new(server), client: Arc::new(client) })
+    Ok(TlsConfigs { server: Arc::new(server), client: Arc::new(client) })
 }
 
 fn read_certificates(file: &Path) -> Result<Vec<CertificateDer<'static>>, PeerTlsError> {
--- a/crates/quincevalve_peers/tests/mutual_tls.rs
+++ b/crates/quincevalve_peers/tests/mutual_tls.rs
@@ -1,5 +1,4 @@
-//! Peers are let in only with a certificate of a known authority, and certificates change without a
-//! restart.
+//! Peers are accepted only with a certificate of a trusted authority, and certificates can be replaced without a restart.
 
 use std::{
     net::{IpAddr, SocketAddr},
@@ -16,8 +15,8 @@
 use rcgen::{BasicConstraints, Certificate, CertificateParams, IsCa, Issuer, KeyPair};
 use tarpc::context::Context;
 
-const LIMIT: Duration = Duration::from_secs(5);
-const OWN: IpAddr = IpAddr::V4(std::net::Ipv4Addr::LOCALHOST);
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
+const LOCAL_ADDRESS: IpAddr = IpAddr::V4(std::net::Ipv4Addr::LOCALHOST);
 
 struct Authority {
     certificate: Certificate,
@@ -34,13 +33,13 @@
     }
 }
 
-/// A folder that goes with the test.
-struct Folder(PathBuf);
+/// A temporary directory that is removed at the end of the test.
+struct TempDir(PathBuf);
 
-impl Folder {
+impl TempDir {
     fn new(name: &str) -> Self {
         let path = std::env::temp_dir().join(format!("quincevalve-{name}-{}", std::process::id()));
-        std::fs::create_dir_all(&path).expect("a folder");
+        std::fs::create_dir_all(&path).expect("a directory");
         Self(path)
     }
 
@@ -51,29 +50,29 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempDir {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-/// Writes an identity signed by one authority that trusts some.
-fn identity(folder: &Folder, name: &str, signer: &Authority, trusted: &[&Authority]) -> PeerTls {
+/// Writes a certificate signed by `signer`, its key, and the trusted authorities.
+fn identity(dir: &TempDir, name: &str, signer: &Authority, trusted: &[&Authority]) -> PeerTls {
     let key = KeyPair::generate().expect("a key");
-    let params = CertificateParams::new(vec![OWN.to_string()]).expect("parameters");
+    let params = CertificateParams::new(vec![LOCAL_ADDRESS.to_string()]).expect("parameters");
     let certificate = params.signed_by(&key, &signer.issuer).expect("a certificate");
     let authorities: String = trusted.iter().map(|it| it.certificate.pem()).collect();
     PeerTls {
-        authorities: folder.write(&format!("{name}-authorities.pem"), &authorities),
-        certificate: folder.write(&format!("{name}.pem"), &certificate.pem()),
-        key: folder.write(&format!("{name}.key"), &key.serialize_pem()),
+        authorities: dir.write(&format!("{name}-authorities.pem"), &authorities),
+        certificate: dir.write(&format!("{name}.pem"), &certificate.pem()),
+        key: dir.write(&format!("{name}.key"), &key.serialize_pem()),
     }
 }
 
 #[derive(Clone)]
-struct Yes;
+struct StubControlPeer;
 
-impl ControlPeer for Yes {
+impl ControlPeer for StubControlPeer {
     async fn gossip(self, _: Context, message: Message) -> Message {
         message
     }
@@ -90,78 +89,83 @@
 }
 
 async fn serve(security: PeerSecurity) -> SocketAddr {
-    let listener = PeerListener::bind(SocketAddr::new(OWN, 0)).await.expect("a port");
+    let listener = PeerListener::bind(SocketAddr::new(LOCAL_ADDRESS, 0)).await.expect("a port");
     let address = listener.address();
     tokio::spawn(listener.accept(security, |stream| async move {
-        quincevalve_peers::serve_peer!(stream, Yes.serve());
+        quincevalve_peers::serve_peer!(stream, StubControlPeer.serve());
     }));
     address
 }
 
 async fn call(security: &PeerSecurity, address: SocketAddr) -> Result<bool, CallFailure> {
-    let callers: PeerClients<ControlPeerClient> = PeerClients::new(security.clone(), None, LIMIT);
-    callers
-        .call(address, LIMIT, |client, cx| async move { client.probe_for(cx, address).await })
+    let clients: PeerClients<ControlPeerClient> =
+        PeerClients::new(security.clone(), None, CALL_TIMEOUT);
+    clients
+        .call(
+            address,
+            CALL_TIMEOUT,
+            |client, cx| async move { client.probe_for(cx, address).await },
+        )
         .await
 }
 
 fn security(files: PeerTls) -> PeerSecurity {
-    PeerSecurity::new(Some(files), OWN).expect("the files are right")
+    PeerSecurity::new(Some(files), LOCAL_ADDRESS).expect("the files are valid")
 }
 
 #[tokio::test]
-async fn only_a_known_authority_lets_in() {
-    let folder = Folder::new("known");
+async fn rejects_peers_without_a_certificate_of_a_trusted_authority() {
+    let dir = TempDir::new("known");
     let (ours, theirs) = (Authority::new(), Authority::new());
-    let address = serve(security(identity(&folder, "server", &ours, &[&ours]))).await;
-    let peer = security(identity(&folder, "peer", &ours, &[&ours]));
+    let address = serve(security(identity(&dir, "server", &ours, &[&ours]))).await;
+    let peer = security(identity(&dir, "peer", &ours, &[&ours]));
     assert_eq!(call(&peer, address).await, Ok(true));
-    // It trusts the server, and the server doesn't know who vouches for it.
-    let stranger = security(identity(&folder, "stranger", &theirs, &[&ours, &theirs]));
+    // The stranger trusts the server's authority, but the server does not trust the stranger's.
+    let stranger = security(identity(&dir, "stranger", &theirs, &[&ours, &theirs]));
     assert!(call(&stranger, address).await.is_err());
-    let plain = PeerSecurity::new(None, OWN).expect("loopback");
+    let plain = PeerSecurity::new(None, LOCAL_ADDRESS).expect("loopback");
     assert!(call(&plain, address).await.is_err());
 }
 
-// Peers lose each other in the middle of a change of the authority. While the files hold old and new,
-// those with either certificate have to be let in, without a restart.
+// Guards against peers that lose contact while an authority is being replaced. While the file contains the old and the
+// new authority, peers with a certificate of either must be accepted, without a restart.
 #[tokio::test]
-async fn old_and_new_are_let_in_during_a_change() {
-    let folder = Folder::new("change");
+async fn accepts_old_and_new_certificates_while_an_authority_is_replaced() {
+    let dir = TempDir::new("change");
     let (old, new) = (Authority::new(), Authority::new());
-    let files = identity(&folder, "server", &old, &[&old]);
+    let files = identity(&dir, "server", &old, &[&old]);
     let server = security(files.clone());
     let address = serve(server.clone()).await;
-    let old_peer = security(identity(&folder, "old", &old, &[&old]));
-    let new_peer = security(identity(&folder, "new", &new, &[&old, &new]));
+    let old_peer = security(identity(&dir, "old", &old, &[&old]));
+    let new_peer = security(identity(&dir, "new", &new, &[&old, &new]));
     assert!(call(&new_peer, address).await.is_err());
     let both = old.certificate.pem() + &new.certificate.pem();
     std::fs::write(&files.authorities, both).expect("the file");
-    server.reload().expect("the files are right");
+    server.reload().expect("the files are valid");
     assert_eq!(call(&old_peer, address).await, Ok(true));
     assert_eq!(call(&new_peer, address).await, Ok(true));
 }
 
 #[tokio::test]
-async fn broken_files_leave_the_old_ones_in_use() {
-    let folder = Folder::new("broken");
+async fn reload_keeps_the_previous_files_when_the_key_is_invalid() {
+    let dir = TempDir::new("broken");
     let authority = Authority::new();
-    let files = identity(&folder, "server", &authority, &[&authority]);
+    let files = identity(&dir, "server", &authority, &[&authority]);
     let server = security(files.clone());
     let address = serve(server.clone()).await;
     std::fs::write(&files.key, "no key").expect("the file");
-    let error = server.reload().expect_err("it is no key").to_string();
+    let error = server.reload().expect_err("the key is invalid").to_string();
     assert!(error.contains(&*Path::new(&files.key).to_string_lossy()), "{error}");
-    let peer = security(identity(&folder, "peer", &authority, &[&authority]));
+    let peer = security(identity(&dir, "peer", &authority, &[&authority]));
     assert_eq!(call(&peer, address).await, Ok(true));
 }
 
 #[test]
-fn plain_tcp_is_for_loopback_only() {
-    let outside = IpAddr::from([10, 0, 0, 1]);
-    let error = PeerSecurity::new(None, outside).err().map(|it| it.to_string());
+fn rejects_plain_tcp_when_the_address_is_not_loopback() {
+    let address = IpAddr::from([10, 0, 0, 1]);
+    let error = PeerSecurity::new(None, address).err().map(|it| it.to_string());
     assert_eq!(
         error.as_deref(),
-        Some("10.0.0.1: peers are let in without TLS on loopback only; set [peer_tls]"),
+        Some("10.0.0.1: peer connections without TLS are allowed on loopback only; set [peer_tls]"),
     );
 }
--- a/crates/quincevalve_ports/src/cloud.rs
+++ b/crates/quincevalve_ports/src/cloud.rs
@@ -1,4 +1,4 @@
-//! The platform's cloud API and VM list: messages and client.
+//! Messages and client of the platform's cloud API and VM list.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -9,74 +9,74 @@
 
 use crate::http_client::{CallError, HttpClient};
 
-/// A VM's state in the platform's list. The list lags.
+/// A VM's state in the platform's list. The list may be out of date.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VmState {
     /// In service.
     Live,
-    /// Being taken back.
+    /// Being reclaimed.
     Leaving,
 }
 
-/// One row of the platform's list.
+/// An entry of the platform's VM list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ListedVm {
-    /// Its name.
+    /// The name of the VM.
     pub name: String,
-    /// Where it stands.
+    /// The data centre of the VM.
     pub data_centre: DataCentreName,
-    /// Its incarnation.
+    /// The incarnation of the VM.
     pub incarnation: Incarnation,
-    /// Its state.
+    /// The state of the VM.
     pub state: VmState,
-    /// The address at which peers reach it; `None` for backend servers.
+    /// The address for connections from peers; `None` for backend servers.
     pub peer_address: Option<SocketAddr>,
 }
 
-/// A notice that VMs will be taken back.
+/// A notice that VMs will be reclaimed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Notice {
-    /// The notice's number.
+    /// The number of the notice.
     pub number: u64,
-    /// Everything that this wave takes: a single VM or a data centre's worth.
+    /// All VMs in this reclaim wave, from a single VM to all VMs of a data centre.
     pub vms: Vec<String>,
-    /// Milliseconds until they are gone, when the platform answered.
+    /// Time until the VMs are reclaimed, in milliseconds from the platform's answer.
     pub left_ms: u64,
 }
 
-/// An order for one VM; the token makes it idempotent.
+/// An order for one VM, made idempotent by its token.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PurchaseOrder {
-    /// The same token twice buys once.
+    /// The idempotency token: two orders with the same token buy one VM.
     pub token: String,
-    /// Where.
+    /// The data centre of the new VM.
     pub data_centre: DataCentreName,
-    /// Which machine class.
+    /// The VM class of the new VM.
     pub vm_class: String,
 }
 
-/// A VM that was bought.
+/// A purchased VM.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Purchase {
-    /// Its name.
+    /// The name of the VM.
     pub vm: String,
 }
 
-/// A purchase that failed.
+/// The error for a failed purchase.
 #[derive(Debug, Snafu)]
 pub enum PurchaseError {
-    /// The cloud has none of that class there now.
+    /// The cloud currently has no VM of this class in this data centre.
     #[snafu(display("cloud: refused"))]
     Refused,
-    /// The call failed; it may have taken effect, and the token makes a repeat safe.
+    /// The call failed. The purchase may have taken effect; the token makes a retry safe.
     #[snafu(display("cloud: {source}"))]
     Call {
-        /// Why.
+        /// The cause.
         source: CallError,
     },
 }
@@ -90,17 +90,17 @@
 }
 
 impl CloudClient {
-    /// Makes a client.
+    /// Creates a client of the API at `address`. Each call except [`Self::notices`] ends within `limit`.
     pub const fn new(http: HttpClient, address: SocketAddr, limit: Duration) -> Self {
         Self { http, address, limit }
     }
 
-    /// Reads the list of VMs.
+    /// Reads the VM list.
     pub async fn list(&self) -> Result<Vec<ListedVm>, CallError> {
         self.http.call(Method::GET, self.address, "/v1/vms", None::<&()>, self.limit).await
     }
 
-    /// Waits for notices after a number, at most for `wait`.
+    /// Waits at most `wait` for notices with a number above `after`.
     pub async fn notices(&self, after: u64, wait: Duration) -> Result<Vec<Notice>, CallError> {
         let path = format!("/v1/notices?after={after}&wait_ms={}", wait.as_millis());
         let limit = wait + self.limit;
--- a/crates/quincevalve_ports/src/connector.rs
+++ b/crates/quincevalve_ports/src/connector.rs
@@ -1,4 +1,4 @@
-//! How connections to the platform are opened, and how they end.
+//! Opening of connections that are reset when they are dropped.
 
 use std::{
     future::Future,
@@ -15,15 +15,15 @@
 use tokio::net::{TcpSocket, TcpStream};
 use tower_service::Service;
 
-/// Unacknowledged data for this long means that the other end is out of reach: it answers in
-/// milliseconds, and several retransmissions fit.
-const SILENT_LIMIT: Duration = Duration::from_millis(1_500);
+/// Time without acknowledgement of sent data after which the other end counts as unreachable. The other end normally
+/// answers within milliseconds, and several retransmissions fit into this time.
+const UNACKNOWLEDGED_DATA_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Opens connections whose end takes back what has not arrived.
+/// Opens connections that discard undelivered data when they are dropped.
 ///
-/// Failure: a call is given up while the way is cut, and the kernel goes on sending its bytes. Symptom:
-/// when the way heals, a call arrives whose sender has lost its lease long ago. Connections are reset when
-/// they are dropped, so bytes that are still on their way are lost with the call.
+/// If a call is abandoned during a network partition, the kernel continues to send its bytes, and once the partition
+/// heals, the call arrives although its sender lost its lease long before. Connections are therefore reset when they are
+/// dropped, which discards undelivered bytes together with the call.
 #[derive(Clone, Debug)]
 pub(crate) struct Connector {
     local: Option<IpAddr>,
@@ -56,11 +56,12 @@
     Ok(stream)
 }
 
-/// Makes a connection lose what has not arrived when it is dropped, and notice an end out of reach.
+/// Configures a connection to be reset, discarding undelivered data, when it is dropped, and to fail when the other end
+/// is unreachable.
 pub fn reset_when_dropped(stream: &TcpStream) -> io::Result<()> {
     let options = SockRef::from(stream);
     options.set_linger(Some(Duration::ZERO))?;
-    options.set_tcp_user_timeout(Some(SILENT_LIMIT))
+    options.set_tcp_user_timeout(Some(UNACKNOWLEDGED_DATA_TIMEOUT))
 }
 
 impl Service<Uri> for Connector {
--- a/crates/quincevalve_ports/src/engine.rs
+++ b/crates/quincevalve_ports/src/engine.rs
@@ -1,4 +1,4 @@
-//! The model engines' interface: messages and client.
+//! Messages and client of the model engines' API.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -13,20 +13,20 @@
 
 /// Response header: the engine's incarnation.
 pub const INCARNATION_HEADER: &str = "engine-incarnation";
-/// Response header: `leaving` once the engine takes no new work.
+/// Response header: `leaving` once the engine accepts no new requests.
 pub const STATE_HEADER: &str = "engine-state";
-/// Response header of a refusal: `no` where the engine knows that nothing ran.
+/// Response header of a refusal: `no` if the engine guarantees that the request did not run.
 pub const RAN_HEADER: &str = "engine-ran";
 /// The value of [`STATE_HEADER`] on a leaving engine.
 pub const STATE_LEAVING: &str = "leaving";
-/// The kind of the event that confirms the end of an answer.
+/// The type of the event that confirms the end of an answer.
 pub const END_EVENT: &str = "end";
 
-/// An order to generate, or to go on generating.
+/// A request to generate an answer, or to resume its generation.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Generate {
-    /// The request; the engine keeps its state under this id for resuming.
+    /// The request's id, under which the engine stores its state for resumption.
     pub request_id: RequestId,
     /// The model.
     pub model: ModelName,
@@ -34,15 +34,15 @@
     pub prompt: String,
     /// A hash of the prompt's shared prefix.
     pub prefix: u64,
-    /// Tokens of the prompt.
+    /// Number of tokens of the prompt.
     pub prompt_tokens: u32,
-    /// The most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u32,
-    /// Higher goes first.
+    /// The priority; requests with a higher value run first.
     pub priority: u8,
-    /// The first token wanted; the engine computes from there, or resumes.
+    /// The position of the first token to return. The engine generates from there, or resumes.
     pub from: Sequence,
-    /// Where the KV cache can be fetched, if it was exported.
+    /// The exported KV cache to fetch, if there is one.
     pub import: Option<KvHandle>,
 }
 
@@ -52,9 +52,9 @@
 pub struct KvHandle {
     /// The engine that exported it.
     pub source: SocketAddr,
-    /// The request whose state it is.
+    /// The request whose state the cache holds.
     pub request_id: RequestId,
-    /// Tokens, of prompt and answer, that it covers.
+    /// Number of tokens, of prompt and answer, that the cache covers.
     pub tokens: u32,
 }
 
@@ -62,7 +62,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TokenEvent<'a> {
-    /// The request; an event of another request is foreign.
+    /// The request's id. An event with the id of another request does not belong to the stream.
     pub id: RequestId,
     /// The position in the answer.
     pub seq: Sequence,
@@ -71,13 +71,13 @@
     pub text: std::borrow::Cow<'a, str>,
 }
 
-/// The engine's confirmation that an answer is whole.
+/// The engine's confirmation that an answer is complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EndEvent {
     /// The request.
     pub id: RequestId,
-    /// Tokens of the whole answer, those of earlier servers included.
+    /// Number of tokens of the complete answer, including those from earlier servers.
     pub tokens: u32,
 }
 
@@ -87,11 +87,11 @@
 pub struct EngineLoad {
     /// The engine's incarnation.
     pub incarnation: Incarnation,
-    /// Requests running.
+    /// Number of running requests.
     pub running: u32,
-    /// Prompt tokens waiting.
+    /// Number of queued prompt tokens.
     pub queued_tokens: u32,
-    /// Whether the engine takes no new work.
+    /// Whether the engine no longer accepts new requests.
     pub leaving: bool,
 }
 
@@ -99,64 +99,64 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CacheEvent {
-    /// The event's number; a gap in the numbers is a lost event.
+    /// The event's number. A gap in the numbers means that an event was lost.
     pub number: u64,
     /// The prefix.
     pub prefix: u64,
-    /// Whether the engine holds it now.
+    /// Whether the engine now has the prefix in its cache.
     pub holds: bool,
 }
 
-/// What an engine works on.
+/// The kind of work that an engine performs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// Prompts and tokens.
+    /// Processes prompts and generates tokens.
     #[default]
     Both,
-    /// Prompts only.
+    /// Processes prompts only.
     Prompt,
-    /// Tokens only.
+    /// Generates tokens only.
     Generation,
 }
 
-/// Desired state of an engine. Sending it twice changes nothing more.
+/// The desired state of an engine. Sending it is idempotent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EngineOrder {
     /// The sender's fencing number.
     pub fencing: FencingNumber,
-    /// The model and version to hold.
+    /// The model to load.
     pub model: ModelName,
-    /// The version.
+    /// The version of the model to load.
     pub version: String,
-    /// Adapters to hold.
+    /// The adapters to load.
     pub adapters: Vec<String>,
-    /// The role.
+    /// The role to assume.
     pub role: Role,
 }
 
-/// What an engine holds now.
+/// The current state of an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EngineState {
-    /// The order in force.
+    /// The order that the engine currently follows.
     pub order: Option<EngineOrder>,
 }
 
-/// A call to an engine that failed.
+/// The error for a failed call to an engine.
 #[derive(Debug, Snafu)]
 pub enum EngineError {
     /// The call failed.
     #[snafu(display("engine: {source}"))]
     Call {
-        /// Why.
+        /// The cause.
         source: CallError,
     },
-    /// The order can't be written.
+    /// The request body can't be serialized.
     #[snafu(display("engine: order: {source}"))]
     Encode {
-        /// Why.
+        /// The cause.
         source: serde_json::Error,
     },
 }
@@ -168,29 +168,30 @@
 }
 
 impl EngineClient {
-    /// Makes a client.
+    /// Creates a client.
     pub const fn new(http: HttpClient) -> Self {
         Self { http }
     }
 
-    /// The HTTP client below.
+    /// Returns the underlying HTTP client.
     pub const fn http(&self) -> &HttpClient {
         &self.http
     }
 
-    /// Sends an order to generate; the answer is a stream of events.
+    /// Sends a request to generate. The response is a stream of events.
     pub async fn generate(
         &self,
         address: SocketAddr,
         order: &Generate,
     ) -> Result<Response<Incoming>, EngineError> {
         let body = serde_json::to_vec(order).context(EncodeSnafu)?;
-        let req = http_client::form(Method::POST, address, "/v1/generate", Bytes::from(body))
-            .context(CallSnafu)?;
+        let req =
+            http_client::build_request(Method::POST, address, "/v1/generate", Bytes::from(body))
+                .context(CallSnafu)?;
         self.http.send(address, req).await.context(CallSnafu)
     }
 
-    /// Cancels a request's generation. Cancelling twice is the same as once.
+    /// Cancels the generation of an answer. Cancelling is idempotent.
     pub async fn cancel(
         &self,
         address: SocketAddr,
@@ -201,7 +202,7 @@
         self.http.call(Method::POST, address, &path, None::<&()>, limit).await.context(CallSnafu)
     }
 
-    /// Asks the engine to make a request's KV cache ready for another engine to fetch.
+    /// Makes the engine export a request's KV cache, so that another engine can fetch it.
     pub async fn export(
         &self,
         address: SocketAddr,
@@ -212,7 +213,7 @@
         self.http.call(Method::POST, address, &path, None::<&()>, limit).await.context(CallSnafu)
     }
 
-    /// Reads the load report.
+    /// Reads the engine's load report.
     pub async fn load(
         &self,
         address: SocketAddr,
@@ -224,7 +225,7 @@
             .context(CallSnafu)
     }
 
-    /// Reads cache events after a number.
+    /// Reads the cache events with a number above `after`.
     pub async fn cache_events(
         &self,
         address: SocketAddr,
@@ -235,7 +236,7 @@
         self.http.call(Method::GET, address, &path, None::<&()>, limit).await.context(CallSnafu)
     }
 
-    /// Sends desired state.
+    /// Sends the desired state and returns the current one.
     pub async fn order(
         &self,
         address: SocketAddr,
@@ -248,7 +249,7 @@
             .context(CallSnafu)
     }
 
-    /// Reads back what the engine holds.
+    /// Reads the current state of the engine.
     pub async fn state(
         &self,
         address: SocketAddr,
--- a/crates/quincevalve_ports/src/event_stream.rs
+++ b/crates/quincevalve_ports/src/event_stream.rs
@@ -1,12 +1,12 @@
-//! Server-sent events, as engines stream them.
+//! Incremental parser for server-sent events, which engines use for streaming.
 
 use bytes::{Buf, Bytes, BytesMut};
 use snafu::Snafu;
 
-/// The largest event taken from a backend server.
+/// Maximum size of an event from a backend server, in bytes.
 pub const MAX_EVENT_BYTES: usize = 256 << 10;
 
-/// One event; the fields borrow from the buffer.
+/// A server-sent event. Its fields share the buffer's memory.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Event {
     /// The `id` field.
@@ -17,12 +17,12 @@
     pub data: Bytes,
 }
 
-/// A backend server sent an event without end.
+/// The error for an event that exceeds [`MAX_EVENT_BYTES`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("an event is larger than {MAX_EVENT_BYTES} bytes"))]
 pub struct OversizedEvent;
 
-/// Collects bytes and gives out whole events.
+/// Buffers received bytes and returns complete events.
 ///
 /// # Examples
 ///
@@ -42,14 +42,14 @@
 }
 
 impl EventBuffer {
-    /// Adds bytes as they arrived.
+    /// Appends received bytes.
     pub fn extend(&mut self, bytes: &[u8]) {
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// The next whole event, if all of it has arrived.
+    /// Returns the next complete event, or `None` if more bytes are needed.
     pub fn next_event(&mut self) -> Result<Option<Event>, OversizedEvent> {
-        let Some(length) = self.find_end() else {
+        let Some(length) = self.find_event_end() else {
             if self.bytes.len() > MAX_EVENT_BYTES {
                 return Err(OversizedEvent);
             }
@@ -61,7 +61,7 @@
         Ok(Some(parse(&block)))
     }
 
-    fn find_end(&mut self) -> Option<usize> {
+    fn find_event_end(&mut self) -> Option<usize> {
         let from = self.searched.saturating_sub(1);
         let found = self.bytes[from..].windows(2).position(|it| it == b"\n\n");
         self.searched = self.bytes.len();
--- a/crates/quincevalve_ports/src/http_client.rs
+++ b/crates/quincevalve_ports/src/http_client.rs
@@ -1,4 +1,4 @@
-//! The HTTP client that all ports share.
+//! The HTTP client that all clients of this crate share.
 
 use std::{
     collections::HashMap,
@@ -20,71 +20,75 @@
 
 use crate::connector::Connector;
 
-const IDLE_LIMIT: Duration = Duration::from_secs(20);
-const MAX_ANSWER_BYTES: usize = 2 << 20;
+/// Time after which an idle pooled connection is closed.
+const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+/// Maximum size of a response body.
+const MAX_RESPONSE_BYTES: usize = 2 << 20;
 
-/// How far a failed call can have got.
+/// Whether a failed call may have reached the other end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reach {
-    /// No byte of it can have reached the other end.
+    /// No byte of the call can have reached the other end.
     NotSent,
-    /// It may have arrived.
+    /// The call may have reached the other end.
     MayHaveArrived,
 }
 
-/// A call that failed.
+/// The error for a failed call.
 #[derive(Debug, Snafu)]
 pub enum CallError {
-    /// The request can't be formed.
+    /// The request can't be built.
     #[snafu(display("request: {source}"))]
     Form {
-        /// Why.
+        /// The cause.
         source: http::Error,
     },
     /// The transport failed.
     #[snafu(display("{address}: {source}"))]
     Transport {
-        /// The other end.
+        /// The address of the other end.
         address: SocketAddr,
-        /// Why.
+        /// The cause.
         source: hyper_util::client::legacy::Error,
     },
-    /// The answer broke off or is too large.
-    #[snafu(display("{address}: answer broke off"))]
+    /// The response body was truncated or is too large.
+    #[snafu(display(
+        "{address}: response body truncated or larger than {MAX_RESPONSE_BYTES} bytes"
+    ))]
     Answer {
-        /// The other end.
+        /// The address of the other end.
         address: SocketAddr,
     },
-    /// The answer isn't what the port expects.
-    #[snafu(display("{address}: unreadable answer: {source}"))]
+    /// The response can't be parsed as the expected type.
+    #[snafu(display("{address}: invalid response: {source}"))]
     Decode {
-        /// The other end.
+        /// The address of the other end.
         address: SocketAddr,
-        /// Why.
+        /// The cause.
         source: serde_json::Error,
     },
-    /// The other end answered with an error status.
+    /// The response has an error status.
     #[snafu(display("{address}: status {status}"))]
     Status {
-        /// The other end.
+        /// The address of the other end.
         address: SocketAddr,
         /// The status.
         status: StatusCode,
-        /// The body.
+        /// The response body.
         body: Bytes,
     },
-    /// No answer within the limit.
+    /// There was no response within the time limit.
     #[snafu(display("{address}: no answer within {limit:?}"))]
     TimedOut {
-        /// The other end.
+        /// The address of the other end.
         address: SocketAddr,
-        /// The limit.
+        /// The time limit.
         limit: Duration,
     },
 }
 
 impl CallError {
-    /// How far the call can have got.
+    /// Returns whether the call may have reached the other end.
     pub fn reach(&self) -> Reach {
         match self {
             Self::Form { .. } => Reach::NotSent,
@@ -94,67 +98,66 @@
     }
 }
 
-/// A pooled client, bound to the VM's own address.
+/// An HTTP client with a connection pool, whose connections are bound to the VM's own address.
 #[derive(Clone, Debug)]
 pub struct HttpClient {
     pooled: Client<Connector, Full<Bytes>>,
-    fresh: Client<Connector, Full<Bytes>>,
-    silent: Arc<Mutex<HashMap<SocketAddr, Instant>>>,
+    unpooled: Client<Connector, Full<Bytes>>,
+    unresponsive: Arc<Mutex<HashMap<SocketAddr, Instant>>>,
 }
 
 impl HttpClient {
-    /// Makes a client whose connections leave from `local`.
+    /// Creates a client whose connections are opened from `local` within `connect_limit`.
     pub fn new(local: Option<IpAddr>, connect_limit: Duration) -> Self {
         Self {
-            pooled: build(local, connect_limit, usize::MAX),
-            fresh: build(local, connect_limit, 0),
-            silent: Arc::default(),
+            pooled: build_client(local, connect_limit, usize::MAX),
+            unpooled: build_client(local, connect_limit, 0),
+            unresponsive: Arc::default(),
         }
     }
 
-    /// Notes that a pooled connection to `address` gave no answer.
+    /// Records that a pooled connection to `address` was unresponsive.
     ///
-    /// Failure: something on the way lost track of all open connections at once. Symptom: each request
-    /// waits its limit on one of them before it learns that. Until every connection that was idle then
-    /// has timed out, requests to the address take new ones; so one request waits, and the others don't.
+    /// If a network device loses the state of all open connections at once, each request on such a connection waits
+    /// for its full timeout. Requests to the address therefore use new connections until all connections that were
+    /// idle at this time have reached their idle timeout, so that only one request has to wait.
     pub fn mark_unresponsive(&self, address: SocketAddr) {
-        self.lock_silent().insert(address, Instant::now());
+        self.lock_unresponsive().insert(address, Instant::now());
     }
 
-    fn is_silent(&self, address: SocketAddr) -> bool {
-        let mut silent = self.lock_silent();
-        silent.retain(|_, since| since.elapsed() <= IDLE_LIMIT);
-        silent.contains_key(&address)
+    fn is_unresponsive(&self, address: SocketAddr) -> bool {
+        let mut unresponsive = self.lock_unresponsive();
+        unresponsive.retain(|_, since| since.elapsed() <= POOL_IDLE_TIMEOUT);
+        unresponsive.contains_key(&address)
     }
 
-    fn lock_silent(&self) -> MutexGuard<'_, HashMap<SocketAddr, Instant>> {
-        self.silent.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_unresponsive(&self) -> MutexGuard<'_, HashMap<SocketAddr, Instant>> {
+        self.unresponsive.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sends a request on a pooled connection, or on a new one where pooled ones may be silent.
+    /// Sends a request on a pooled connection, or on a new connection if pooled ones may be unresponsive.
     pub async fn send(
         &self,
         address: SocketAddr,
         req: Request<Full<Bytes>>,
     ) -> Result<Response<Incoming>, CallError> {
-        let client = if self.is_silent(address) { &self.fresh } else { &self.pooled };
+        let client = if self.is_unresponsive(address) { &self.unpooled } else { &self.pooled };
         client.request(req).await.context(TransportSnafu { address })
     }
 
     /// Sends a request on a new connection.
     ///
-    /// Failure: something between the two ends forgot a pooled connection, and requests on it get no
-    /// answer, while the other end is well. Symptom: every request that the pool gives that connection
-    /// stalls. A probe on a new connection tells that apart from a dead server.
+    /// If a network device loses the state of a pooled connection, every request on that connection stalls although
+    /// the server works. A probe on a new connection distinguishes this case from a failed server.
     pub async fn send_fresh(
         &self,
         address: SocketAddr,
         req: Request<Full<Bytes>>,
     ) -> Result<Response<Incoming>, CallError> {
-        self.fresh.request(req).await.context(TransportSnafu { address })
+        self.unpooled.request(req).await.context(TransportSnafu { address })
     }
 
-    /// Calls with a JSON body, or none, and reads a JSON answer within `limit`.
+    /// Sends a request with a JSON body, or an empty one, and returns the JSON response, within `limit`.
     pub async fn call<B, A>(
         &self,
         method: Method,
@@ -176,7 +179,7 @@
         serde_json::from_slice(answer).context(DecodeSnafu { address })
     }
 
-    /// Calls with bytes and reads the whole answer within `limit`.
+    /// Sends a request with a body and returns the whole response body, within `limit`.
     pub async fn call_bytes(
         &self,
         method: Method,
@@ -188,7 +191,7 @@
         self.call_with(method, address, path, HeaderMap::new(), body, limit).await
     }
 
-    /// Calls with headers and bytes, and reads the whole answer within `limit`.
+    /// Sends a request with headers and a body and returns the whole response body, within `limit`.
     pub async fn call_with(
         &self,
         method: Method,
@@ -198,7 +201,7 @@
         body: Bytes,
         limit: Duration,
     ) -> Result<Bytes, CallError> {
-        let mut req = form(method, address, path, body)?;
+        let mut req = build_request(method, address, path, body)?;
         req.headers_mut().extend(headers);
         let exchange = async {
             let response = self.send(address, req).await?;
@@ -211,16 +214,16 @@
         })
     }
 
-    /// Probes a server on a new connection: `true` if it answers at all within `limit`.
+    /// Probes a server on a new connection. Returns `true` if the server sends any response within `limit`.
     pub async fn probe(&self, address: SocketAddr, path: &str, limit: Duration) -> bool {
-        let Ok(req) = form(Method::GET, address, path, Bytes::new()) else { return false };
+        let Ok(req) = build_request(Method::GET, address, path, Bytes::new()) else { return false };
         let outcome = tokio::time::timeout(limit, self.send_fresh(address, req)).await;
         matches!(outcome, Ok(Ok(_)))
     }
 }
 
-/// Forms a request to an address.
-pub(crate) fn form(
+/// Builds a request to an address.
+pub(crate) fn build_request(
     method: Method,
     address: SocketAddr,
     path: &str,
@@ -236,20 +239,20 @@
 
 async fn collect(address: SocketAddr, response: Response<Incoming>) -> Result<Bytes, CallError> {
     let status = response.status();
-    let body = Limited::new(response.into_body(), MAX_ANSWER_BYTES).collect().await;
+    let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES).collect().await;
     let body = body.map_err(|_| CallError::Answer { address })?.to_bytes();
     if status.is_success() { Ok(body) } else { Err(CallError::Status { address, status, body }) }
 }
 
-fn build(
+fn build_client(
     local: Option<IpAddr>,
     connect_limit: Duration,
-    idle: usize,
+    max_idle: usize,
 ) -> Client<Connector, Full<Bytes>> {
     let connector = Connector::new(local, connect_limit);
     Client::builder(TokioExecutor::new())
-        .pool_idle_timeout(IDLE_LIMIT)
+        .pool_idle_timeout(POOL_IDLE_TIMEOUT)
         .pool_timer(TokioTimer::new())
-        .pool_max_idle_per_host(idle)
+        .pool_max_idle_per_host(max_idle)
         .build(connector)
 }
--- a/crates/quincevalve_ports/src/lib.rs
+++ b/crates/quincevalve_ports/src/lib.rs
@@ -1,7 +1,7 @@
-//! Ports: how the system reaches what lies outside it.
+//! Clients of the external systems that quincevalve depends on.
 //!
-//! Each outside system has a typed client over HTTP here, and the message types that the client and its
-//! small stand-in share. The decision cores never see this crate.
+//! Each external system has a typed HTTP client here, together with the message types that the client shares with the
+//! test double of the system. The decision cores don't depend on this crate.
 
 pub mod cloud;
 mod connector;
--- a/crates/quincevalve_ports/src/store.rs
+++ b/crates/quincevalve_ports/src/store.rs
@@ -1,7 +1,7 @@
-//! The platform's key-value service: messages and client.
+//! Messages and client of the platform's key-value service.
 //!
-//! Every call counts against the service's rates, a waiting watch too. Callers keep their calls few and
-//! independent of the number of nodes.
+//! Every call, including a pending watch, counts against the service's rate limits. Users of the client must keep the
+//! number of calls low and independent of the number of nodes.
 
 use std::{future::Future, net::SocketAddr, time::Duration};
 
@@ -13,10 +13,10 @@
 
 use crate::http_client::{CallError, HttpClient, Reach};
 
-/// The largest value that the service takes.
+/// Maximum size of a value, in bytes.
 pub const MAX_VALUE_BYTES: usize = 1 << 20;
 
-/// The version of a key, given by the service; 0 means that the key is absent.
+/// The version of a key, assigned by the service; 0 if the key does not exist.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -24,67 +24,67 @@
 pub struct KeyVersion(pub u64);
 
 impl KeyVersion {
-    /// The version of an absent key.
+    /// The version of a key that does not exist.
     pub const ABSENT: Self = Self(0);
 }
 
-/// A value with its version.
+/// A value and its version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Versioned {
     /// The version.
     pub version: KeyVersion,
-    /// The value, text.
+    /// The value, as text.
     pub value: String,
 }
 
-/// A lease as the service grants it.
+/// A lease, as granted by the service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Lease {
-    /// Who holds it.
+    /// The holder of the lease.
     pub holder: String,
-    /// Higher with each change of holder.
+    /// The fencing number, which increases with each change of holder.
     pub fencing: FencingNumber,
-    /// What is left of it, in milliseconds, when the service answered.
+    /// Remaining time of the lease in milliseconds, from the service's answer.
     pub left_ms: u64,
 }
 
-/// A call to the store that failed.
+/// The error for a failed call to the store.
 #[derive(Debug, Snafu)]
 pub enum StoreError {
-    /// The key has another version than the one named; nothing was written.
+    /// The key is not at the expected version; nothing was written.
     #[snafu(display("store: the key is at version {}", current.0))]
     Conflict {
         /// The version in the store.
         current: KeyVersion,
     },
-    /// The store didn't take the call; nothing was written.
+    /// The store did not accept the call; nothing was written.
     #[snafu(display("store: unavailable: {source}"))]
     Unavailable {
-        /// Why.
+        /// The cause.
         source: CallError,
     },
-    /// The call may have taken effect, its answer is lost.
+    /// The answer was lost; the call may have taken effect.
     #[snafu(display("store: no answer, the write may have taken effect: {source}"))]
     Unknown {
-        /// Why.
+        /// The cause.
         source: CallError,
     },
-    /// The value is too large.
-    #[snafu(display("store: a value of {bytes} bytes; at most {MAX_VALUE_BYTES} are taken"))]
+    /// The value exceeds [`MAX_VALUE_BYTES`].
+    #[snafu(display("store: the value has {bytes} bytes; the maximum is {MAX_VALUE_BYTES}"))]
     TooLarge {
-        /// Its size.
+        /// The size of the value, in bytes.
         bytes: usize,
     },
 }
 
-/// The store as its users see it. Tests drive cores and services with an in-memory one.
+/// The interface of the key-value store. Tests use an in-memory implementation.
 pub trait Store: Clone + Send + Sync + 'static {
     /// Reads a key.
     fn get(&self, key: &str) -> impl Future<Output = Result<Option<Versioned>, StoreError>> + Send;
 
-    /// Writes a key if it is at version `expected`, and returns the new version.
+    /// Writes a key if its version is `expected`, and returns the new version.
     fn swap(
         &self,
         key: &str,
@@ -92,14 +92,14 @@
         value: &str,
     ) -> impl Future<Output = Result<KeyVersion, StoreError>> + Send;
 
-    /// Deletes a key if it is at version `expected`.
+    /// Deletes a key if its version is `expected`.
     fn delete(
         &self,
         key: &str,
         expected: KeyVersion,
     ) -> impl Future<Output = Result<(), StoreError>> + Send;
 
-    /// Waits until a key is at a version above `after`, at most for `wait`; then reads it.
+    /// Waits at most `wait` until the version of a key is above `after`, then reads the key.
     fn watch(
         &self,
         key: &str,
@@ -107,7 +107,7 @@
         wait: Duration,
     ) -> impl Future<Output = Result<Option<Versioned>, StoreError>> + Send;
 
-    /// Takes or renews a lease; the answer names the holder, whoever it is.
+    /// Acquires or renews a lease. The result names the current holder, which may be another one.
     fn lease(
         &self,
         name: &str,
@@ -116,7 +116,7 @@
     ) -> impl Future<Output = Result<Lease, StoreError>> + Send;
 }
 
-/// The store over HTTP.
+/// A client of the store over HTTP.
 #[derive(Clone, Debug)]
 pub struct HttpStore {
     http: HttpClient,
@@ -131,7 +131,7 @@
 }
 
 impl HttpStore {
-    /// Makes a client of the store at `address`; each call ends within `limit`.
+    /// Creates a client of the store at `address`. Each call except [`Store::watch`] ends within `limit`.
     pub const fn new(http: HttpClient, address: SocketAddr, limit: Duration) -> Self {
         Self { http, address, limit }
     }
--- a/crates/quincevalve_program/src/arguments.rs
+++ b/crates/quincevalve_program/src/arguments.rs
@@ -1,42 +1,42 @@
-//! The command line that all long-running programs have in common.
+//! The command line of the long-running programs.
 
 use std::{ffi::OsString, path::PathBuf};
 
 use snafu::{ResultExt, Snafu};
 
-/// A program's name and what `--help` says of it.
+/// A program's name and its description in the output of `--help`.
 #[derive(Clone, Copy, Debug)]
 pub struct Program {
-    /// The binary's name.
+    /// The name of the binary.
     pub name: &'static str,
-    /// What it does, one line.
+    /// A one-line description.
     pub about: &'static str,
 }
 
-/// What the operator asked for.
+/// The action requested on the command line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Invocation {
-    /// Run with this settings file.
+    /// Run with a settings file.
     Run(PathBuf),
-    /// Print the settings in force and exit.
+    /// Print the effective settings and exit.
     Check(PathBuf),
-    /// Print this text and exit.
+    /// Print a text and exit.
     Print(String),
 }
 
-/// A command line that can't be understood.
+/// The error for an invalid command line.
 #[derive(Debug, Snafu)]
 pub enum ArgumentError {
-    /// An option has no value or a wrong one.
+    /// An option's value is missing or invalid.
     #[snafu(display("{source}; see --help"))]
     Option {
         /// The parser's error.
         source: pico_args::Error,
     },
-    /// There are words that no option takes.
+    /// There are arguments that belong to no option.
     #[snafu(display("unknown argument {}; see --help", argument.display()))]
     Unknown {
-        /// The first of them.
+        /// The first unknown argument.
         argument: OsString,
     },
 }
--- a/crates/quincevalve_program/src/launch.rs
+++ b/crates/quincevalve_program/src/launch.rs
@@ -1,4 +1,4 @@
-//! The start of a long-running program, the same for all.
+//! Startup of the long-running programs.
 
 use std::{fmt, future::Future, process::ExitCode};
 
@@ -11,26 +11,26 @@
     settings::{SettingsError, read_settings},
 };
 
-/// Settings of a program, with their `[log]` section.
+/// Settings of a program, including a `[log]` section.
 pub trait ProgramSettings: Serialize + DeserializeOwned {
-    /// The `[log]` section.
+    /// Returns the `[log]` section.
     fn log(&self) -> &LogSettings;
 }
 
-/// A program that can't start.
+/// The error for a program that can't start.
 #[derive(Debug, Snafu)]
 enum LaunchError {
     #[snafu(display("{source}"))]
     Arguments { source: ArgumentError },
     #[snafu(display("{source}"))]
     Settings { source: SettingsError },
-    #[snafu(display("the settings can't be shown: {source}"))]
-    Show { source: toml::ser::Error },
+    #[snafu(display("the settings can't be printed as TOML: {source}"))]
+    Print { source: toml::ser::Error },
     #[snafu(display("{source}"))]
     Runtime { source: std::io::Error },
 }
 
-/// Reads the command line and the settings, starts logs and a runtime, and runs `main`.
+/// Parses the command line, reads the settings, starts logging and a runtime, and runs `main`.
 pub fn launch<S, M, F, E>(program: Program, main: M) -> ExitCode
 where
     S: ProgramSettings,
@@ -41,26 +41,26 @@
     let settings: S = match prepare(program) {
         Ok(Some(settings)) => settings,
         Ok(None) => return ExitCode::SUCCESS,
-        Err(error) => return failed(program, &error),
+        Err(error) => return report_failure(program, &error),
     };
     start_logs(settings.log());
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
     match runtime.context(RuntimeSnafu) {
-        Err(error) => failed(program, &error),
+        Err(error) => report_failure(program, &error),
         Ok(runtime) => match runtime.block_on(main(settings)) {
             Ok(()) => ExitCode::SUCCESS,
-            Err(error) => failed(program, &error),
+            Err(error) => report_failure(program, &error),
         },
     }
 }
 
-fn failed(program: Program, error: &impl fmt::Display) -> ExitCode {
+fn report_failure(program: Program, error: &impl fmt::Display) -> ExitCode {
     eprintln!("{}: {error}", program.name);
     ExitCode::FAILURE
 }
 
-/// `None` where the command line asked only for something to be printed.
-#[expect(clippy::print_stdout, reason = "--check, --help and --version answer on stdout")]
+/// Returns the settings, or `None` if the command line only requested output, which has been printed.
+#[expect(clippy::print_stdout, reason = "--check, --help and --version print to stdout")]
 fn prepare<S>(program: Program) -> Result<Option<S>, LaunchError>
 where
     S: ProgramSettings,
@@ -73,7 +73,7 @@
         }
         Invocation::Check(file) => {
             let settings: S = read_settings(&file).context(SettingsSnafu)?;
-            println!("{}", toml::to_string(&settings).context(ShowSnafu)?);
+            println!("{}", toml::to_string(&settings).context(PrintSnafu)?);
             Ok(None)
         }
         Invocation::Run(file) => read_settings(&file).context(SettingsSnafu).map(Some),
--- a/crates/quincevalve_program/src/lib.rs
+++ b/crates/quincevalve_program/src/lib.rs
@@ -1,4 +1,4 @@
-//! What every program of quincevalve shares: command line, settings files, logs and metrics.
+//! Functions that all quincevalve programs share: command line, settings files, logs and metrics.
 
 mod arguments;
 mod bounded_stdout;
--- a/crates/quincevalve_program/src/logs.rs
+++ b/crates/quincevalve_program/src/logs.rs
@@ -1,4 +1,4 @@
-//! Structured logs: lines for people on standard error, JSON objects for collectors on standard output.
+//! Structured logs: text on standard error, or JSON objects for log collectors on standard output.
 
 use std::fmt;
 
@@ -12,14 +12,14 @@
 
 use crate::bounded_stdout::BoundedStdout;
 
-/// The form of a log line.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogFormat {
-    /// For people.
+    /// Readable text on standard error.
     #[default]
     Text,
-    /// One JSON object a line on standard output, for collectors.
+    /// One JSON object per line on standard output, for log collectors.
     Json,
 }
 
@@ -29,12 +29,12 @@
 pub enum LogLevel {
     /// Failures that need an operator.
     Error,
-    /// Failures that the system mends itself.
+    /// Failures from which the system recovers by itself.
     Warn,
-    /// Starts, stops, changes.
+    /// Starts, stops and changes of state.
     #[default]
     Info,
-    /// One line a request.
+    /// One line per request.
     Debug,
 }
 
@@ -64,7 +64,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogSettings {
-    /// The form of a line.
+    /// The format of log lines.
     pub format: LogFormat,
     /// The least severe level that is logged.
     pub level: LogLevel,
@@ -72,8 +72,8 @@
 
 /// Starts logging for the whole process. A second call changes nothing.
 pub fn start_logs(settings: &LogSettings) {
-    // Libraries log what they call a span at the trace level past the process-wide limit, so each
-    // record is held against the level once more.
+    // Libraries log spans at the trace level without regard to the process-wide level, so each record is filtered
+    // by its level again.
     let filter = RecordFilter::MoreSevereEqual(settings.level.into());
     let text = || Stderr::default().with_layout(TextLayout::default());
     let builder = match settings.format {
--- a/crates/quincevalve_program/src/metrics.rs
+++ b/crates/quincevalve_program/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters, gauges and timers over StatsD.
+//! Counters, gauges and timers, sent over StatsD.
 
 use std::{
     net::{SocketAddr, UdpSocket},
@@ -18,9 +18,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct MetricsSettings {
-    /// Where the StatsD collector listens; without it nothing is sent.
+    /// Address of the StatsD collector. Without it, no metrics are sent.
     pub statsd: Option<SocketAddr>,
-    /// The prefix of every key.
+    /// The prefix of all metric keys.
     pub prefix: String,
 }
 
@@ -30,33 +30,33 @@
     }
 }
 
-/// Metrics that can't be started.
+/// The error for metrics that can't be set up.
 #[derive(Debug, Snafu)]
 pub enum MetricsError {
-    /// No local UDP socket.
+    /// A local UDP socket can't be opened.
     #[snafu(display("metrics: no UDP socket: {source}"))]
     Socket {
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
     /// The collector's address can't be used.
     #[snafu(display("metrics.statsd: {source}"))]
     Collector {
-        /// Why.
+        /// The cause.
         source: cadence::MetricError,
     },
 }
 
-/// The process's metrics; clones share one sender.
+/// The metrics of the process. Clones share one sender.
 ///
-/// A send that fails is dropped: metrics must never hold up or fail a request.
+/// Metrics that can't be sent are dropped: metrics must never delay a request or make it fail.
 #[derive(Clone, Debug)]
 pub struct Metrics {
     client: Arc<StatsdClient>,
 }
 
 impl Metrics {
-    /// Starts sending to the collector that the settings name.
+    /// Starts sending metrics to the collector in the settings.
     pub fn start(settings: &MetricsSettings) -> Result<Self, MetricsError> {
         let Some(collector) = settings.statsd else { return Ok(Self::silent()) };
         let socket = UdpSocket::bind(("0.0.0.0", 0)).context(SocketSnafu)?;
@@ -66,7 +66,7 @@
         Ok(Self { client: Arc::new(client) })
     }
 
-    /// Metrics that go nowhere.
+    /// Returns metrics that are not sent.
     ///
     /// ```
     /// quincevalve_program::Metrics::silent().count("requests", 1);
@@ -75,7 +75,7 @@
         Self { client: Arc::new(StatsdClient::from_sink(DEFAULT_PREFIX, NopMetricSink)) }
     }
 
-    /// Adds to a counter.
+    /// Adds `by` to a counter.
     pub fn count(&self, key: &str, by: i64) {
         let _ = self.client.count(key, by);
     }
--- a/crates/quincevalve_program/src/settings.rs
+++ b/crates/quincevalve_program/src/settings.rs
@@ -1,11 +1,11 @@
-//! Settings files in TOML.
+//! Reading settings files in TOML.
 
 use std::path::{Path, PathBuf};
 
 use serde::de::DeserializeOwned;
 use snafu::{ResultExt, Snafu};
 
-/// Settings that can't be used.
+/// The error for settings that can't be used.
 #[derive(Debug, Snafu)]
 pub enum SettingsError {
     /// The file can't be read.
@@ -13,15 +13,15 @@
     Read {
         /// The file.
         file: PathBuf,
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
-    /// The text isn't TOML, or a key is unknown, missing, or has a value that isn't allowed.
+    /// The text is not valid TOML, or a key is unknown or missing, or a value is not allowed.
     #[snafu(display("{}: {}", file.display(), source.to_string().trim_end()))]
     Parse {
         /// The file.
         file: PathBuf,
-        /// The parser's error, with line, key, value and what is allowed.
+        /// The parser's error, with the line, the key, the value and the allowed values.
         source: Box<toml::de::Error>,
     },
 }
@@ -35,7 +35,7 @@
     parse_settings(file, &text)
 }
 
-/// Parses the text of a settings file; `file` is only named in errors.
+/// Parses the text of a settings file. `file` is used only in errors.
 ///
 /// # Examples
 ///
--- a/crates/quincevalve_program/src/stop.rs
+++ b/crates/quincevalve_program/src/stop.rs
@@ -1,11 +1,11 @@
-//! The operators' request to stop.
+//! Signals that stop the process.
 
 use tokio::signal::unix::{SignalKind, signal};
 
 /// Completes on SIGTERM or SIGINT.
 ///
-/// Both start a graceful shutdown: the balancer is told first, then requests in flight are finished or
-/// handed over, and only then does the process end.
+/// Both signals start a graceful shutdown: the process first reports to the load balancer that it is stopping, then
+/// completes or hands over the requests in flight, and then ends.
 pub async fn stop_signal() -> std::io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
