--- a/crates/quincevalve_admission/src/lib.rs
+++ b/crates/quincevalve_admission/src/lib.rs
@@ -1,4 +1,4 @@
-//! The admission decision: run now, wait, or refuse early and truthfully.
+//! Admission control: decides whether a request runs now, waits in a fair queue, or is refused early.
 
 mod admission;
 mod fair_queue;
@@ -6,8 +6,8 @@
 
 pub use crate::{
     admission::{
-        AccountIndex, AccountLimits, Admission, AdmissionSettings, Arrival, Decision, Refused,
-        Ticket, Urgency,
+        AccountIndex, AccountLimits, Admission, AdmissionSettings, Arrival, Decision,
+        RefusalReason, Ticket, Urgency,
     },
     shares::{Demand, own_share},
 };
--- a/crates/quincevalve_entry/src/start.rs
+++ b/crates/quincevalve_entry/src/start.rs
@@ -11,14 +11,14 @@
 };
 
 use quincevalve_inventory::{Format, ReadError, read_inventory};
-use quincevalve_ledger::ClaimDesk;
+use quincevalve_ledger::ClaimLedger;
 use quincevalve_names::hash_text;
 use quincevalve_peers::{
     BindError, EntryPeer, PeerClients, PeerListener, PeerSecurity, PeerTlsError,
 };
 use quincevalve_ports::{HttpClient, engine::EngineClient, store::HttpStore};
 use quincevalve_program::{Metrics, MetricsError};
-use quincevalve_retries::{HedgeClock, RetryBudget};
+use quincevalve_retries::{HedgeDelay, RetryBudget};
 use quincevalve_routing::{PredictedFirstToken, Router};
 use quincevalve_timer::Timer;
 use snafu::{ResultExt, Snafu};
@@ -213,7 +213,7 @@
     let http = HttpClient::new(Some(settings.listen.ip()), settings.pacing.connect());
     let store = HttpStore::new(http.clone(), settings.platform, settings.pacing.platform());
     let writer = settings.name.as_str();
-    let claims = ClaimDesk::new(store, timer.clone(), writer, settings.ledger.into());
+    let claims = ClaimLedger::new(store, timer.clone(), writer, settings.ledger.into());
     let local = Some(settings.peer_listen.ip());
     Shared {
         callers: PeerClients::new(security, local, settings.pacing.connect()),
@@ -226,7 +226,7 @@
         router: Mutex::new(Router::new(PredictedFirstToken, seed)),
         admission: AdmissionDesk::new(timer.clone()),
         budget: Mutex::new(RetryBudget::default()),
-        hedge: Mutex::new(HedgeClock::default()),
+        hedge: Mutex::new(HedgeDelay::default()),
         answers: Answers::new(settings.limits),
         departures: Departures::default(),
         engines: EngineClient::new(http),
--- a/crates/quincevalve_retries/src/lib.rs
+++ b/crates/quincevalve_retries/src/lib.rs
@@ -1,4 +1,4 @@
-//! The decision after a failure: try again, hedge, or give up with the truth.
+//! Retries and hedging: decides whether a failed or slow attempt is retried, hedged or given up.
 
 mod budget;
 mod decision;
@@ -6,6 +6,6 @@
 
 pub use crate::{
     budget::RetryBudget,
-    decision::{Failure, FailureReach, NextStep, RetryRules, decide},
-    hedge::HedgeClock,
+    decision::{ExecutionStatus, FailedAttempt, RetryDecision, RetryPolicy, decide_retry},
+    hedge::HedgeDelay,
 };
