--- a/crates/quincevalve_explain/tests/traces.rs
+++ b/crates/quincevalve_explain/tests/traces.rs
@@ -1,8 +1,8 @@
 //! Compares the traces of failed requests with fixtures. The log lines were written by the real program.
 //!
-//! The first line of a `.log` fixture is the request's id; the others are log lines of one VM. The `.txt` fixture beside
-//! it holds the expected trace. `UPDATE_FIXTURES=1 cargo test -p quincevalve_explain` rewrites the expected traces;
-//! review every change to them.
+//! The first line of a `.log` fixture is the request's id; the others are log lines of one VM. The `.txt` fixture
+//! beside it holds the expected trace. `UPDATE_FIXTURES=1 cargo test -p quincevalve_explain` rewrites the expected
+//! traces; review every change to them.
 
 use std::{fs, path::Path};
 
--- a/crates/quincevalve_inventory/src/model.rs
+++ b/crates/quincevalve_inventory/src/model.rs
@@ -50,8 +50,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClientAccount {
-    /// SHA-256 hashes of the account's API keys. An account may have several keys, so that a key can be replaced without
-    /// an interruption.
+    /// SHA-256 hashes of the account's API keys. An account may have several keys, so that a key can be replaced
+    /// without an interruption.
     pub key_sha256: Vec<KeyHash>,
     /// The account's weight in weighted fair queueing.
     #[serde(default = "default_weight")]
--- a/crates/quincevalve_peers/src/control.rs
+++ b/crates/quincevalve_peers/src/control.rs
@@ -44,8 +44,8 @@
 /// The service of a control process for the entry process of the same VM.
 #[tarpc::service]
 pub trait LocalControl {
-    /// Waits until the state's version differs from `version`, for at most `wait_ms`, and returns the state. `has` is the
-    /// entry process's revision.
+    /// Waits until the state's version differs from `version`, for at most `wait_ms`, and returns the state. `has` is
+    /// the entry process's revision.
     async fn next(version: u64, has: Revision, wait_ms: u32) -> LocalUpdate;
     /// Receives the entry process's demand and whether the process is leaving.
     async fn report(name: EntryVmName, demand: u32, leaving: bool);
--- a/crates/quincevalve_peers/src/entry.rs
+++ b/crates/quincevalve_peers/src/entry.rs
@@ -48,7 +48,7 @@
     pub status: u16,
     /// The headers of a service's answer.
     pub headers: Vec<(String, Vec<u8>)>,
-    /// The whole body of a service's answer. Empty until the answer has ended.
+    /// The whole body of a service's answer. Empty unless the answer is complete.
     pub bytes: Vec<u8>,
     /// The state of the answer after this segment.
     pub end: PageEnd,
--- a/crates/quincevalve_peers/src/server.rs
+++ b/crates/quincevalve_peers/src/server.rs
@@ -8,8 +8,8 @@
 
 use crate::{stream::PeerStream, tls::PeerSecurity};
 
-/// Maximum size of a message between peers, in bytes. The largest message is a revision of the inventory; the limit leaves
-/// room for it to grow.
+/// Maximum size of a message between peers, in bytes. The largest message is a revision of the inventory; the limit
+/// leaves room for it to grow.
 const MAX_FRAME_BYTES: usize = 4 << 20;
 
 /// The error for an address that can't be bound.
@@ -68,8 +68,7 @@
 
 /// Serves a connection with a tarpc service.
 ///
-/// This is a macro because the concrete type of the service's future must be known for the compiler to verify that it is
-/// `Send`.
+/// This is a macro because the compiler must know the concrete type of the service's future to verify that it is `Send`.
 #[macro_export]
 macro_rules! serve_peer {
     ($stream:expr, $service:expr) => {{
--- a/crates/quincevalve_peers/src/tls.rs
+++ b/crates/quincevalve_peers/src/tls.rs
@@ -25,8 +25,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PeerTls {
-    /// Certificates of the authorities that may sign peers' certificates. While an authority is being replaced, the file
-    /// contains the old and the new one, so that peers with a certificate of either are accepted.
+    /// Certificates of the authorities that may sign peers' certificates. While an authority is being replaced, the
+    /// file contains the old and the new one, so that peers with a certificate of either are accepted.
     pub authorities: PathBuf,
     /// This VM's certificate chain. The certificate must contain the VM's IP address.
     pub certificate: PathBuf,
@@ -97,8 +97,8 @@
         Ok(Self { files: files.map(Arc::new), configs: Arc::new(RwLock::new(configs)) })
     }
 
-    /// Reloads the files. Open connections are not affected. If the files can't be used, the previous configuration stays in
-    /// effect.
+    /// Reloads the files. Open connections are not affected. If the files can't be used, the previous configuration
+    /// stays in effect.
     pub fn reload(&self) -> Result<(), PeerTlsError> {
         let Some(files) = &self.files else { return Ok(()) };
         let configs = load_tls_configs(files)?;
--- a/crates/quincevalve_peers/tests/mutual_tls.rs
+++ b/crates/quincevalve_peers/tests/mutual_tls.rs
@@ -1,4 +1,5 @@
-//! Peers are accepted only with a certificate of a trusted authority, and certificates can be replaced without a restart.
+//! Peers are accepted only with a certificate of a trusted authority, and certificates can be replaced without a
+//! restart.
 
 use std::{
     net::{IpAddr, SocketAddr},
--- a/crates/quincevalve_ports/src/connector.rs
+++ b/crates/quincevalve_ports/src/connector.rs
@@ -22,8 +22,8 @@
 /// Opens connections that discard undelivered data when they are dropped.
 ///
 /// If a call is abandoned during a network partition, the kernel continues to send its bytes, and once the partition
-/// heals, the call arrives although its sender lost its lease long before. Connections are therefore reset when they are
-/// dropped, which discards undelivered bytes together with the call.
+/// heals, the call arrives although its sender lost its lease long before. Connections are therefore reset when they
+/// are dropped, which discards undelivered bytes together with the call.
 #[derive(Clone, Debug)]
 pub(crate) struct Connector {
     local: Option<IpAddr>,
--- a/crates/quincevalve_program/src/bounded_stdout.rs
+++ b/crates/quincevalve_program/src/bounded_stdout.rs
@@ -25,9 +25,9 @@
 
 /// Writes one JSON object per line to standard output, from a separate thread.
 ///
-/// If the reader of standard output stops and the pipe is full, a process that writes its logs synchronously blocks with
-/// all its requests. Lines therefore pass through a bounded queue. Lines that don't fit are dropped and counted, and the
-/// count is written when there is room again.
+/// If the reader of standard output stops and the pipe is full, a process that writes its logs synchronously blocks
+/// with all its requests. Lines therefore pass through a bounded queue. Lines that don't fit are dropped and counted,
+/// and the count is written when there is room again.
 #[derive(Debug)]
 pub(crate) struct BoundedStdout {
     layout: JsonLayout,
