--- a/crates/quincevalve_ledger/src/claim.rs
+++ b/crates/quincevalve_ledger/src/claim.rs
@@ -40,7 +40,7 @@
     }
 }
 
-/// A request for the exclusive right to dispatch a request.
+/// An attempt to acquire the exclusive right to dispatch a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
     /// The key that is claimed.
--- a/crates/quincevalve_ledger/src/format.rs
+++ b/crates/quincevalve_ledger/src/format.rs
@@ -48,7 +48,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Segment {
-    /// The claims, oldest first.
+    /// The claims, in the order in which they were written.
     pub entries: Vec<Entry>,
 }
 
--- a/crates/quincevalve_ledger/src/slot.rs
+++ b/crates/quincevalve_ledger/src/slot.rs
@@ -150,6 +150,7 @@
     phase: Phase,
     head: Head,
     known_claims: FxHashMap<ClaimKey, Entry>,
+    /// Time of the newest claim in each known segment, in seconds since 1970, by segment number.
     newest_claim_at: FxHashMap<u64, u64>,
     pending: VecDeque<Pending>,
     next_write_at: TimePoint,
