--- a/crates/quincevalve_peers/src/server.rs
+++ b/crates/quincevalve_peers/src/server.rs
@@ -68,8 +68,8 @@
 
 /// Serves a connection with a tarpc service.
 ///
-/// This is a macro because the compiler must know the concrete type of the service's future to verify that the future is
-/// `Send`.
+/// This is a macro because the compiler must know the concrete type of the service's future to verify that the future
+/// is `Send`.
 #[macro_export]
 macro_rules! serve_peer {
     ($stream:expr, $service:expr) => {{
