--- a/crates/quincevalve_entry/src/start.rs
+++ b/crates/quincevalve_entry/src/start.rs
@@ -11,7 +11,7 @@
 };
 
 use quincevalve_inventory::{Format, ReadError, read_inventory};
-use quincevalve_ledger::ClaimDesk;
+use quincevalve_ledger::ClaimLedger;
 use quincevalve_names::hash_text;
 use quincevalve_peers::{
     BindError, EntryPeer, PeerClients, PeerListener, PeerSecurity, PeerTlsError,
@@ -213,7 +213,7 @@
     let http = HttpClient::new(Some(settings.listen.ip()), settings.pacing.connect());
     let store = HttpStore::new(http.clone(), settings.platform, settings.pacing.platform());
     let writer = settings.name.as_str();
-    let claims = ClaimDesk::new(store, timer.clone(), writer, settings.ledger.into());
+    let claims = ClaimLedger::new(store, timer.clone(), writer, settings.ledger.into());
     let local = Some(settings.peer_listen.ip());
     Shared {
         callers: PeerClients::new(security, local, settings.pacing.connect()),
