--- a/crates/quincevalve_measure/src/arena.rs
+++ b/crates/quincevalve_measure/src/arena.rs
@@ -1,4 +1,4 @@
-//! Routers before engine models in virtual time: what routing, recovery and cost are measured on.
+//! Simulates routers in front of engine models in virtual time, for the routing, recovery and cost experiments.
 
 use std::{cmp::Reverse, collections::BinaryHeap, time::Duration};
 
@@ -15,31 +15,32 @@
 
 use crate::workload::{Kind, Mix, Question};
 
-/// How a fleet is run.
+/// Configuration of one simulated fleet.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Setup {
     pub(crate) servers: u32,
     pub(crate) routers: u32,
     pub(crate) speed: EngineSpeed,
-    /// Whether interactive work goes first at the engines.
+    /// Whether the engines schedule interactive requests before bulk requests.
     pub(crate) priorities: bool,
-    /// How old load reports are when routers get them; `None`: no reports.
+    /// Age of a load report when a router receives it; `None` disables load reports.
     pub(crate) report_lag: Option<Duration>,
-    /// A wave of reclaims.
+    /// A reclaim wave during the run, if any.
     pub(crate) wave: Option<Wave>,
 }
 
-/// A part of the servers goes at once.
+/// A reclaim wave: a fraction of the servers is removed at the same time.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Wave {
     pub(crate) at: TimePoint,
     pub(crate) share: f64,
     pub(crate) notice: Duration,
-    /// Whether the ways to go on are weighed; the naive version starts from zero when a server is gone.
-    pub(crate) weighs: bool,
+    /// Whether continuation options are compared by cost. The naive version restarts a request from the beginning once
+    /// its server is removed.
+    pub(crate) compares_continuations: bool,
 }
 
-/// What came of one request.
+/// The result of one request.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Outcome {
     pub(crate) kind: usize,
@@ -47,23 +48,23 @@
     pub(crate) end: Option<Duration>,
 }
 
-/// What came of a run.
+/// The result of one simulated run.
 #[derive(Clone, Debug)]
 pub(crate) struct Run {
     pub(crate) outcomes: Vec<Outcome>,
-    /// Tokens computed a second time, of prompts and of answers.
+    /// Prompt and answer tokens that were computed more than once.
     pub(crate) recomputed: u64,
     pub(crate) prefilled: u64,
     pub(crate) moved: u32,
-    /// The largest load of a server over the mean load, averaged over samples.
+    /// Ratio of the largest server load to the mean load, averaged over samples.
     pub(crate) imbalance: f64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Arrive(usize),
-    /// Bulk work asks again.
-    Hold {
+    /// A deferred bulk request is dispatched again.
+    RetryBulk {
         question: usize,
         router: usize,
         from: u32,
@@ -72,9 +73,9 @@
     Report,
     Engine(u32),
     Notice,
-    /// The KV cache of one answer has arrived elsewhere.
+    /// The KV cache of one answer has been transferred to another server.
     Moved(usize),
-    Gone,
+    ServersRemoved,
 }
 
 struct Flight {
@@ -93,7 +94,7 @@
     routers: Vec<Router<P>>,
     engines: Vec<EngineModel>,
     alive: Vec<bool>,
-    /// When each engine's next event is scheduled, so that none is scheduled twice.
+    /// Time of each engine's next scheduled event; prevents scheduling the same event twice.
     scheduled: Vec<Option<TimePoint>>,
     flights: FxHashMap<RequestId, Flight>,
     queue: BinaryHeap<Reverse<(TimePoint, Event)>>,
@@ -102,7 +103,7 @@
     reports: Vec<Vec<LoadReport>>,
 }
 
-/// Runs questions through a fleet.
+/// Runs all questions through a simulated fleet.
 pub(crate) fn run<P>(setup: Setup, mix: &Mix, questions: &[Question], policy: P, seed: u64) -> Run
 where
     P: Policy + Clone,
@@ -159,10 +160,10 @@
         for (at, question) in self.questions.iter().enumerate() {
             self.queue.push(Reverse((question.at, Event::Arrive(at))));
         }
-        self.queue.push(Reverse((TimePoint::from_millis(REPORT_MS), Event::Report)));
+        self.queue.push(Reverse((TimePoint::from_millis(REPORT_INTERVAL_MS), Event::Report)));
         if let Some(wave) = self.setup.wave {
             self.queue.push(Reverse((wave.at, Event::Notice)));
-            self.queue.push(Reverse((wave.at + wave.notice, Event::Gone)));
+            self.queue.push(Reverse((wave.at + wave.notice, Event::ServersRemoved)));
         }
     }
 
@@ -170,14 +171,14 @@
         while let Some(Reverse((now, event))) = self.queue.pop() {
             match event {
                 Event::Arrive(question) => self.arrive(now, question),
-                Event::Hold { question, router, from, imported } => {
+                Event::RetryBulk { question, router, from, imported } => {
                     self.dispatch(now, question, router, from, imported);
                 }
                 Event::Report => self.report(now),
                 Event::Engine(server) => self.advance(now, server as usize),
                 Event::Notice => self.notice(now),
                 Event::Moved(question) => self.moved(now, question),
-                Event::Gone => self.gone(now),
+                Event::ServersRemoved => self.gone(now),
             }
         }
     }
@@ -191,7 +192,7 @@
         self.dispatch(now, question, router, 0, 0);
     }
 
-    /// Sends a request, or the rest of its answer, to a server.
+    /// Sends a request, or the remainder of a partly generated answer, to a server.
     fn dispatch(
         &mut self,
         now: TimePoint,
@@ -215,8 +216,8 @@
         let choice = match self.routers[router].choose(&ask) {
             Ok(choice) => choice,
             Err(NoServer::Busy) => {
-                let later = Event::Hold { question, router, from, imported };
-                return self.queue.push(Reverse((now + HOLD, later)));
+                let later = Event::RetryBulk { question, router, from, imported };
+                return self.queue.push(Reverse((now + BULK_RETRY_DELAY, later)));
             }
             Err(_) => return,
         };
@@ -325,7 +326,7 @@
         }
         if let Some(lag) = self.setup.report_lag {
             self.reports.push(loads);
-            let rounds = (lag.as_millis() as u64 / REPORT_MS) as usize;
+            let rounds = (lag.as_millis() as u64 / REPORT_INTERVAL_MS) as usize;
             if self.reports.len() > rounds {
                 let due = self.reports.remove(0);
                 for router in &mut self.routers {
@@ -336,32 +337,33 @@
             }
         }
         if !self.queue.is_empty() {
-            self.queue.push(Reverse((now + Duration::from_millis(REPORT_MS), Event::Report)));
+            self.queue
+                .push(Reverse((now + Duration::from_millis(REPORT_INTERVAL_MS), Event::Report)));
         }
-        // Reports alone don't keep a run going.
+        // The run ends when only the periodic load report is left in the queue.
         if self.queue.len() == 1 && self.flights.is_empty() {
             self.queue.clear();
         }
     }
 
-    fn wave_servers(&self) -> std::ops::Range<u32> {
+    fn reclaimed_servers(&self) -> std::ops::Range<u32> {
         let share = self.setup.wave.map_or(0.0, |it| it.share);
         0..(f64::from(self.setup.servers) * share).round() as u32
     }
 
     fn notice(&mut self, now: TimePoint) {
-        let Some(wave) = self.setup.wave.filter(|it| it.weighs) else { return };
-        for server in self.wave_servers() {
+        let Some(wave) = self.setup.wave.filter(|it| it.compares_continuations) else { return };
+        for server in self.reclaimed_servers() {
             for router in &mut self.routers {
                 router.mark_leaving(ServerIndex(server), None, LeavingEvidence::Notice);
             }
         }
-        // The caches of one server leave it one after the other.
+        // One server transfers its caches sequentially, so each transfer waits for those queued before it.
         let mut ahead: FxHashMap<ServerIndex, u32> = FxHashMap::default();
-        for id in self.flights_on_wave() {
+        for id in self.requests_on_reclaimed_servers() {
             let Some(server) = self.flights.get(&id).map(|it| it.server) else { continue };
             let ahead = ahead.entry(server).or_default();
-            *ahead += self.weigh(now, id, Some(wave.notice), *ahead);
+            *ahead += self.continue_request(now, id, Some(wave.notice), *ahead);
         }
     }
 
@@ -370,11 +372,11 @@
         let Some(flight) = self.flights.get(&id) else { return };
         let facts = self.kind(question);
         let context = facts.prefix_tokens + facts.own_tokens + flight.tokens;
-        self.go_on(now, id, context);
+        self.continue_elsewhere(now, id, context);
     }
 
-    fn flights_on_wave(&self) -> Vec<RequestId> {
-        let wave = self.wave_servers();
+    fn requests_on_reclaimed_servers(&self) -> Vec<RequestId> {
+        let wave = self.reclaimed_servers();
         let mut ids: Vec<_> = self
             .flights
             .iter()
@@ -385,8 +387,14 @@
         ids
     }
 
-    /// Chooses the way to go on for one answer; returns the context tokens that it moves.
-    fn weigh(&mut self, now: TimePoint, id: RequestId, left: Option<Duration>, ahead: u32) -> u32 {
+    /// Chooses and applies a continuation for one answer; returns the number of context tokens it migrates.
+    fn continue_request(
+        &mut self,
+        now: TimePoint,
+        id: RequestId,
+        left: Option<Duration>,
+        ahead: u32,
+    ) -> u32 {
         let Some(flight) = self.flights.get(&id) else { return 0 };
         let facts = self.kind(flight.question);
         let asked = &self.questions[flight.question];
@@ -410,12 +418,14 @@
                 self.queue.push(Reverse((arrives, Event::Moved(flight.question))));
                 return context;
             }
-            Continuation::PrefixHolder | Continuation::Recompute => self.go_on(now, id, 0),
+            Continuation::PrefixHolder | Continuation::Recompute => {
+                self.continue_elsewhere(now, id, 0)
+            }
         }
         0
     }
 
-    fn go_on(&mut self, now: TimePoint, id: RequestId, imported: u32) {
+    fn continue_elsewhere(&mut self, now: TimePoint, id: RequestId, imported: u32) {
         let Some(flight) = self.flights.remove(&id) else { return };
         self.run.moved += 1;
         let server = flight.server.0 as usize;
@@ -428,27 +438,27 @@
 
     fn gone(&mut self, now: TimePoint) {
         let Some(wave) = self.setup.wave else { return };
-        for server in self.wave_servers() {
+        for server in self.reclaimed_servers() {
             self.alive[server as usize] = false;
             for router in &mut self.routers {
                 router.mark_leaving(ServerIndex(server), None, LeavingEvidence::VmList);
             }
         }
-        for id in self.flights_on_wave() {
-            if wave.weighs {
-                self.weigh(now, id, None, 0);
+        for id in self.requests_on_reclaimed_servers() {
+            if wave.compares_continuations {
+                self.continue_request(now, id, None, 0);
             } else {
-                self.start_over(now, id);
+                self.restart_request(now, id);
             }
         }
     }
 
-    /// The naive way: the whole request again, from zero.
-    fn start_over(&mut self, now: TimePoint, id: RequestId) {
+    /// Restarts the whole request from the beginning (the naive version).
+    fn restart_request(&mut self, now: TimePoint, id: RequestId) {
         let Some(flight) = self.flights.remove(&id) else { return };
         self.run.moved += 1;
         self.routers[flight.router].record_finished(flight.server);
-        // The tokens that the caller has are generated a second time.
+        // Tokens that the caller already received are generated again.
         self.run.recomputed += u64::from(flight.tokens);
         self.dispatch(now, flight.question, flight.router, 0, 0);
     }
@@ -468,6 +478,6 @@
 }
 
 const DATA_CENTRE: &str = "one";
-const REPORT_MS: u64 = 250;
-/// How long held bulk work waits before it asks again.
-const HOLD: Duration = Duration::from_millis(200);
+const REPORT_INTERVAL_MS: u64 = 250;
+/// Delay before a deferred bulk request is dispatched again.
+const BULK_RETRY_DELAY: Duration = Duration::from_millis(200);
--- a/crates/quincevalve_measure/src/experiments.rs
+++ b/crates/quincevalve_measure/src/experiments.rs
@@ -1,4 +1,4 @@
-//! The experiments, one file each.
+//! The experiments, one module each.
 
 mod admission;
 mod cost;
@@ -15,27 +15,27 @@
 
 use crate::table::Table;
 
-/// Declares the experiments with their names in one table.
+/// Declares the `Experiment` enum together with the experiments' command-line names.
 macro_rules! experiments {
     ($($variant:ident = $name:literal => $module:ident,)*) => {
-        /// An experiment.
+        /// An experiment that can be selected on the command line.
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
         pub(crate) enum Experiment {
             $($variant,)*
         }
 
         impl Experiment {
-            /// Every experiment.
+            /// All experiments.
             pub(crate) const ALL: &[Self] = &[$(Self::$variant,)*];
 
-            /// The name on the command line.
+            /// Returns the experiment's name on the command line.
             pub(crate) const fn name(self) -> &'static str {
                 match self {
                     $(Self::$variant => $name,)*
                 }
             }
 
-            /// Measures.
+            /// Runs the experiment and returns its tables.
             pub(crate) fn run(self, seed: u64) -> Vec<Table> {
                 match self {
                     $(Self::$variant => $module::run(seed),)*
--- a/crates/quincevalve_measure/src/experiments/admission.rs
+++ b/crates/quincevalve_measure/src/experiments/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: shares under contention, and promises kept, beside one queue for all.
+//! Admission: shares under contention and latency targets met, compared with a single shared queue.
 
 use std::{
     cmp::Reverse,
@@ -19,7 +19,7 @@
 const LENGTH_S: f64 = 120.0;
 const PROMISE: Duration = Duration::from_millis(800);
 const BULK_PROMISE: Duration = Duration::from_secs(60);
-/// Five accounts of equal weight; the last sends ten times its share.
+/// Request rates of five accounts with equal weights; the last sends ten times its share.
 const RATES: [f64; 5] = [12.0, 12.0, 12.0, 12.0, 120.0];
 const BULK_SHARE: f64 = 0.1;
 const SHORT: Duration = Duration::from_millis(400);
@@ -96,7 +96,7 @@
     if request.bulk { BULK_PROMISE } else { PROMISE }
 }
 
-/// Interactive work keeps its promise by starting in time, bulk work by ending in time.
+/// Interactive requests meet their target by starting in time, bulk requests by ending in time.
 fn keeps(request: &Request, started: TimePoint) -> bool {
     let done = if request.bulk { started + request.held } else { started };
     done - request.at <= promise_of(request)
@@ -174,7 +174,7 @@
     }
 }
 
-/// One queue in the order of arrival, nothing refused.
+/// Runs a single queue in order of arrival that rejects nothing (the naive version).
 fn run_naive(requests: &[Request]) -> Counts {
     let mut counts = Counts::default();
     let mut free: BinaryHeap<Reverse<TimePoint>> =
--- a/crates/quincevalve_measure/src/experiments/cost.rs
+++ b/crates/quincevalve_measure/src/experiments/cost.rs
@@ -1,4 +1,4 @@
-//! Cost at the latency target: the smallest fleet at which each class keeps its promise.
+//! Cost at the latency target: the smallest fleet at which each request class meets its target.
 
 use std::time::Duration;
 
@@ -14,10 +14,10 @@
 };
 
 const LENGTH: Duration = Duration::from_secs(120);
-/// Requests before this time find cold caches and aren't judged.
-const WARM: TimePoint = TimePoint::from_millis(30_000);
-/// The promise holds for so many in 100.
-const KEPT: f64 = 0.95;
+/// Warm-up time. Earlier requests meet cold caches and are excluded from the result.
+const WARM_UP: TimePoint = TimePoint::from_millis(30_000);
+/// Percentage of requests that must meet the latency target.
+const REQUIRED_PERCENT: f64 = 0.95;
 
 struct Scale {
     name: &'static str,
@@ -26,7 +26,7 @@
     most: u32,
 }
 
-/// Today's deployments, and a data centre's part of the target.
+/// Today's deployments, and one data centre's share of the target.
 const SCALES: [Scale; 2] = [
     Scale { name: "today", rate: 22.0, routers: 8, most: 40 },
     Scale { name: "target, one data centre", rate: 140.0, routers: 33, most: 200 },
@@ -77,7 +77,7 @@
     ]
 }
 
-/// The smallest fleet, by bisection, and the prompt tokens that it computed.
+/// Finds the smallest sufficient fleet by bisection; also returns the prompt tokens that it computed.
 fn smallest<P>(
     mix: &Mix,
     scale: &Scale,
@@ -122,12 +122,12 @@
 
 fn keeps_promises(mix: &Mix, questions: &[Question], run: &Run) -> bool {
     mix.kinds.iter().enumerate().all(|(at, kind)| {
-        let judged = run.outcomes.iter().zip(questions).filter(|it| it.1.at >= WARM);
+        let judged = run.outcomes.iter().zip(questions).filter(|it| it.1.at >= WARM_UP);
         let of_kind = judged.map(|it| it.0).filter(|it| it.kind == at);
         let mut times: Vec<_> = of_kind
             .map(|it| if kind.interactive { it.first } else { it.end })
             .map(|it| it.unwrap_or(Duration::MAX))
             .collect();
-        percentile(&mut times, KEPT) <= kind.promise
+        percentile(&mut times, REQUIRED_PERCENT) <= kind.promise
     })
 }
--- a/crates/quincevalve_measure/src/experiments/digests.rs
+++ b/crates/quincevalve_measure/src/experiments/digests.rs
@@ -1,4 +1,4 @@
-//! Digests: what it costs a collector to make one for a member, against the number of servers.
+//! Digests: time a collector takes to build the digest for one member, by number of servers.
 
 use std::time::Instant;
 
@@ -11,7 +11,7 @@
 
 const ROUNDS: u32 = 2_000;
 const MEMBERS: usize = 48;
-/// Accounts that spend of their quotas.
+/// Number of accounts with quota usage.
 const ACCOUNTS: usize = 40;
 
 pub(crate) fn run(seed: u64) -> Vec<Table> {
@@ -23,7 +23,7 @@
         let began = Instant::now();
         let mut bytes = 0;
         for _ in 0..ROUNDS {
-            // A share that was told can always be encoded.
+            // A received partial sum can always be encoded.
             let told = DefaultOptions::new().serialize(&all.without(&part));
             bytes += told.map_or(0, |it| it.len());
         }
--- a/crates/quincevalve_measure/src/experiments/ledger.rs
+++ b/crates/quincevalve_measure/src/experiments/ledger.rs
@@ -1,4 +1,4 @@
-//! The claim ledger: store writes, and takeover from a busy owner, beside three other ways.
+//! The claim ledger: store writes, and takeover from a busy owner, compared with three alternatives.
 
 use std::{cmp::Reverse, collections::BinaryHeap, time::Duration};
 
@@ -17,18 +17,18 @@
     table::{Table, two},
 };
 
-/// The target: 3,600 requests a second, 20 in 100 non-idempotent.
+/// Claims per second at the target: 3,600 requests per second, of which 20% are non-idempotent.
 const CLAIMS_PER_S: f64 = 720.0;
 const SLOTS: u32 = 16;
 const LENGTH_S: u64 = 60;
-/// The store's answer, one way and back.
-const CALL: Duration = Duration::from_millis(4);
+/// Round-trip time of a store call.
+const STORE_ROUND_TRIP: Duration = Duration::from_millis(4);
 
 pub(crate) fn run(seed: u64) -> Vec<Table> {
     vec![writes(seed), takeover(seed), full_takeover()]
 }
 
-/// Claims by slot and time.
+/// Generates random claims in order of time.
 fn draw(seed: u64, rate: f64) -> Vec<(TimePoint, Claim)> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut all = Vec::new();
@@ -48,58 +48,58 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-enum Happening {
+enum SimulationEvent {
     Claim(usize),
     Landed(u32, SlotAction),
     Answered(u32, SlotEvent),
     Tick(u32),
 }
 
-/// Slots against one store in virtual time.
-struct Desk {
+/// Simulates slots that share one store, in virtual time.
+struct SlotSimulation {
     store: StoreModel,
     slots: Vec<Slot>,
     keys: Vec<String>,
     queue: BinaryHeap<Reverse<(TimePoint, u64)>>,
-    happenings: std::collections::HashMap<u64, Happening>,
+    pending_events: std::collections::HashMap<u64, SimulationEvent>,
     next: u64,
     granted: Vec<(Ticket, TimePoint)>,
     bytes: u64,
 }
 
-impl Desk {
+impl SlotSimulation {
     fn new(slots: Vec<Slot>, keys: Vec<String>) -> Self {
         Self {
             store: StoreModel::default(),
             slots,
             keys,
             queue: BinaryHeap::new(),
-            happenings: std::collections::HashMap::new(),
+            pending_events: std::collections::HashMap::new(),
             next: 0,
             granted: Vec::new(),
             bytes: 0,
         }
     }
 
-    fn push(&mut self, at: TimePoint, happening: Happening) {
+    fn push(&mut self, at: TimePoint, happening: SimulationEvent) {
         self.next += 1;
         self.queue.push(Reverse((at, self.next)));
-        self.happenings.insert(self.next, happening);
+        self.pending_events.insert(self.next, happening);
     }
 
     fn run(&mut self, claims: &[(TimePoint, Claim)], slot_of: impl Fn(&Claim) -> u32) {
         while let Some(Reverse((now, id))) = self.queue.pop() {
-            match self.happenings.remove(&id) {
-                Some(Happening::Claim(at)) => {
+            match self.pending_events.remove(&id) {
+                Some(SimulationEvent::Claim(at)) => {
                     let claim = claims[at].1;
                     let deadline = now + Duration::from_secs(10);
                     let ticket = Ticket(at as u64);
                     let event = SlotEvent::Claim { ticket, claim, deadline };
                     self.handle(now, slot_of(&claim), event);
                 }
-                Some(Happening::Landed(slot, action)) => self.land(now, slot, &action),
-                Some(Happening::Answered(slot, event)) => self.handle(now, slot, event),
-                Some(Happening::Tick(slot)) => self.handle(now, slot, SlotEvent::Tick),
+                Some(SimulationEvent::Landed(slot, action)) => self.land(now, slot, &action),
+                Some(SimulationEvent::Answered(slot, event)) => self.handle(now, slot, event),
+                Some(SimulationEvent::Tick(slot)) => self.handle(now, slot, SlotEvent::Tick),
                 None => {}
             }
         }
@@ -112,11 +112,13 @@
             match action {
                 SlotAction::Answer(ticket, Verdict::Granted) => self.granted.push((ticket, now)),
                 SlotAction::Answer(..) => {}
-                action => self.push(now + CALL / 2, Happening::Landed(slot, action)),
+                action => {
+                    self.push(now + STORE_ROUND_TRIP / 2, SimulationEvent::Landed(slot, action))
+                }
             }
         }
         if let Some(at) = self.slots[slot as usize].next_tick_at() {
-            self.push(at.max(now + Duration::from_micros(1)), Happening::Tick(slot));
+            self.push(at.max(now + Duration::from_micros(1)), SimulationEvent::Tick(slot));
         }
     }
 
@@ -154,7 +156,7 @@
             }
             SlotAction::DeleteSegment(_) | SlotAction::Answer(..) => return,
         };
-        self.push(now + CALL / 2, Happening::Answered(slot, event));
+        self.push(now + STORE_ROUND_TRIP / 2, SimulationEvent::Answered(slot, event));
     }
 }
 
@@ -189,14 +191,14 @@
             two(store.writes as f64 / seconds),
             two(store.reads as f64 / seconds),
             two(bytes as f64 / 1_000.0 / seconds),
-            millis(CALL),
-            millis(CALL),
+            millis(STORE_ROUND_TRIP),
+            millis(STORE_ROUND_TRIP),
         ]);
     }
     table
 }
 
-/// One create-if-absent for each claim; leased owners renew their leases beside that.
+/// Writes one create-if-absent per claim; leased owners also renew their leases.
 fn key_for_each(claims: &[(TimePoint, Claim)], leased: bool) -> (StoreModel, u64) {
     let mut store = StoreModel::default();
     let mut bytes = 0;
@@ -216,14 +218,14 @@
     (store, bytes)
 }
 
-fn group_commit(claims: &[(TimePoint, Claim)], pace_ms: u64) -> Desk {
+fn group_commit(claims: &[(TimePoint, Claim)], pace_ms: u64) -> SlotSimulation {
     let settings =
         SlotSettings { write_interval: Duration::from_millis(pace_ms), ..SlotSettings::default() };
     let slots = (0..SLOTS).map(|_| Slot::new(settings, "owner")).collect();
     let keys = (0..SLOTS).map(|it| format!("slot-{it}")).collect();
-    let mut desk = Desk::new(slots, keys);
+    let mut desk = SlotSimulation::new(slots, keys);
     for (at, (time, _)) in claims.iter().enumerate() {
-        desk.push(*time, Happening::Claim(at));
+        desk.push(*time, SimulationEvent::Claim(at));
     }
     desk.run(claims, |it| it.key.slot(SLOTS));
     desk
@@ -231,7 +233,7 @@
 
 const TAKEOVERS: u32 = 400;
 
-/// A second VM takes a slot while the first goes on writing as fast as its pace allows.
+/// A second VM takes over a slot while the first continues to write at its maximum rate.
 fn takeover(seed: u64) -> Table {
     let title = "Taking a slot over from an owner that goes on writing";
     let columns = ["way", "owner's pace ms", "tries p50", "tries p95", "ms p95", "granted twice"];
@@ -265,7 +267,7 @@
     ]
 }
 
-/// Ours: the taker reads and swaps the one key that the owner swaps too.
+/// Takeover in this system: the new owner reads and swaps the same single key that the old owner swaps.
 fn single_chain(seed: u64, pace: u64) -> Vec<String> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut tries = Vec::new();
@@ -277,7 +279,7 @@
         let began = taker.at;
         let mut tried = 0;
         loop {
-            // Whoever's next call lands first goes first; the owner stops once it is fenced.
+            // Store calls are applied in order of arrival; the old owner stops once it is fenced.
             if owner.at <= taker.at && !owner.fenced {
                 owner.step(&mut store, pace, &mut rng);
                 continue;
@@ -296,7 +298,7 @@
     takeover_row("ours: single chain", pace, &mut tries, &mut times, 0)
 }
 
-/// A writer that reads, swaps, and goes on swapping as long as it wins.
+/// A writer that reads a key and then swaps it repeatedly until a swap fails.
 struct Chain {
     at: TimePoint,
     version: Option<KeyVersion>,
@@ -308,7 +310,7 @@
         Self { at: TimePoint(offset_us), version: None, fenced: false }
     }
 
-    /// One store call; `Some(won)` for a swap.
+    /// Makes one store call; returns `Some(won)` for a swap.
     fn step(&mut self, store: &mut StoreModel, pace: u64, rng: &mut Pcg64Mcg) -> Option<bool> {
         let jitter = Duration::from_micros(rng.random_range(2_000..6_000));
         let Some(version) = self.version else {
@@ -323,8 +325,8 @@
     }
 }
 
-/// The related paper's refinement: a key for each term, and the taker deletes the lower ones. A batch
-/// has to stand in a key of its own, since a deleted key's last value is lost with it.
+/// The related paper's refinement: one key per term, and the new owner deletes the keys of lower terms. Each batch
+/// needs a key of its own, because deleting a key loses its last value.
 fn per_term(seed: u64, pace: u64) -> Vec<String> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut tries = Vec::new();
@@ -334,7 +336,7 @@
         let mut at = TimePoint(0);
         let mut owner_at = TimePoint(rng.random_range(0..=pace * 1_000));
         let mut version = store.swap("term-1", KeyVersion::ABSENT, "x").unwrap_or_default();
-        // Create the own term, read the old one, delete it at the version read.
+        // Creates the key of the new term, reads that of the old term and deletes it at the version read.
         let _ = store.swap("term-2", KeyVersion::ABSENT, "x");
         let mut tried = 0;
         loop {
@@ -349,7 +351,7 @@
                 owner_at = owner_at + call + Duration::from_millis(pace);
             }
             tried += 1;
-            // A store without unconditional deletion races here as a swap does.
+            // In a store without unconditional deletion, this delete can lose a race just as a swap can.
             if store.delete("term-1", read).is_ok() || tried > 200 {
                 break;
             }
@@ -360,7 +362,7 @@
     takeover_row("per-term keys, conditional delete", pace, &mut tries, &mut times, 0)
 }
 
-/// Leased owners without a fence: an owner that is paused past its lease goes on as if it held it.
+/// Leased owners without fencing: an owner paused beyond its lease's expiry continues as if it still held the lease.
 fn leased(seed: u64) -> Vec<String> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let ttl = Duration::from_secs(5);
@@ -377,7 +379,7 @@
             now = now + Duration::from_millis(500);
             tried += 1;
         }
-        // The paused owner had checked its lease before the pause, and grants a key after it.
+        // The owner checked its lease before the pause and grants a key after the pause.
         if pause >= now - TimePoint::ZERO {
             doubled += 1;
         }
@@ -387,7 +389,7 @@
     takeover_row("leased owner, no fence", 0, &mut tries, &mut times, doubled)
 }
 
-/// How long the first claim waits when a slot with many kept segments is taken over.
+/// Measures how long the first claim waits after the takeover of a slot with many stored segments.
 fn full_takeover() -> Table {
     let title =
         "The first claim after a slot with kept segments is taken over, 256 claims a segment";
@@ -395,12 +397,12 @@
     let mut table = Table::new("ledger_full_takeover", title, &columns);
     for segments in [0, 10, 100, 633] {
         let slot = Slot::new(SlotSettings::default(), "taker");
-        let mut desk = Desk::new(vec![slot], vec!["slot-0".to_owned()]);
+        let mut desk = SlotSimulation::new(vec![slot], vec!["slot-0".to_owned()]);
         fill(&mut desk.store, segments);
         let request = RequestId::new(HomeTag(1), u128::MAX);
         let claim = Claim { key: ClaimKey(u128::MAX), request, fingerprint: 0, at: 1 };
         let claims = [(TimePoint::ZERO, claim)];
-        desk.push(TimePoint::ZERO, Happening::Claim(0));
+        desk.push(TimePoint::ZERO, SimulationEvent::Claim(0));
         let before = desk.store.reads;
         desk.run(&claims, |_| 0);
         let granted = desk.granted.first().map(|it| it.1 - TimePoint::ZERO);
--- a/crates/quincevalve_measure/src/experiments/path.rs
+++ b/crates/quincevalve_measure/src/experiments/path.rs
@@ -1,4 +1,4 @@
-//! The request path in real time on loopback: the latency that an entry VM adds, and the tokens that one
+//! The request path in real time on loopback: the latency added by an entry VM, and the token rate that one
 //! core relays.
 
 use std::{
@@ -42,7 +42,7 @@
     latency.into_iter().chain([throughput(entry, &task)]).collect()
 }
 
-/// Starts an engine on a thread of its own; it lives as long as the process.
+/// Starts an engine on a separate thread that runs until the process exits.
 fn start_engine(token_time: Duration) -> Option<SocketAddr> {
     let (tx, rx) = mpsc::channel();
     thread::spawn(move || {
@@ -66,7 +66,7 @@
     rx.recv().ok()
 }
 
-/// Starts an entry VM on one thread; returns its address and where the kernel counts the thread's time.
+/// Starts an entry VM on one thread; returns its address and the kernel's file with the thread's processor time.
 fn start_entry(engines: &[SocketAddr]) -> Option<(SocketAddr, String)> {
     use std::fmt::Write as _;
     let mut text = INVENTORY.to_owned();
@@ -137,7 +137,7 @@
     tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build().ok()
 }
 
-/// The same question directly and through the entry VM, in turn.
+/// Sends the same question alternately to the engine directly and through the entry VM.
 fn latency(engine: SocketAddr, entry: SocketAddr) -> Table {
     let title = "Latency that the entry VM adds on loopback, paired with the direct call";
     let columns = ["pairs", "direct p50 ms", "through p50 ms", "added p50 ms", "added p99 ms"];
@@ -194,7 +194,7 @@
     }
 }
 
-/// Asks through the entry VM; returns the bytes of the answer.
+/// Sends a question through the entry VM; returns the answer's size in bytes.
 async fn ask_entry(
     http: &HttpClient,
     address: SocketAddr,
@@ -221,7 +221,7 @@
     events
 }
 
-/// Many streams at once; the entry VM's one thread is the only one counted.
+/// Runs many concurrent streams; only the processor time of the entry VM's single thread is counted.
 fn throughput(entry: SocketAddr, task: &str) -> Table {
     let title = "Tokens relayed, for each second of the entry VM's one thread";
     let columns = ["streams", "tokens", "seconds", "thread busy s", "tokens/s", "tokens/s of core"];
@@ -253,7 +253,7 @@
     table
 }
 
-/// Processor time of a thread, user and system, from the kernel's count in hundredths of a second.
+/// Returns the user and system processor time of a thread, which the kernel reports in hundredths of a second.
 pub(super) fn busy_seconds(task: &str) -> f64 {
     let text = std::fs::read_to_string(task).unwrap_or_default();
     let fields: Vec<_> = text.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
--- a/crates/quincevalve_measure/src/experiments/peers.rs
+++ b/crates/quincevalve_measure/src/experiments/peers.rs
@@ -1,4 +1,4 @@
-//! Peers: what one gossip call over mutual TLS costs both ends.
+//! Peers: the cost of one gossip call over mutual TLS at both ends.
 
 use std::{
     net::{IpAddr, SocketAddr},
@@ -30,7 +30,7 @@
     for (name, tls) in [("plain TCP", None), ("mutual TLS", tls)] {
         table.extend(measure(name, tls));
     }
-    // Left-over files would only be untidy.
+    // A failed removal is ignored, because left-over files have no effect on the measurement.
     let _ = std::fs::remove_dir_all(&folder);
     vec![table]
 }
--- a/crates/quincevalve_measure/src/experiments/placement.rs
+++ b/crates/quincevalve_measure/src/experiments/placement.rs
@@ -1,4 +1,4 @@
-//! Placement: what it costs an entry VM to pick a server, against the number of servers.
+//! Placement: time an entry VM takes to select a server, by number of servers.
 
 use std::time::{Duration, Instant};
 
@@ -16,7 +16,7 @@
 
 const ROUNDS: u32 = 20_000;
 const CENTRES: [&str; 6] = ["a", "b", "c", "d", "e", "f"];
-/// Shared beginnings of prompts.
+/// Number of shared prompt prefixes.
 const PARTS: u64 = 1_400;
 
 pub(crate) fn run(seed: u64) -> Vec<Table> {
@@ -34,7 +34,7 @@
     vec![table]
 }
 
-/// Microseconds of one call.
+/// Returns the time of one call in microseconds.
 fn micros(mut call: impl FnMut()) -> f64 {
     let began = Instant::now();
     (0..ROUNDS).for_each(|_| call());
--- a/crates/quincevalve_measure/src/experiments/plan.rs
+++ b/crates/quincevalve_measure/src/experiments/plan.rs
@@ -1,4 +1,4 @@
-//! The plan: a day's cost, beside a fixed on-demand fleet and beside the cheapest place first.
+//! The plan: cost of one day, compared with a fixed on-demand fleet and with a cheapest-place-first policy.
 
 use std::time::Duration;
 
@@ -15,14 +15,15 @@
 const ON_DEMAND_MILLI: u64 = 1_000;
 const STEP: Duration = Duration::from_secs(300);
 const STEPS: u64 = 288;
-/// Machines that the day's peak needs; at night a third of them.
+/// Number of machines needed at the day's peak; a third of them are needed at night.
 const PEAK: f64 = 300.0;
-/// How often in a day a place loses all its reclaimable machines, and for how long it has none.
+/// Reclaim waves per day, each of which takes all reclaimable machines of a place, and how long the place then has
+/// none.
 const WAVES: usize = 6;
-const DRY_STEPS: u64 = 12;
+const OUTAGE_STEPS: u64 = 12;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Way {
+enum Policy {
     Ours,
     StaticOnDemand,
     CheapestFirst,
@@ -47,11 +48,11 @@
         "refusals",
     ];
     let mut table = Table::new("plan_day", title, &columns);
-    let fixed = simulate(Way::StaticOnDemand, seed);
+    let fixed = simulate(Policy::StaticOnDemand, seed);
     for (way, name) in [
-        (Way::Ours, "ours"),
-        (Way::StaticOnDemand, "naive: fixed on-demand fleet"),
-        (Way::CheapestFirst, "naive: cheapest place first"),
+        (Policy::Ours, "ours"),
+        (Policy::StaticOnDemand, "naive: fixed on-demand fleet"),
+        (Policy::CheapestFirst, "naive: cheapest place first"),
     ] {
         let day = simulate(way, seed);
         table.push(vec![
@@ -81,14 +82,14 @@
     offers
 }
 
-/// The machines that the time of day needs.
+/// Returns the number of machines needed at the given step of the day.
 fn needed(step: u64) -> u32 {
     let turn = step as f64 / STEPS as f64 * std::f64::consts::TAU;
     let level = 0.667 - 0.333 * turn.cos();
     (PEAK * level).ceil() as u32
 }
 
-fn simulate(way: Way, seed: u64) -> Day {
+fn simulate(way: Policy, seed: u64) -> Day {
     let offers = offers(seed);
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 1);
     let waves: Vec<_> =
@@ -97,8 +98,8 @@
     let mut held = Desired::new();
     let mut bought = Desired::new();
     let mut day = Day { cost: 0.0, short_machine_hours: 0.0, short_steps: 0, refused: 0 };
-    if way == Way::StaticOnDemand {
-        // Enough on-demand machines for the peak after the loss of a place, all day.
+    if way == Policy::StaticOnDemand {
+        // Runs enough on-demand machines all day to serve the peak after the loss of one place.
         let each = (PEAK / (PLACES as f64 - 1.0)).ceil() as u32;
         for place in 0..PLACES {
             held.insert((format!("dc-{place:02}").as_str().into(), ON_DEMAND.to_owned()), each);
@@ -111,14 +112,16 @@
         }
         let is_dry = |place: &str| {
             waves.iter().any(|(at, dry)| {
-                format!("dc-{dry:02}") == place && (*at..*at + DRY_STEPS).contains(&step)
+                format!("dc-{dry:02}") == place && (*at..*at + OUTAGE_STEPS).contains(&step)
             })
         };
         count(&mut day, &held, &offers, needed(step));
         match way {
-            Way::StaticOnDemand => {}
-            Way::Ours => step_ours(&mut buyer, now, step, &mut held, &mut bought, is_dry, &mut day),
-            Way::CheapestFirst => step_naive(&offers, step, &mut held, is_dry, &mut day),
+            Policy::StaticOnDemand => {}
+            Policy::Ours => {
+                step_ours(&mut buyer, now, step, &mut held, &mut bought, is_dry, &mut day)
+            }
+            Policy::CheapestFirst => step_naive(&offers, step, &mut held, is_dry, &mut day),
         }
     }
     day
@@ -147,9 +150,9 @@
     is_dry: impl Fn(&str) -> bool,
     day: &mut Day,
 ) {
-    // Demand a step ahead, since a machine takes that long to come up.
+    // Uses the demand of the next step, because a machine takes one step to start.
     let needed = needed((step + 1) % STEPS);
-    // Several rounds: after a refusal another place is asked at once.
+    // Plans several rounds per step, because a refused request is immediately made to another place.
     for _ in 0..4 {
         let mut refused = false;
         for action in buyer.plan(now, needed, held, bought) {
@@ -179,7 +182,8 @@
     }
 }
 
-/// Naive: everything in the cheapest place, the same spare capacity, asked again there until it is given.
+/// Naive policy: places all machines, with the same spare capacity, in the cheapest place and repeats refused requests
+/// there.
 fn step_naive(
     offers: &[Offer],
     step: u64,
--- a/crates/quincevalve_measure/src/experiments/recovery.rs
+++ b/crates/quincevalve_measure/src/experiments/recovery.rs
@@ -1,4 +1,4 @@
-//! Recovery: tokens computed again when a wave of reclaims takes 46% of the servers.
+//! Recovery: tokens recomputed when a reclaim wave takes 46% of the servers.
 
 use std::time::Duration;
 
@@ -29,7 +29,7 @@
     Scale { name: "target, one data centre", servers: 160, routers: 33, rate: 90.0 },
 ];
 
-/// Notices, and none at all: a crash of as many.
+/// Notice periods in seconds; no notice stands for a crash of the same number of servers.
 const NOTICES: [(&str, u64); 4] = [("30 s", 30), ("10 s", 10), ("2 s", 2), ("none", 0)];
 
 pub(crate) fn run(seed: u64) -> Vec<Table> {
@@ -58,14 +58,14 @@
 
 fn compare(mix: &Mix, scale: &Scale, name: &str, notice: Duration, seed: u64) -> Vec<String> {
     let questions = workload::draw(mix, Prefixes::Many, scale.rate, LENGTH, seed);
-    let with = |weighs: bool| {
+    let with = |compares_continuations: bool| {
         let setup = Setup {
             servers: scale.servers,
             routers: scale.routers,
             speed: speed(),
             priorities: true,
             report_lag: Some(Duration::from_secs(1)),
-            wave: Some(Wave { at: WAVE_AT, share: SHARE, notice, weighs }),
+            wave: Some(Wave { at: WAVE_AT, share: SHARE, notice, compares_continuations }),
         };
         arena::run(setup, mix, &questions, PredictedFirstToken, seed)
     };
--- a/crates/quincevalve_measure/src/experiments/retries.rs
+++ b/crates/quincevalve_measure/src/experiments/retries.rs
@@ -1,4 +1,4 @@
-//! Retries: amplification in an overload, and whether it ends by itself.
+//! Retries: amplification during an overload, and whether the overload ends without intervention.
 
 use std::{
     cmp::Reverse,
@@ -18,11 +18,11 @@
 
 const PLACES: usize = 40;
 const WORK: Duration = Duration::from_millis(100);
-/// 85% of what the places can do.
+/// Offered load: 85% of the places' capacity.
 const RATE: f64 = 340.0;
 const LENGTH_S: u64 = 90;
 const TRIGGER: std::ops::Range<u64> = 20..30;
-/// How long a caller's attempt waits before it counts as failed.
+/// Timeout of a caller's attempt.
 const ATTEMPT_LIMIT: Duration = Duration::from_millis(500);
 const NAIVE_ATTEMPTS: u32 = 4;
 
@@ -161,7 +161,7 @@
         if attempt == 1 {
             self.budget.deposit();
         }
-        // Early refusal: what can't be done in time isn't queued. The naive version queues everything.
+        // Early rejection: a request that can't finish in time isn't queued. The naive version queues everything.
         let rounds = self.waiting.len() / self.places;
         let wait = WORK * rounds as u32;
         if self.way == Way::Ours && wait + WORK > ATTEMPT_LIMIT {
@@ -195,7 +195,7 @@
                 }
             }
         };
-        // Servers don't learn that a caller gave up: a timed-out attempt still does its work.
+        // Servers aren't informed when a caller gives up, so a timed-out attempt still consumes capacity.
         if let Some(after) = retry {
             let event = Event::Arrive { request, attempt: attempt + 1 };
             self.queue.push(Reverse((now + after, event)));
--- a/crates/quincevalve_measure/src/experiments/routing.rs
+++ b/crates/quincevalve_measure/src/experiments/routing.rs
@@ -1,4 +1,4 @@
-//! Routing: what one decision costs, and whether many routers herd.
+//! Routing: the cost of one decision, and whether many routers herd onto the same servers.
 
 use std::time::{Duration, Instant};
 
@@ -25,7 +25,7 @@
 const DATA_CENTRES: u32 = 11;
 const DECISIONS: u32 = 100_000;
 
-/// The cost of one decision as the fleet grows.
+/// Measures the cost of one decision as the fleet grows.
 fn decisions(seed: u64) -> Table {
     let title = "One routing decision, 11 data centres, 50% of slots taken";
     let columns = ["servers", "policy", "median ns", "p99 ns", "allocations a decision"];
@@ -92,7 +92,7 @@
     (median, p99, allocations as f64 / f64::from(DECISIONS))
 }
 
-/// Thirty routers that decide on the same stale reports.
+/// Measures herding of thirty routers that decide on the same stale load reports.
 fn herd(seed: u64) -> Table {
     let title = "30 routers, 60 servers, reports 2 s old: waits and imbalance";
     let columns = ["policy", "first p50 ms", "first p95 ms", "largest load over mean"];
@@ -124,7 +124,7 @@
     vec![policy.to_owned(), millis(median), millis(p95), two(run.imbalance)]
 }
 
-/// Naive: whoever reported the least load gets everything until the next report.
+/// Naive policy: sends every request to the server with the lowest reported load until the next report.
 #[derive(Clone, Copy, Debug)]
 struct LeastReported;
 
@@ -141,8 +141,8 @@
     }
 }
 
-/// An engine at the target's size: 840,000 tokens a second over 910 workers at up to 48 ms between two
-/// tokens are 37 to 44 answers at once on each.
+/// Engine speed at the target size: 840,000 tokens per second over 910 workers, at up to 48 ms between two
+/// tokens, means 37 to 44 concurrent answers per worker.
 pub(super) const fn speed() -> EngineSpeed {
     EngineSpeed {
         slots: 40,
--- a/crates/quincevalve_measure/src/experiments/slopes.rs
+++ b/crates/quincevalve_measure/src/experiments/slopes.rs
@@ -1,4 +1,4 @@
-//! Slopes: what control costs a node as the fleet grows, and how fast a change is in force.
+//! Slopes: control overhead per node as the fleet grows, and the time until a change is in force.
 
 use std::time::{Duration, Instant};
 
@@ -20,11 +20,11 @@
     table::{Table, two},
 };
 
-/// Fleet sizes: today's, between, and the target's.
+/// Fleet sizes in nodes: today's, intermediate ones and the target's.
 const SIZES: [(u32, u32); 4] = [(8, 4), (40, 4), (160, 8), (360, 11)];
 const SETTLE: Duration = Duration::from_secs(40);
 const LENGTH: Duration = Duration::from_secs(120);
-/// Configuration changes in a day at the target.
+/// Configuration changes per day at the target size.
 const CHANGES_A_DAY: f64 = 1_400.0;
 const DAY_S: f64 = 86_400.0;
 
@@ -37,7 +37,7 @@
     FleetSetup { nodes, data_centres, loss, content, outage: false }
 }
 
-/// Bytes, messages, processor time and memory of membership and distribution on one node.
+/// Measures bytes, messages, processor time and memory of membership and distribution per node.
 fn control(seed: u64) -> Table {
     let title = "Control on one node: gossip at one round a second, and 1,400 changes a day";
     let columns = [
@@ -64,7 +64,7 @@
         fleet.reset_usage();
         fleet.change();
         let (with_change, _) = fleet.usage();
-        // Gossip during the change is counted above already; what a change adds is its content.
+        // Gossip during the change is already counted above, so a change adds only its content.
         let change_bytes = with_change.bytes as f64;
         let changes = change_bytes * CHANGES_A_DAY / DAY_S / 1_000.0;
         table.push(vec![
@@ -82,7 +82,7 @@
 
 const CHANGES: u32 = 20;
 
-/// How long until a change is in force on every node.
+/// Measures the time until a change is in force on every node.
 fn changes(seed: u64) -> Table {
     let title = "Seconds until a change is in force on every node, 20 changes";
     let columns = ["nodes", "trouble", "median s", "worst s", "not within 120 s"];
@@ -120,7 +120,7 @@
     table
 }
 
-/// How long until the survivors agree after many nodes went at once.
+/// Measures the time until the surviving nodes agree on membership after many nodes failed at the same time.
 fn waves(seed: u64) -> Table {
     let title = "Share of survivors with the right members after 46% went without notice";
     let columns = ["nodes", "before", "after 5 s", "after 10 s", "after 20 s", "after 40 s"];
@@ -140,7 +140,7 @@
     table
 }
 
-/// Memory of the other kinds of state, each from two sizes.
+/// Measures the memory per unit of the other kinds of state, each from two sizes.
 fn state() -> Table {
     let title = "Memory by kind of state, from the difference of two sizes";
     let columns = ["state", "per", "bytes", "ns to add one"];
@@ -152,7 +152,7 @@
     table
 }
 
-/// Bytes and time for each unit between two sizes of the same thing.
+/// Returns the bytes and time per unit, from the difference between two sizes of the same state.
 fn slope<T>(small: u32, large: u32, build: impl Fn(u32) -> T) -> (f64, f64) {
     let measure = |count: u32| {
         let region = Region::new(ALLOCATOR);
@@ -170,7 +170,7 @@
     ((large_bytes - small_bytes) / count, (large_time - small_time) / count)
 }
 
-/// A slot that has granted so many claims.
+/// Builds a slot that has granted the given number of claims.
 fn ledger(claims: u32) -> Slot {
     let settings = SlotSettings { write_interval: Duration::ZERO, ..SlotSettings::default() };
     let mut slot = Slot::new(settings, "owner");
@@ -219,7 +219,7 @@
     router
 }
 
-/// The size of an inventory as it is stored and passed on.
+/// Measures the size of an inventory as stored and distributed.
 fn inventory_size() -> Table {
     let title = "The inventory as JSON (the store's limit is 1,048,576 bytes)";
     let columns = ["backend servers", "bytes", "bytes/server", "ms to read and check"];
--- a/crates/quincevalve_measure/src/fleet.rs
+++ b/crates/quincevalve_measure/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Control cores of many nodes in virtual time, with delays, losses and a store.
+//! Simulates the control cores of many nodes in virtual time, with network delay, message loss and a store.
 
 use std::{
     cmp::Reverse,
@@ -16,19 +16,19 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// How the fleet is troubled.
+/// Configuration and injected faults of a simulated fleet.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FleetSetup {
     pub(crate) nodes: u32,
     pub(crate) data_centres: u32,
     pub(crate) loss: f64,
-    /// The bytes of one configuration.
+    /// Size of one configuration in bytes.
     pub(crate) content: usize,
-    /// Whether only one relay reads a change before the store goes down.
+    /// Whether the store becomes unavailable after a single relay has read a change.
     pub(crate) outage: bool,
 }
 
-/// What one node used.
+/// Resources used by one node.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Usage {
     pub(crate) messages: u64,
@@ -93,7 +93,7 @@
     StoreRead(usize, Revision),
 }
 
-/// The fleet.
+/// A fleet of simulated nodes with its event queue.
 pub(crate) struct Fleet {
     setup: FleetSetup,
     nodes: Vec<Node>,
@@ -108,14 +108,14 @@
 }
 
 const ANSWER_LIMIT: Duration = Duration::from_millis(500);
-/// Bytes of transport around one message: TLS record, frame, TCP and IP headers.
-const ENVELOPE: u64 = 120;
+/// Transport overhead of one message in bytes: TLS record, frame, TCP and IP headers.
+const TRANSPORT_OVERHEAD: u64 = 120;
 const STORE_CALL: Duration = Duration::from_millis(8);
-/// Bytes of an announcement or a request to fetch.
-const SMALL: u64 = 24;
+/// Size of an announcement or a fetch request in bytes.
+const CONTROL_MESSAGE_SIZE: u64 = 24;
 
 impl Fleet {
-    /// Builds a fleet whose nodes know a few seeds.
+    /// Builds a fleet whose nodes initially know only a few seed nodes.
     pub(crate) fn new(setup: FleetSetup, seed: u64) -> Self {
         let members: Vec<_> = (0..setup.nodes).map(|it| member(it, setup.data_centres)).collect();
         let by_address = members.iter().enumerate().map(|(at, it)| (it.control, at)).collect();
@@ -162,7 +162,7 @@
         self.events.insert(self.next, event);
     }
 
-    /// Lets time pass.
+    /// Advances virtual time and handles all events that become due.
     pub(crate) fn run(&mut self, length: Duration) {
         let until = self.now + length;
         while let Some(Reverse((at, id))) = self.queue.peek().copied() {
@@ -178,14 +178,14 @@
         self.now = until;
     }
 
-    /// Starts counting anew.
+    /// Resets the usage counters.
     pub(crate) fn reset_usage(&mut self) {
         for node in &mut self.nodes {
             node.usage = Usage::default();
         }
     }
 
-    /// The mean and the largest usage of a live node.
+    /// Returns the mean and the maximum usage over all live nodes.
     pub(crate) fn usage(&self) -> (Usage, Usage) {
         let mut sum = Usage::default();
         let mut most = Usage::default();
@@ -207,7 +207,7 @@
         (mean, most)
     }
 
-    /// A change is accepted now; returns how long it takes to be in force on every live node.
+    /// Accepts a configuration change now; returns the time until it is in force on every live node.
     pub(crate) fn change(&mut self) -> Option<Duration> {
         let began = self.now;
         self.newest = self.newest.next();
@@ -218,10 +218,10 @@
         let relays = self.relays();
         let readers = if self.setup.outage { &relays[..1] } else { &relays[..] };
         for relay in readers.iter().copied() {
-            // The watch answers, then the content is read.
+            // A relay first gets the answer of its watch, then reads the content.
             self.push(STORE_CALL * 2, Event::StoreRead(relay, newest));
         }
-        for _ in 0..CHANGE_LIMIT_S * 20 {
+        for _ in 0..CHANGE_TIMEOUT_S * 20 {
             self.run(Duration::from_millis(50));
             let live = self.nodes.iter().filter(|it| it.alive);
             let times: Option<Vec<_>> = live.map(|it| it.in_force_at).collect();
@@ -232,7 +232,7 @@
         None
     }
 
-    /// Kills a share of the nodes at once.
+    /// Stops a fraction of the nodes at the same time.
     pub(crate) fn kill(&mut self, share: f64) {
         let count = (self.nodes.len() as f64 * share).round() as usize;
         for node in self.nodes.iter_mut().take(count) {
@@ -240,7 +240,7 @@
         }
     }
 
-    /// The share of live nodes that believe exactly the live nodes of their data centre to be there.
+    /// Returns the fraction of live nodes whose membership view equals the set of live nodes in their data centre.
     pub(crate) fn agreement(&self) -> f64 {
         let right = |node: &&Node| {
             let own = &node.membership.own().data_centre;
@@ -252,7 +252,7 @@
         live.iter().filter(|it| right(it)).count() as f64 / live.len().max(1) as f64
     }
 
-    /// Two in each data centre read the store.
+    /// Returns the relays: two nodes in each data centre that read the store.
     fn relays(&self) -> Vec<usize> {
         let mut relays = Vec::new();
         for data_centre in 0..self.setup.data_centres as usize {
@@ -283,7 +283,7 @@
     fn sent(&mut self, node: usize, bytes: u64) {
         let usage = &mut self.nodes[node].usage;
         usage.messages += 1;
-        usage.bytes += bytes + ENVELOPE;
+        usage.bytes += bytes + TRANSPORT_OVERHEAD;
     }
 
     fn handle(&mut self, event: Event) {
@@ -301,7 +301,7 @@
             }
             Event::ProbeVia { node, via, target, name } => {
                 let reached = self.nodes[via].alive && self.nodes[target].alive && !self.is_lost();
-                self.sent(via, SMALL);
+                self.sent(via, CONTROL_MESSAGE_SIZE);
                 self.push(ANSWER_LIMIT, Event::HelperAnswer { node, name, reached });
             }
             Event::HelperAnswer { node, name, reached } => {
@@ -310,7 +310,7 @@
                     self.nodes[node].membership.suspect(now, &name);
                 }
             }
-            Event::Announce { from, to, revision } => self.hear(to, from, revision),
+            Event::Announce { from, to, revision } => self.receive_gossip(to, from, revision),
             Event::Fetch { from, to } => self.fetch(from, to),
             Event::Fetched { from, to, revision } => {
                 let source = Source::Peer(self.address(from));
@@ -356,7 +356,7 @@
                     self.push(delay, Event::Probe { from: node, to, name, bytes });
                 }
                 MembershipAction::ProbeVia { via, name, target } => {
-                    self.sent(node, SMALL);
+                    self.sent(node, CONTROL_MESSAGE_SIZE);
                     let Some(via) = self.by_address.get(&via).copied() else { continue };
                     let Some(target) = self.by_address.get(&target).copied() else { continue };
                     let delay = self.delay(node, via);
@@ -382,7 +382,7 @@
         self.sent(to, answer.len() as u64);
         let delay = self.delay(to, from);
         self.push(delay, Event::Answer { to: from, bytes: answer });
-        self.hear_revisions(to, &message);
+        self.receive_revisions(to, &message);
     }
 
     fn answered(&mut self, to: usize, bytes: &[u8]) {
@@ -394,10 +394,10 @@
         let Ok(message) = bincode::deserialize::<Message>(bytes) else { return };
         self.nodes[to].membership.receive(now, &message);
         self.nodes[to].usage.busy += began.elapsed();
-        self.hear_revisions(to, &message);
+        self.receive_revisions(to, &message);
     }
 
-    fn hear_revisions(&mut self, node: usize, message: &Message) {
+    fn receive_revisions(&mut self, node: usize, message: &Message) {
         let sender = std::iter::once((message.sender.control, message.sender.load.revision));
         let others = message.updates.iter().map(|it| (it.control, it.load.revision));
         let summaries = message
@@ -407,11 +407,11 @@
         let newest = sender.chain(others).chain(summaries).max_by_key(|it| it.1);
         let Some((peer, revision)) = newest else { return };
         if let Some(peer) = self.by_address.get(&peer).copied() {
-            self.hear(node, peer, revision);
+            self.receive_gossip(node, peer, revision);
         }
     }
 
-    fn hear(&mut self, node: usize, peer: usize, revision: Revision) {
+    fn receive_gossip(&mut self, node: usize, peer: usize, revision: Revision) {
         if !self.nodes[node].alive {
             return;
         }
@@ -445,7 +445,7 @@
                 }
                 DistributionAction::Announce { to, revision } => {
                     for peer in to {
-                        self.sent(node, SMALL);
+                        self.sent(node, CONTROL_MESSAGE_SIZE);
                         let Some(to) = self.by_address.get(&peer).copied() else { continue };
                         if !self.is_lost() {
                             let delay = self.delay(node, to);
@@ -454,7 +454,7 @@
                     }
                 }
                 DistributionAction::Fetch(peer) => {
-                    self.sent(node, SMALL);
+                    self.sent(node, CONTROL_MESSAGE_SIZE);
                     let Some(to) = self.by_address.get(&peer).copied() else { continue };
                     let delay = self.delay(node, to);
                     self.push(delay, Event::Fetch { from: node, to });
@@ -474,8 +474,8 @@
     }
 }
 
-/// A change that isn't in force after this long counts as failed.
-const CHANGE_LIMIT_S: u64 = 120;
+/// Timeout in seconds after which a change that isn't in force counts as failed.
+const CHANGE_TIMEOUT_S: u64 = 120;
 const REGIONS: usize = 3;
 
 fn member(number: u32, data_centres: u32) -> Member {
--- a/crates/quincevalve_measure/src/main.rs
+++ b/crates/quincevalve_measure/src/main.rs
@@ -1,7 +1,7 @@
-//! `quincevalve-measure`: one small experiment for each decision, beside its naive version.
+//! `quincevalve-measure`: one small experiment per design decision, compared with its naive version.
 //!
-//! Each experiment drives one core in virtual time with the fewest stand-ins that make its question
-//! real. The same seed gives the same table, but for processor times.
+//! Each experiment drives one core in virtual time with the minimum of stand-ins needed for a realistic
+//! result. The same seed gives the same table, except for processor times.
 
 mod arena;
 mod experiments;
@@ -17,7 +17,7 @@
 
 use crate::{options::Options, table::Table};
 
-/// Counts allocations, to show that a routing decision makes none.
+/// Counts allocations to show that a routing decision makes none.
 #[global_allocator]
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
--- a/crates/quincevalve_measure/src/options.rs
+++ b/crates/quincevalve_measure/src/options.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command-line parsing.
 
 use std::{ffi::OsString, path::PathBuf};
 
@@ -6,7 +6,7 @@
 
 use crate::experiments::Experiment;
 
-/// What is measured.
+/// The options of one invocation.
 #[derive(Clone, Debug)]
 pub(crate) struct Options {
     pub(crate) experiments: Vec<Experiment>,
@@ -15,7 +15,7 @@
     pub(crate) svg: Option<PathBuf>,
 }
 
-/// A command line that can't be understood.
+/// Errors in the command line.
 #[derive(Debug, Snafu)]
 pub(crate) enum OptionsError {
     #[snafu(display("{source}; see --help"))]
--- a/crates/quincevalve_measure/src/table.rs
+++ b/crates/quincevalve_measure/src/table.rs
@@ -1,4 +1,4 @@
-//! Tables: printed, as CSV, as plots.
+//! Result tables, with output as text, CSV and plots.
 
 use std::{
     fmt::Write as _,
@@ -8,7 +8,7 @@
 use plotters::prelude::*;
 use snafu::{ResultExt, Snafu};
 
-/// A result that can't be written.
+/// Errors while writing results.
 #[derive(Debug, Snafu)]
 pub(crate) enum WriteError {
     #[snafu(display("{}: {source}", file.display()))]
@@ -17,7 +17,7 @@
     Plot { file: PathBuf },
 }
 
-/// A table of figures.
+/// A table of measured values.
 #[derive(Clone, Debug)]
 pub(crate) struct Table {
     name: &'static str,
@@ -27,7 +27,7 @@
     plot: Option<Plot>,
 }
 
-/// Which columns are drawn against which.
+/// The columns shown in a table's plot.
 #[derive(Clone, Copy, Debug)]
 struct Plot {
     x: usize,
@@ -44,7 +44,7 @@
         Self { name, title: title.into(), columns: columns.to_vec(), rows: Vec::new(), plot: None }
     }
 
-    /// Draws column `y` against `x`, one line for each value of `series`.
+    /// Plots column `y` against column `x`, with one line per value of `series`.
     pub(crate) fn with_plot(self, x: usize, y: usize, series: usize) -> Self {
         Self { plot: Some(Plot { x, y, series }), ..self }
     }
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Writes the plot, if the table has one.
+    /// Writes the table's plot, if it has one.
     pub(crate) fn write_svg(&self, folder: &Path) -> Result<(), WriteError> {
         let Some(plot) = self.plot else { return Ok(()) };
         std::fs::create_dir_all(folder).context(FileSnafu { file: folder })?;
@@ -127,7 +127,7 @@
     }
 }
 
-/// Writes all tables to one file, each row with its table's name.
+/// Writes all tables to one CSV file; each row starts with its table's name.
 pub(crate) fn write_csv(file: &Path, tables: &[Table]) -> Result<(), WriteError> {
     let mut text = String::new();
     for table in tables {
@@ -139,7 +139,7 @@
     std::fs::write(file, text).context(FileSnafu { file })
 }
 
-/// Two decimals.
+/// Formats a number with two decimals.
 pub(crate) fn two(value: f64) -> String {
     format!("{value:.2}")
 }
--- a/crates/quincevalve_measure/src/workload.rs
+++ b/crates/quincevalve_measure/src/workload.rs
@@ -1,4 +1,4 @@
-//! The two users' mixes of work, at real sizes.
+//! The request mixes of the two users, with realistic sizes.
 
 use std::time::Duration;
 
@@ -6,21 +6,21 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// A class of request in a mix.
+/// A class of requests in a mix.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Kind {
     pub(crate) share: u32,
     pub(crate) interactive: bool,
-    /// First token or, for bulk work, the end.
+    /// Latency target: time to the first token or, for bulk requests, to the end of the answer.
     pub(crate) promise: Duration,
-    /// Distinct prefixes: flights and pick-up points, hotels, shifts; vehicles and their records.
+    /// Number of distinct prompt prefixes (flights and pick-up points, hotels, shifts; vehicles and their records).
     pub(crate) topics: u32,
     pub(crate) prefix_tokens: u32,
     pub(crate) own_tokens: u32,
     pub(crate) answer_tokens: u32,
 }
 
-/// A user's mix.
+/// The request mix of one user.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Mix {
     pub(crate) name: &'static str,
@@ -29,7 +29,7 @@
 
 const SHORT_PROMISE: Duration = Duration::from_millis(800);
 
-/// Kerbside and desk chats, shift summaries.
+/// Mix of kerbside chats, desk chats and shift summaries.
 pub(crate) const FLUGHAFENSHUTTLE: Mix = Mix {
     name: "flughafenshuttle",
     kinds: &[
@@ -63,7 +63,7 @@
     ],
 };
 
-/// Forecourt chats, dossiers.
+/// Mix of forecourt chats and dossiers.
 pub(crate) const MACRAE: Mix = Mix {
     name: "macrae",
     kinds: &[
@@ -90,12 +90,12 @@
 
 pub(crate) const MIXES: [Mix; 2] = [FLUGHAFENSHUTTLE, MACRAE];
 
-/// How many distinct prefixes there are.
+/// Scale of the number of distinct prompt prefixes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Prefixes {
-    /// As many as the mix says: each server's cache holds a part of them.
+    /// The number given by the mix; each server's cache holds only a fraction of the prefixes.
     Many,
-    /// A tenth: each server's cache holds nearly all, so affinity has little to give.
+    /// A tenth of that number; each server's cache holds nearly all prefixes, so affinity gains little.
     Few,
 }
 
@@ -115,7 +115,7 @@
     }
 }
 
-/// One request.
+/// One generated request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Question {
     pub(crate) id: RequestId,
@@ -125,7 +125,8 @@
     pub(crate) answer_tokens: u32,
 }
 
-/// Draws requests with a mean rate for a time. Topics are skewed: few are asked most.
+/// Generates random requests at a mean rate for a given duration. The topic distribution is skewed: a few topics
+/// receive most requests.
 pub(crate) fn draw(
     mix_of: &Mix,
     prefixes: Prefixes,
