--- a/crates/quincevalve_measure/src/arena.rs
+++ b/crates/quincevalve_measure/src/arena.rs
@@ -74,7 +74,7 @@
     Engine(u32),
     Notice,
     /// The KV cache of one answer has been transferred to another server.
-    Moved(usize),
+    CacheMigrated(usize),
     ServersRemoved,
 }
 
@@ -177,8 +177,8 @@
                 Event::Report => self.report(now),
                 Event::Engine(server) => self.advance(now, server as usize),
                 Event::Notice => self.notice(now),
-                Event::Moved(question) => self.moved(now, question),
-                Event::ServersRemoved => self.gone(now),
+                Event::CacheMigrated(question) => self.receive_migrated_cache(now, question),
+                Event::ServersRemoved => self.remove_reclaimed_servers(now),
             }
         }
     }
@@ -237,7 +237,7 @@
         self.flights.insert(asked.id, flight);
         let mut outputs = Vec::new();
         self.engines[server.0 as usize].submit(now, job, &mut outputs);
-        self.take(now, server.0 as usize, &outputs);
+        self.handle_engine_outputs(now, server.0 as usize, &outputs);
     }
 
     fn advance(&mut self, now: TimePoint, server: usize) {
@@ -247,10 +247,10 @@
         self.scheduled[server] = None;
         let mut outputs = Vec::new();
         self.engines[server].advance(now, &mut outputs);
-        self.take(now, server, &outputs);
+        self.handle_engine_outputs(now, server, &outputs);
     }
 
-    fn take(&mut self, now: TimePoint, server: usize, outputs: &[ModelOutput]) {
+    fn handle_engine_outputs(&mut self, now: TimePoint, server: usize, outputs: &[ModelOutput]) {
         for output in outputs {
             match *output {
                 ModelOutput::Token { id, seq } => self.token(now, id, seq),
@@ -367,7 +367,7 @@
         }
     }
 
-    fn moved(&mut self, now: TimePoint, question: usize) {
+    fn receive_migrated_cache(&mut self, now: TimePoint, question: usize) {
         let id = self.questions[question].id;
         let Some(flight) = self.flights.get(&id) else { return };
         let facts = self.kind(question);
@@ -415,7 +415,7 @@
             Continuation::Finish | Continuation::Resume => return 0,
             Continuation::MigrateCache => {
                 let arrives = now + migration_time(&options, &MigrationCosts::default());
-                self.queue.push(Reverse((arrives, Event::Moved(flight.question))));
+                self.queue.push(Reverse((arrives, Event::CacheMigrated(flight.question))));
                 return context;
             }
             Continuation::PrefixHolder | Continuation::Recompute => {
@@ -432,11 +432,11 @@
         self.routers[flight.router].record_finished(flight.server);
         let mut outputs = Vec::new();
         self.engines[server].cancel(now, id, &mut outputs);
-        self.take(now, server, &outputs);
+        self.handle_engine_outputs(now, server, &outputs);
         self.dispatch(now, flight.question, flight.router, flight.tokens, imported);
     }
 
-    fn gone(&mut self, now: TimePoint) {
+    fn remove_reclaimed_servers(&mut self, now: TimePoint) {
         let Some(wave) = self.setup.wave else { return };
         for server in self.reclaimed_servers() {
             self.alive[server as usize] = false;
--- a/crates/quincevalve_measure/src/experiments/admission.rs
+++ b/crates/quincevalve_measure/src/experiments/admission.rs
@@ -17,8 +17,8 @@
 
 const CAPACITY: u32 = 64;
 const LENGTH_S: f64 = 120.0;
-const PROMISE: Duration = Duration::from_millis(800);
-const BULK_PROMISE: Duration = Duration::from_secs(60);
+const LATENCY_TARGET: Duration = Duration::from_millis(800);
+const BULK_LATENCY_TARGET: Duration = Duration::from_secs(60);
 /// Request rates of five accounts with equal weights; the last sends ten times its share.
 const RATES: [f64; 5] = [12.0, 12.0, 12.0, 12.0, 120.0];
 const BULK_SHARE: f64 = 0.1;
@@ -92,14 +92,14 @@
 
 type Counts = [[Count; 2]; RATES.len()];
 
-fn promise_of(request: &Request) -> Duration {
-    if request.bulk { BULK_PROMISE } else { PROMISE }
+fn latency_target_of(request: &Request) -> Duration {
+    if request.bulk { BULK_LATENCY_TARGET } else { LATENCY_TARGET }
 }
 
 /// Interactive requests meet their target by starting in time, bulk requests by ending in time.
-fn keeps(request: &Request, started: TimePoint) -> bool {
+fn meets_latency_target(request: &Request, started: TimePoint) -> bool {
     let done = if request.bulk { started + request.held } else { started };
-    done - request.at <= promise_of(request)
+    done - request.at <= latency_target_of(request)
 }
 
 fn run_ours(requests: &[Request]) -> Counts {
@@ -122,7 +122,7 @@
             ticket: Ticket(number as u64),
             account: AccountIndex(request.account as u32),
             urgency: if request.bulk { Urgency::Bulk } else { Urgency::Interactive },
-            deadline: request.at + promise_of(request),
+            deadline: request.at + latency_target_of(request),
             required_time: if request.bulk { request.held } else { Duration::ZERO },
             cost: if request.bulk { 10 } else { 1 },
         };
@@ -147,7 +147,7 @@
 ) {
     let request = &requests[number];
     let count = &mut counts[request.account][usize::from(request.bulk)];
-    if keeps(request, now) {
+    if meets_latency_target(request, now) {
         count.kept += 1;
     } else {
         count.late += 1;
@@ -185,7 +185,7 @@
         count.sent += 1;
         let Some(Reverse(at)) = free.pop() else { continue };
         let started = at.max(request.at);
-        if keeps(request, started) {
+        if meets_latency_target(request, started) {
             count.kept += 1;
         } else {
             count.late += 1;
--- a/crates/quincevalve_measure/src/experiments/cost.rs
+++ b/crates/quincevalve_measure/src/experiments/cost.rs
@@ -16,20 +16,20 @@
 const LENGTH: Duration = Duration::from_secs(120);
 /// Warm-up time. Earlier requests meet cold caches and are excluded from the result.
 const WARM_UP: TimePoint = TimePoint::from_millis(30_000);
-/// Percentage of requests that must meet the latency target.
-const REQUIRED_PERCENT: f64 = 0.95;
+/// Fraction of requests of each class that must meet the latency target.
+const REQUIRED_FRACTION: f64 = 0.95;
 
 struct Scale {
     name: &'static str,
     rate: f64,
     routers: u32,
-    most: u32,
+    max_servers: u32,
 }
 
 /// Today's deployments, and one data centre's share of the target.
 const SCALES: [Scale; 2] = [
-    Scale { name: "today", rate: 22.0, routers: 8, most: 40 },
-    Scale { name: "target, one data centre", rate: 140.0, routers: 33, most: 200 },
+    Scale { name: "today", rate: 22.0, routers: 8, max_servers: 40 },
+    Scale { name: "target, one data centre", rate: 140.0, routers: 33, max_servers: 200 },
 ];
 
 pub(crate) fn run(seed: u64) -> Vec<Table> {
@@ -57,8 +57,8 @@
 
 fn compare(mix: &Mix, scale: &Scale, prefixes: Prefixes, seed: u64) -> Vec<String> {
     let questions = workload::draw(mix, prefixes, scale.rate, LENGTH, seed);
-    let ours = smallest(mix, scale, &questions, PredictedFirstToken, true, seed);
-    let naive = smallest(mix, scale, &questions, LeastOutstanding, false, seed);
+    let ours = find_smallest_fleet(mix, scale, &questions, PredictedFirstToken, true, seed);
+    let naive = find_smallest_fleet(mix, scale, &questions, LeastOutstanding, false, seed);
     let cell =
         |it: &Option<(u32, u64)>| it.map_or_else(|| "none".to_owned(), |it| it.0.to_string());
     let ratio = |of: fn((u32, u64)) -> f64| match (ours, naive) {
@@ -78,7 +78,7 @@
 }
 
 /// Finds the smallest sufficient fleet by bisection; also returns the prompt tokens that it computed.
-fn smallest<P>(
+fn find_smallest_fleet<P>(
     mix: &Mix,
     scale: &Scale,
     questions: &[Question],
@@ -99,10 +99,10 @@
             wave: None,
         };
         let run = arena::run(setup, mix, questions, policy.clone(), seed);
-        keeps_promises(mix, questions, &run).then_some(run.prefilled)
+        meets_latency_targets(mix, questions, &run).then_some(run.prefilled)
     };
     let mut low = 0;
-    let mut high = scale.most;
+    let mut high = scale.max_servers;
     let mut found = try_fleet(high)?;
     while high - low > 1 {
         let middle = u32::midpoint(low, high);
@@ -120,14 +120,14 @@
     Some((high, found))
 }
 
-fn keeps_promises(mix: &Mix, questions: &[Question], run: &Run) -> bool {
+fn meets_latency_targets(mix: &Mix, questions: &[Question], run: &Run) -> bool {
     mix.kinds.iter().enumerate().all(|(at, kind)| {
-        let judged = run.outcomes.iter().zip(questions).filter(|it| it.1.at >= WARM_UP);
-        let of_kind = judged.map(|it| it.0).filter(|it| it.kind == at);
+        let measured = run.outcomes.iter().zip(questions).filter(|it| it.1.at >= WARM_UP);
+        let of_kind = measured.map(|it| it.0).filter(|it| it.kind == at);
         let mut times: Vec<_> = of_kind
             .map(|it| if kind.interactive { it.first } else { it.end })
             .map(|it| it.unwrap_or(Duration::MAX))
             .collect();
-        percentile(&mut times, REQUIRED_PERCENT) <= kind.promise
+        percentile(&mut times, REQUIRED_FRACTION) <= kind.latency_target
     })
 }
--- a/crates/quincevalve_measure/src/experiments/ledger.rs
+++ b/crates/quincevalve_measure/src/experiments/ledger.rs
@@ -50,7 +50,7 @@
 #[derive(Clone, Debug, PartialEq)]
 enum SimulationEvent {
     Claim(usize),
-    Landed(u32, SlotAction),
+    StoreCallArrived(u32, SlotAction),
     Answered(u32, SlotEvent),
     Tick(u32),
 }
@@ -81,10 +81,10 @@
         }
     }
 
-    fn push(&mut self, at: TimePoint, happening: SimulationEvent) {
+    fn push(&mut self, at: TimePoint, simulation_event: SimulationEvent) {
         self.next += 1;
         self.queue.push(Reverse((at, self.next)));
-        self.pending_events.insert(self.next, happening);
+        self.pending_events.insert(self.next, simulation_event);
     }
 
     fn run(&mut self, claims: &[(TimePoint, Claim)], slot_of: impl Fn(&Claim) -> u32) {
@@ -97,7 +97,9 @@
                     let event = SlotEvent::Claim { ticket, claim, deadline };
                     self.handle(now, slot_of(&claim), event);
                 }
-                Some(SimulationEvent::Landed(slot, action)) => self.land(now, slot, &action),
+                Some(SimulationEvent::StoreCallArrived(slot, action)) => {
+                    self.apply_store_call(now, slot, &action)
+                }
                 Some(SimulationEvent::Answered(slot, event)) => self.handle(now, slot, event),
                 Some(SimulationEvent::Tick(slot)) => self.handle(now, slot, SlotEvent::Tick),
                 None => {}
@@ -112,9 +114,10 @@
             match action {
                 SlotAction::Answer(ticket, Verdict::Granted) => self.granted.push((ticket, now)),
                 SlotAction::Answer(..) => {}
-                action => {
-                    self.push(now + STORE_ROUND_TRIP / 2, SimulationEvent::Landed(slot, action))
-                }
+                action => self.push(
+                    now + STORE_ROUND_TRIP / 2,
+                    SimulationEvent::StoreCallArrived(slot, action),
+                ),
             }
         }
         if let Some(at) = self.slots[slot as usize].next_tick_at() {
@@ -122,7 +125,7 @@
         }
     }
 
-    fn land(&mut self, now: TimePoint, slot: u32, action: &SlotAction) {
+    fn apply_store_call(&mut self, now: TimePoint, slot: u32, action: &SlotAction) {
         let head = self.keys[slot as usize].clone();
         let written = |outcome: Result<KeyVersion, KeyVersion>| {
             outcome.map_or(SwapOutcome::Conflict, SwapOutcome::Written)
@@ -168,15 +171,18 @@
     let claims = draw(seed, CLAIMS_PER_S);
     let seconds = LENGTH_S as f64;
     for pace in [50, 100, 200, 400] {
-        let desk = group_commit(&claims, pace);
-        let mut times: Vec<_> =
-            desk.granted.iter().map(|(ticket, at)| *at - claims[ticket.0 as usize].0).collect();
+        let simulation = group_commit(&claims, pace);
+        let mut times: Vec<_> = simulation
+            .granted
+            .iter()
+            .map(|(ticket, at)| *at - claims[ticket.0 as usize].0)
+            .collect();
         table.push(vec![
             "ours: 16 slots, one chain each".to_owned(),
             pace.to_string(),
-            two(desk.store.writes as f64 / seconds),
-            two(desk.store.reads as f64 / seconds),
-            two(desk.bytes as f64 / 1_000.0 / seconds),
+            two(simulation.store.writes as f64 / seconds),
+            two(simulation.store.reads as f64 / seconds),
+            two(simulation.bytes as f64 / 1_000.0 / seconds),
             millis(percentile(&mut times, 0.5)),
             millis(percentile(&mut times, 0.95)),
         ]);
@@ -223,12 +229,12 @@
         SlotSettings { write_interval: Duration::from_millis(pace_ms), ..SlotSettings::default() };
     let slots = (0..SLOTS).map(|_| Slot::new(settings, "owner")).collect();
     let keys = (0..SLOTS).map(|it| format!("slot-{it}")).collect();
-    let mut desk = SlotSimulation::new(slots, keys);
+    let mut simulation = SlotSimulation::new(slots, keys);
     for (at, (time, _)) in claims.iter().enumerate() {
-        desk.push(*time, SimulationEvent::Claim(at));
+        simulation.push(*time, SimulationEvent::Claim(at));
     }
-    desk.run(claims, |it| it.key.slot(SLOTS));
-    desk
+    simulation.run(claims, |it| it.key.slot(SLOTS));
+    simulation
 }
 
 const TAKEOVERS: u32 = 400;
@@ -251,51 +257,54 @@
 fn takeover_row(
     way: &str,
     pace: u64,
-    tries: &mut [u32],
+    attempt_counts: &mut [u32],
     times: &mut [Duration],
-    doubled: u32,
+    granted_twice: u32,
 ) -> Vec<String> {
-    tries.sort_unstable();
-    let at = |share: f64| tries[((tries.len() as f64 * share) as usize).min(tries.len() - 1)];
+    attempt_counts.sort_unstable();
+    let at = |share: f64| {
+        attempt_counts
+            [((attempt_counts.len() as f64 * share) as usize).min(attempt_counts.len() - 1)]
+    };
     vec![
         way.to_owned(),
         pace.to_string(),
         at(0.5).to_string(),
         at(0.95).to_string(),
         millis(percentile(times, 0.95)),
-        doubled.to_string(),
+        granted_twice.to_string(),
     ]
 }
 
 /// Takeover in this system: the new owner reads and swaps the same single key that the old owner swaps.
 fn single_chain(seed: u64, pace: u64) -> Vec<String> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let mut tries = Vec::new();
+    let mut attempt_counts = Vec::new();
     let mut times = Vec::new();
     for _ in 0..TAKEOVERS {
         let mut store = StoreModel::default();
         let mut owner = Chain::new(rng.random_range(0..=pace * 1_000));
-        let mut taker = Chain::new(rng.random_range(0..=pace * 1_000));
-        let began = taker.at;
-        let mut tried = 0;
+        let mut new_owner = Chain::new(rng.random_range(0..=pace * 1_000));
+        let began = new_owner.at;
+        let mut attempts = 0;
         loop {
             // Store calls are applied in order of arrival; the old owner stops once it is fenced.
-            if owner.at <= taker.at && !owner.fenced {
+            if owner.at <= new_owner.at && !owner.fenced {
                 owner.step(&mut store, pace, &mut rng);
                 continue;
             }
-            let swapped = taker.step(&mut store, 0, &mut rng);
+            let swapped = new_owner.step(&mut store, 0, &mut rng);
             if swapped.is_some() {
-                tried += 1;
+                attempts += 1;
             }
-            if swapped == Some(true) || tried > 200 {
+            if swapped == Some(true) || attempts > 200 {
                 break;
             }
         }
-        tries.push(tried);
-        times.push(taker.at - began);
+        attempt_counts.push(attempts);
+        times.push(new_owner.at - began);
     }
-    takeover_row("ours: single chain", pace, &mut tries, &mut times, 0)
+    takeover_row("ours: single chain", pace, &mut attempt_counts, &mut times, 0)
 }
 
 /// A writer that reads a key and then swaps it repeatedly until a swap fails.
@@ -329,7 +338,7 @@
 /// needs a key of its own, because deleting a key loses its last value.
 fn per_term(seed: u64, pace: u64) -> Vec<String> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let mut tries = Vec::new();
+    let mut attempt_counts = Vec::new();
     let mut times = Vec::new();
     for _ in 0..TAKEOVERS {
         let mut store = StoreModel::default();
@@ -338,7 +347,7 @@
         let mut version = store.swap("term-1", KeyVersion::ABSENT, "x").unwrap_or_default();
         // Creates the key of the new term, reads that of the old term and deletes it at the version read.
         let _ = store.swap("term-2", KeyVersion::ABSENT, "x");
-        let mut tried = 0;
+        let mut attempts = 0;
         loop {
             at = at + Duration::from_micros(rng.random_range(2_000..6_000));
             let read = store.get("term-1").map_or(KeyVersion::ABSENT, |it| it.version);
@@ -350,43 +359,43 @@
                 let call = Duration::from_micros(rng.random_range(2_000..6_000));
                 owner_at = owner_at + call + Duration::from_millis(pace);
             }
-            tried += 1;
+            attempts += 1;
             // In a store without unconditional deletion, this delete can lose a race just as a swap can.
-            if store.delete("term-1", read).is_ok() || tried > 200 {
+            if store.delete("term-1", read).is_ok() || attempts > 200 {
                 break;
             }
         }
-        tries.push(tried);
+        attempt_counts.push(attempts);
         times.push(at - TimePoint(0));
     }
-    takeover_row("per-term keys, conditional delete", pace, &mut tries, &mut times, 0)
+    takeover_row("per-term keys, conditional delete", pace, &mut attempt_counts, &mut times, 0)
 }
 
 /// Leased owners without fencing: an owner paused beyond its lease's expiry continues as if it still held the lease.
 fn leased(seed: u64) -> Vec<String> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let ttl = Duration::from_secs(5);
-    let mut doubled = 0;
+    let mut granted_twice = 0;
     let mut times = Vec::new();
-    let mut tries = Vec::new();
+    let mut attempt_counts = Vec::new();
     for _ in 0..TAKEOVERS {
         let mut store = StoreModel::default();
         store.lease(TimePoint::ZERO, "slot", "owner", ttl);
         let pause = Duration::from_millis(rng.random_range(0..10_000));
         let mut now = TimePoint::ZERO;
-        let mut tried = 0;
+        let mut attempts = 0;
         while store.lease(now, "slot", "taker", ttl).holder != "taker" {
             now = now + Duration::from_millis(500);
-            tried += 1;
+            attempts += 1;
         }
         // The owner checked its lease before the pause and grants a key after the pause.
         if pause >= now - TimePoint::ZERO {
-            doubled += 1;
+            granted_twice += 1;
         }
-        tries.push(tried);
+        attempt_counts.push(attempts);
         times.push(now - TimePoint::ZERO);
     }
-    takeover_row("leased owner, no fence", 0, &mut tries, &mut times, doubled)
+    takeover_row("leased owner, no fence", 0, &mut attempt_counts, &mut times, granted_twice)
 }
 
 /// Measures how long the first claim waits after the takeover of a slot with many stored segments.
@@ -397,19 +406,19 @@
     let mut table = Table::new("ledger_full_takeover", title, &columns);
     for segments in [0, 10, 100, 633] {
         let slot = Slot::new(SlotSettings::default(), "taker");
-        let mut desk = SlotSimulation::new(vec![slot], vec!["slot-0".to_owned()]);
-        fill(&mut desk.store, segments);
+        let mut simulation = SlotSimulation::new(vec![slot], vec!["slot-0".to_owned()]);
+        fill(&mut simulation.store, segments);
         let request = RequestId::new(HomeTag(1), u128::MAX);
         let claim = Claim { key: ClaimKey(u128::MAX), request, fingerprint: 0, at: 1 };
         let claims = [(TimePoint::ZERO, claim)];
-        desk.push(TimePoint::ZERO, SimulationEvent::Claim(0));
-        let before = desk.store.reads;
-        desk.run(&claims, |_| 0);
-        let granted = desk.granted.first().map(|it| it.1 - TimePoint::ZERO);
+        simulation.push(TimePoint::ZERO, SimulationEvent::Claim(0));
+        let before = simulation.store.reads;
+        simulation.run(&claims, |_| 0);
+        let granted = simulation.granted.first().map(|it| it.1 - TimePoint::ZERO);
         table.push(vec![
             segments.to_string(),
             (segments * SEGMENT_CLAIMS).to_string(),
-            (desk.store.reads - before).to_string(),
+            (simulation.store.reads - before).to_string(),
             granted.map_or_else(|| "never".to_owned(), millis),
         ]);
     }
--- a/crates/quincevalve_measure/src/experiments/path.rs
+++ b/crates/quincevalve_measure/src/experiments/path.rs
@@ -194,7 +194,7 @@
     }
 }
 
-/// Sends a question through the entry VM; returns the answer's size in bytes.
+/// Sends a question through the entry VM; returns the number of events with an `id` line in the answer.
 async fn ask_entry(
     http: &HttpClient,
     address: SocketAddr,
--- a/crates/quincevalve_measure/src/experiments/plan.rs
+++ b/crates/quincevalve_measure/src/experiments/plan.rs
@@ -49,12 +49,12 @@
     ];
     let mut table = Table::new("plan_day", title, &columns);
     let fixed = simulate(Policy::StaticOnDemand, seed);
-    for (way, name) in [
+    for (policy, name) in [
         (Policy::Ours, "ours"),
         (Policy::StaticOnDemand, "naive: fixed on-demand fleet"),
         (Policy::CheapestFirst, "naive: cheapest place first"),
     ] {
-        let day = simulate(way, seed);
+        let day = simulate(policy, seed);
         table.push(vec![
             name.to_owned(),
             two(day.cost),
@@ -89,16 +89,16 @@
     (PEAK * level).ceil() as u32
 }
 
-fn simulate(way: Policy, seed: u64) -> Day {
+fn simulate(policy: Policy, seed: u64) -> Day {
     let offers = offers(seed);
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 1);
     let waves: Vec<_> =
         (0..WAVES).map(|_| (rng.random_range(0..STEPS), rng.random_range(0..PLACES))).collect();
-    let mut buyer = Provisioner::new(ProvisionerSettings::default(), offers.clone());
+    let mut provisioner = Provisioner::new(ProvisionerSettings::default(), offers.clone());
     let mut held = Desired::new();
     let mut bought = Desired::new();
     let mut day = Day { cost: 0.0, short_machine_hours: 0.0, short_steps: 0, refused: 0 };
-    if way == Policy::StaticOnDemand {
+    if policy == Policy::StaticOnDemand {
         // Runs enough on-demand machines all day to serve the peak after the loss of one place.
         let each = (PEAK / (PLACES as f64 - 1.0)).ceil() as u32;
         for place in 0..PLACES {
@@ -110,18 +110,24 @@
         for (_, place) in waves.iter().filter(|it| it.0 == step) {
             held.shift_remove(&(format!("dc-{place:02}").as_str().into(), SPOT.to_owned()));
         }
-        let is_dry = |place: &str| {
-            waves.iter().any(|(at, dry)| {
-                format!("dc-{dry:02}") == place && (*at..*at + OUTAGE_STEPS).contains(&step)
+        let is_exhausted = |place: &str| {
+            waves.iter().any(|(at, exhausted)| {
+                format!("dc-{exhausted:02}") == place && (*at..*at + OUTAGE_STEPS).contains(&step)
             })
         };
         count(&mut day, &held, &offers, needed(step));
-        match way {
+        match policy {
             Policy::StaticOnDemand => {}
-            Policy::Ours => {
-                step_ours(&mut buyer, now, step, &mut held, &mut bought, is_dry, &mut day)
-            }
-            Policy::CheapestFirst => step_naive(&offers, step, &mut held, is_dry, &mut day),
+            Policy::Ours => step_ours(
+                &mut provisioner,
+                now,
+                step,
+                &mut held,
+                &mut bought,
+                is_exhausted,
+                &mut day,
+            ),
+            Policy::CheapestFirst => step_naive(&offers, step, &mut held, is_exhausted, &mut day),
         }
     }
     day
@@ -142,12 +148,12 @@
 }
 
 fn step_ours(
-    buyer: &mut Provisioner,
+    provisioner: &mut Provisioner,
     now: TimePoint,
     step: u64,
     held: &mut Desired,
     bought: &mut Desired,
-    is_dry: impl Fn(&str) -> bool,
+    is_exhausted: impl Fn(&str) -> bool,
     day: &mut Day,
 ) {
     // Uses the demand of the next step, because a machine takes one step to start.
@@ -155,16 +161,16 @@
     // Plans several rounds per step, because a refused request is immediately made to another place.
     for _ in 0..4 {
         let mut refused = false;
-        for action in buyer.plan(now, needed, held, bought) {
+        for action in provisioner.plan(now, needed, held, bought) {
             match action {
                 ProvisionAction::Create { data_centre, vm_class, .. } => {
-                    if vm_class == SPOT && is_dry(data_centre.as_str()) {
-                        buyer.record_refusal(now, &data_centre, &vm_class);
+                    if vm_class == SPOT && is_exhausted(data_centre.as_str()) {
+                        provisioner.record_refusal(now, &data_centre, &vm_class);
                         day.refused += 1;
                         refused = true;
                         break;
                     }
-                    buyer.record_grant(&data_centre, &vm_class);
+                    provisioner.record_grant(&data_centre, &vm_class);
                     let key = (data_centre, vm_class);
                     *held.entry(key.clone()).or_default() += 1;
                     *bought.entry(key).or_default() += 1;
@@ -188,12 +194,12 @@
     offers: &[Offer],
     step: u64,
     held: &mut Desired,
-    is_dry: impl Fn(&str) -> bool,
+    is_exhausted: impl Fn(&str) -> bool,
     day: &mut Day,
 ) {
     let Some(cheapest) = offers.iter().min_by_key(|it| it.price_milli) else { return };
     let key = (cheapest.data_centre.clone(), cheapest.vm_class.clone());
-    if is_dry(cheapest.data_centre.as_str()) {
+    if is_exhausted(cheapest.data_centre.as_str()) {
         day.refused += 1;
         return;
     }
--- a/crates/quincevalve_measure/src/experiments/retries.rs
+++ b/crates/quincevalve_measure/src/experiments/retries.rs
@@ -23,7 +23,7 @@
 const LENGTH_S: u64 = 90;
 const TRIGGER: std::ops::Range<u64> = 20..30;
 /// Timeout of a caller's attempt.
-const ATTEMPT_LIMIT: Duration = Duration::from_millis(500);
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(500);
 const NAIVE_ATTEMPTS: u32 = 4;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -35,13 +35,13 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Way {
+enum Policy {
     Ours,
     Naive,
 }
 
 struct Sim {
-    way: Way,
+    policy: Policy,
     queue: BinaryHeap<Reverse<(TimePoint, Event)>>,
     waiting: VecDeque<(u32, u32, TimePoint)>,
     busy: usize,
@@ -65,8 +65,8 @@
         &["second", "policy", "share"],
     )
     .with_plot(0, 2, 1);
-    for (way, name) in [(Way::Ours, "ours"), (Way::Naive, "naive: 3 retries")] {
-        let sim = simulate(way, seed);
+    for (policy, name) in [(Policy::Ours, "ours"), (Policy::Naive, "naive: 3 retries")] {
+        let sim = simulate(policy, seed);
         table.push(summary(name, &sim));
         for (second, share) in shares(&sim).into_iter().enumerate() {
             series.push(vec![second.to_string(), name.to_owned(), two(share)]);
@@ -96,17 +96,17 @@
         let second = (begun.as_micros() / 1_000_000) as usize;
         let Some(cell) = good.get_mut(second) else { continue };
         cell.1 += 1;
-        if ended.is_some_and(|it| it - *begun <= ATTEMPT_LIMIT) {
+        if ended.is_some_and(|it| it - *begun <= ATTEMPT_TIMEOUT) {
             cell.0 += 1;
         }
     }
     good.into_iter().map(|(good, all)| f64::from(good) / f64::from(all.max(1))).collect()
 }
 
-fn simulate(way: Way, seed: u64) -> Sim {
+fn simulate(policy: Policy, seed: u64) -> Sim {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut sim = Sim {
-        way,
+        policy,
         queue: BinaryHeap::new(),
         waiting: VecDeque::new(),
         busy: 0,
@@ -164,12 +164,12 @@
         // Early rejection: a request that can't finish in time isn't queued. The naive version queues everything.
         let rounds = self.waiting.len() / self.places;
         let wait = WORK * rounds as u32;
-        if self.way == Way::Ours && wait + WORK > ATTEMPT_LIMIT {
+        if self.policy == Policy::Ours && wait + WORK > ATTEMPT_TIMEOUT {
             self.refused += 1;
             return;
         }
         self.waiting.push_back((request, attempt, now));
-        self.queue.push(Reverse((now + ATTEMPT_LIMIT, Event::Limit { request, attempt })));
+        self.queue.push(Reverse((now + ATTEMPT_TIMEOUT, Event::Limit { request, attempt })));
     }
 
     fn limit(&mut self, now: TimePoint, request: u32, attempt: u32) {
@@ -177,9 +177,9 @@
         if self.ended[at].is_some() || self.current[at] != attempt {
             return;
         }
-        let retry = match self.way {
-            Way::Naive => (attempt < NAIVE_ATTEMPTS).then_some(Duration::ZERO),
-            Way::Ours => {
+        let retry = match self.policy {
+            Policy::Naive => (attempt < NAIVE_ATTEMPTS).then_some(Duration::ZERO),
+            Policy::Ours => {
                 let failure = FailedAttempt {
                     status: ExecutionStatus::MayHaveRun,
                     earlier_status: ExecutionStatus::NotRun,
--- a/crates/quincevalve_measure/src/fleet.rs
+++ b/crates/quincevalve_measure/src/fleet.rs
@@ -107,7 +107,7 @@
     newest: Revision,
 }
 
-const ANSWER_LIMIT: Duration = Duration::from_millis(500);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
 /// Transport overhead of one message in bytes: TLS record, frame, TCP and IP headers.
 const TRANSPORT_OVERHEAD: u64 = 120;
 const STORE_CALL: Duration = Duration::from_millis(8);
@@ -240,7 +240,7 @@
         }
     }
 
-    /// Returns the fraction of live nodes whose membership view equals the set of live nodes in their data centre.
+    /// Returns the fraction of live nodes that count as many members taking work as their data centre has live nodes.
     pub(crate) fn agreement(&self) -> f64 {
         let right = |node: &&Node| {
             let own = &node.membership.own().data_centre;
@@ -280,7 +280,7 @@
         self.setup.loss > 0.0 && self.rng.random_bool(self.setup.loss)
     }
 
-    fn sent(&mut self, node: usize, bytes: u64) {
+    fn record_sent(&mut self, node: usize, bytes: u64) {
         let usage = &mut self.nodes[node].usage;
         usage.messages += 1;
         usage.bytes += bytes + TRANSPORT_OVERHEAD;
@@ -301,8 +301,8 @@
             }
             Event::ProbeVia { node, via, target, name } => {
                 let reached = self.nodes[via].alive && self.nodes[target].alive && !self.is_lost();
-                self.sent(via, CONTROL_MESSAGE_SIZE);
-                self.push(ANSWER_LIMIT, Event::HelperAnswer { node, name, reached });
+                self.record_sent(via, CONTROL_MESSAGE_SIZE);
+                self.push(ANSWER_TIMEOUT, Event::HelperAnswer { node, name, reached });
             }
             Event::HelperAnswer { node, name, reached } => {
                 if !reached {
@@ -350,13 +350,13 @@
                     let began = Instant::now();
                     let bytes = bincode::serialize(&message).unwrap_or_default();
                     self.nodes[node].usage.busy += began.elapsed();
-                    self.sent(node, bytes.len() as u64);
+                    self.record_sent(node, bytes.len() as u64);
                     let Some(to) = self.by_address.get(&to).copied() else { continue };
                     let delay = self.delay(node, to);
                     self.push(delay, Event::Probe { from: node, to, name, bytes });
                 }
                 MembershipAction::ProbeVia { via, name, target } => {
-                    self.sent(node, CONTROL_MESSAGE_SIZE);
+                    self.record_sent(node, CONTROL_MESSAGE_SIZE);
                     let Some(via) = self.by_address.get(&via).copied() else { continue };
                     let Some(target) = self.by_address.get(&target).copied() else { continue };
                     let delay = self.delay(node, via);
@@ -369,7 +369,7 @@
     fn probed(&mut self, from: usize, to: usize, name: Option<EntryVmName>, bytes: &[u8]) {
         if !self.nodes[to].alive || self.is_lost() {
             if let Some(name) = name {
-                self.push(ANSWER_LIMIT, Event::ProbeFailed { node: from, name });
+                self.push(ANSWER_TIMEOUT, Event::ProbeFailed { node: from, name });
             }
             return;
         }
@@ -379,7 +379,7 @@
         let answer = self.nodes[to].membership.answer(now, &message);
         let answer = bincode::serialize(&answer).unwrap_or_default();
         self.nodes[to].usage.busy += began.elapsed();
-        self.sent(to, answer.len() as u64);
+        self.record_sent(to, answer.len() as u64);
         let delay = self.delay(to, from);
         self.push(delay, Event::Answer { to: from, bytes: answer });
         self.receive_revisions(to, &message);
@@ -445,7 +445,7 @@
                 }
                 DistributionAction::Announce { to, revision } => {
                     for peer in to {
-                        self.sent(node, CONTROL_MESSAGE_SIZE);
+                        self.record_sent(node, CONTROL_MESSAGE_SIZE);
                         let Some(to) = self.by_address.get(&peer).copied() else { continue };
                         if !self.is_lost() {
                             let delay = self.delay(node, to);
@@ -454,7 +454,7 @@
                     }
                 }
                 DistributionAction::Fetch(peer) => {
-                    self.sent(node, CONTROL_MESSAGE_SIZE);
+                    self.record_sent(node, CONTROL_MESSAGE_SIZE);
                     let Some(to) = self.by_address.get(&peer).copied() else { continue };
                     let delay = self.delay(node, to);
                     self.push(delay, Event::Fetch { from: node, to });
@@ -465,10 +465,10 @@
 
     fn fetch(&mut self, from: usize, to: usize) {
         if !self.nodes[to].alive || self.is_lost() {
-            return self.push(ANSWER_LIMIT, Event::FetchFailed { node: from, from: to });
+            return self.push(ANSWER_TIMEOUT, Event::FetchFailed { node: from, from: to });
         }
         let revision = self.nodes[to].distribution.revision();
-        self.sent(to, self.setup.content as u64);
+        self.record_sent(to, self.setup.content as u64);
         let delay = self.delay(to, from);
         self.push(delay, Event::Fetched { from: to, to: from, revision });
     }
--- a/crates/quincevalve_measure/src/workload.rs
+++ b/crates/quincevalve_measure/src/workload.rs
@@ -12,7 +12,7 @@
     pub(crate) share: u32,
     pub(crate) interactive: bool,
     /// Latency target: time to the first token or, for bulk requests, to the end of the answer.
-    pub(crate) promise: Duration,
+    pub(crate) latency_target: Duration,
     /// Number of distinct prompt prefixes (flights and pick-up points, hotels, shifts; vehicles and their records).
     pub(crate) topics: u32,
     pub(crate) prefix_tokens: u32,
@@ -27,7 +27,7 @@
     pub(crate) kinds: &'static [Kind],
 }
 
-const SHORT_PROMISE: Duration = Duration::from_millis(800);
+const SHORT_LATENCY_TARGET: Duration = Duration::from_millis(800);
 
 /// Mix of kerbside chats, desk chats and shift summaries.
 pub(crate) const FLUGHAFENSHUTTLE: Mix = Mix {
@@ -36,7 +36,7 @@
         Kind {
             share: 70,
             interactive: true,
-            promise: SHORT_PROMISE,
+            latency_target: SHORT_LATENCY_TARGET,
             topics: 500,
             prefix_tokens: 1_600,
             own_tokens: 120,
@@ -45,7 +45,7 @@
         Kind {
             share: 20,
             interactive: true,
-            promise: SHORT_PROMISE,
+            latency_target: SHORT_LATENCY_TARGET,
             topics: 300,
             prefix_tokens: 1_200,
             own_tokens: 80,
@@ -54,7 +54,7 @@
         Kind {
             share: 10,
             interactive: false,
-            promise: Duration::from_secs(90),
+            latency_target: Duration::from_secs(90),
             topics: 40,
             prefix_tokens: 3_000,
             own_tokens: 2_500,
@@ -70,7 +70,7 @@
         Kind {
             share: 75,
             interactive: true,
-            promise: SHORT_PROMISE,
+            latency_target: SHORT_LATENCY_TARGET,
             topics: 3_000,
             prefix_tokens: 1_400,
             own_tokens: 100,
@@ -79,7 +79,7 @@
         Kind {
             share: 25,
             interactive: false,
-            promise: Duration::from_secs(150),
+            latency_target: Duration::from_secs(150),
             topics: 600,
             prefix_tokens: 2_500,
             own_tokens: 3_500,
