--- a/crates/quincevalve_measure/src/options.rs
+++ b/crates/quincevalve_measure/src/options.rs
@@ -20,9 +20,9 @@
 pub(crate) enum OptionsError {
     #[snafu(display("{source}; see --help"))]
     Value { source: pico_args::Error },
-    #[snafu(display("`{name}` is no experiment; see --help"))]
+    #[snafu(display("unknown experiment `{name}`; see --help"))]
     Experiment { name: String },
-    #[snafu(display("name an experiment; see --help"))]
+    #[snafu(display("no experiment given; see --help"))]
     Missing,
 }
 
