--- a/crates/quincevalve_entry/src/control_link.rs
+++ b/crates/quincevalve_entry/src/control_link.rs
@@ -1,4 +1,4 @@
-//! What the control process of the same VM tells: members and configuration.
+//! Link to the control process of the same VM: receives members and configuration, reports demand.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -10,20 +10,19 @@
 
 use crate::{peers::Peers, settings::EntrySettings, shared::Shared, view::View};
 
-const WAIT_MS: u32 = 2_000;
-const REPORT_PERIOD: Duration = Duration::from_millis(200);
+const LONG_POLL_MS: u32 = 2_000;
+const REPORT_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What the link feeds.
+/// Channels that the control link publishes to.
 pub(crate) struct Feeds {
     pub(crate) views: watch::Sender<Arc<View>>,
     pub(crate) peers: watch::Sender<Arc<Peers>>,
 }
 
-/// Follows the control process for as long as this process runs.
+/// Long-polls the control process for updates for as long as this process runs.
 ///
-/// Failure: the control process is down or restarting. Symptom without care: the entry process would
-/// lose its peers and its configuration. Nothing is taken away here: what was heard last stays in force.
-pub(crate) async fn follow(
+/// While the control process is down or restarting, the peers and configuration received last stay in force.
+pub(crate) async fn poll_updates(
     settings: EntrySettings,
     address: SocketAddr,
     callers: PeerClients<LocalControlClient>,
@@ -31,25 +30,25 @@
     feeds: Feeds,
 ) {
     let mut version = 0;
-    let limit = Duration::from_millis(u64::from(WAIT_MS)) + settings.pacing.peer();
+    let timeout = Duration::from_millis(u64::from(LONG_POLL_MS)) + settings.pacing.peer();
     loop {
-        let has = feeds.views.borrow().revision;
-        let call = callers.call(address, limit, |client, cx| async move {
-            client.next(cx, version, has, WAIT_MS).await
+        let known_revision = feeds.views.borrow().revision;
+        let call = callers.call(address, timeout, |client, cx| async move {
+            client.next(cx, version, known_revision, LONG_POLL_MS).await
         });
         match call.await {
             Ok(update) => {
                 version = update.version;
-                take(&settings, &feeds, update);
+                apply_update(&settings, &feeds, update);
             }
             Err(_) => timer.after(settings.pacing.peer()).await,
         }
     }
 }
 
-fn take(settings: &EntrySettings, feeds: &Feeds, update: LocalUpdate) {
+fn apply_update(settings: &EntrySettings, feeds: &Feeds, update: LocalUpdate) {
     if let Some(blob) = update.revision {
-        take_revision(feeds, &blob);
+        apply_revision(feeds, &blob);
     }
     let peers = Arc::new(Peers::new(&settings.name, &update.members, &update.summaries));
     feeds.peers.send_if_modified(|it| {
@@ -61,7 +60,7 @@
     });
 }
 
-fn take_revision(feeds: &Feeds, blob: &RevisionBlob) {
+fn apply_revision(feeds: &Feeds, blob: &RevisionBlob) {
     let file = format!("revision {}", blob.revision);
     match read_inventory(&file, &blob.content, Format::Json) {
         Ok(inventory) => {
@@ -74,18 +73,18 @@
                 newer
             });
         }
-        // The control process checked it; a newer program may know fields that this one doesn't.
-        Err(error) => log::error!("the configuration can't be taken: {error}"),
+        // The control process has validated it, but a newer version of it may accept fields that this one rejects.
+        Err(error) => log::error!("configuration rejected: {error}"),
     }
 }
 
-/// Tells the control process of this VM's demand, and that it leaves.
-pub(crate) async fn report(
+/// Periodically reports this VM's demand, and whether it is leaving, to the control process.
+pub(crate) async fn report_status(
     shared: Arc<Shared>,
     address: SocketAddr,
     callers: PeerClients<LocalControlClient>,
 ) {
-    let mut ticks = shared.timer.every(REPORT_PERIOD);
+    let mut ticks = shared.timer.every(REPORT_INTERVAL);
     while ticks.tick().await.is_some() {
         let name = shared.settings.name.clone();
         let demand = shared.admission.demand();
@@ -94,20 +93,20 @@
             client.report(cx, name, demand, leaving).await
         });
         if let Err(error) = call.await {
-            log::debug!("control: {error}");
+            log::debug!("report to the control process failed: {error}");
         }
     }
 }
 
-/// Takes new views into the router as they come.
+/// Updates the router with the servers of each new view.
 pub(crate) async fn apply_views(shared: Arc<Shared>) {
     let mut views = shared.view.clone();
     while views.changed().await.is_ok() {
         let view = views.borrow_and_update().clone();
-        shared.take_servers(&view);
+        shared.upsert_servers(&view);
         log::info!("revision {} is in force", view.revision);
     }
 }
 
-/// The revision that an entry process starts with.
-pub(crate) const NO_REVISION: Revision = Revision(0);
+/// Revision of the inventory that an entry process starts with. Only a higher revision replaces it.
+pub(crate) const INITIAL_REVISION: Revision = Revision(0);
--- a/crates/quincevalve_entry/src/hand_over.rs
+++ b/crates/quincevalve_entry/src/hand_over.rs
@@ -1,4 +1,4 @@
-//! Handing requests to other entry VMs, and taking theirs.
+//! Hands requests over to other entry VMs and accepts theirs.
 
 use std::{sync::Arc, time::Duration};
 
@@ -22,68 +22,70 @@
     shared::Shared,
 };
 
-/// Hand-overs under way at once.
-const AT_ONCE: usize = 64;
-/// The longest wait for one request's right: the serving task gives it up at its next wake-up.
-const RIGHT_LIMIT: Duration = Duration::from_millis(200);
+/// Maximum number of concurrent hand-overs.
+const MAX_CONCURRENT_HAND_OVERS: usize = 64;
+/// Timeout for acquiring the exclusive right to one request. The serving task releases it when it next wakes up.
+const RIGHT_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// This VM is taken back in `left`, in a wave with others: finishes what fits, hands over the rest.
+/// Shuts this VM down after a reclaim notice that leaves it `left`, as part of a reclaim wave: requests that can
+/// finish in time do, the rest are handed over.
 pub(crate) async fn leave(shared: Arc<Shared>, left: Duration, wave: Vec<String>) {
     shared.leave();
     let deadline = shared.timer.now() + left;
-    // Callers keep coming until the balancer has seen the readiness drop.
-    let still_accepts = shared.settings.pacing.balancer().min(left / 4);
-    shared.timer.after(still_accepts).await;
+    // The load balancer keeps sending requests until it has noticed that the VM is no longer ready.
+    let accept_period = shared.settings.pacing.balancer().min(left / 4);
+    shared.timer.after(accept_period).await;
     shared.refuse();
-    // Half of the notice is for finishing, the rest for sending and for what goes wrong then.
+    // At most half of the notice period goes to accepting and finishing requests; the rest is for hand-overs and
+    // their retries.
     let finish_until = shared.timer.now() + left / 4;
     wait_until_idle(&shared, finish_until).await;
     hand_over_all(&shared, deadline, &wave).await;
 }
 
-/// Waits until nothing runs, or `until`.
+/// Waits until no request is running, but no longer than `until`.
 pub(crate) async fn wait_until_idle(shared: &Shared, until: TimePoint) {
     while !shared.answers.running().is_empty() && shared.timer.now() < until {
-        shared.timer.after(IDLE_POLL).await;
+        shared.timer.after(IDLE_POLL_INTERVAL).await;
     }
 }
 
-const IDLE_POLL: Duration = Duration::from_millis(20);
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Hands over everything that runs and may go on elsewhere, and then the ended answers that a caller
-/// may come back for.
+/// Hands over all running requests that may resume elsewhere, then the completed answers that a caller may request
+/// again.
 pub(crate) async fn hand_over_all(shared: &Arc<Shared>, deadline: TimePoint, wave: &[String]) {
     let running = shared.answers.running();
-    log::info!("{} running requests are handed over", running.len());
-    let moves = running.into_iter().map(|it| hand_over_running(shared, it, wave));
-    stream::iter(moves).buffer_unordered(AT_ONCE).collect::<()>().await;
+    log::info!("handing over {} running requests", running.len());
+    let hand_overs = running.into_iter().map(|it| hand_over_running(shared, it, wave));
+    stream::iter(hand_overs).buffer_unordered(MAX_CONCURRENT_HAND_OVERS).collect::<()>().await;
     let ended = shared.answers.kept_with_key();
     let copies = ended.into_iter().map(|it| hand_over_ended(shared, it, deadline, wave));
-    stream::iter(copies).buffer_unordered(AT_ONCE).collect::<()>().await;
+    stream::iter(copies).buffer_unordered(MAX_CONCURRENT_HAND_OVERS).collect::<()>().await;
 }
 
 async fn hand_over_running(shared: &Arc<Shared>, known: Known, wave: &[String]) {
     if !record_of(shared, &known).may_resume() {
-        // A call that was sent and may not be repeated ends here or nowhere.
+        // A dispatched call that must not be repeated can only finish on this VM.
         return;
     }
-    let taken = shared.timer.timeout(RIGHT_LIMIT, known.answer.take_right()).await;
+    let taken = shared.timer.timeout(RIGHT_TIMEOUT, known.answer.take_right()).await;
     if taken != Some(true) {
         return;
     }
-    // Only now is the record what it will stay: nothing here changes it any more.
+    // Build the record only now: while this task holds the right, nothing else on this VM changes it.
     let record = record_of(shared, &known);
     let execution = match record.state {
-        // Nothing was sent yet, or the engine knows the request by its id: never a second run of its
-        // own, but two VMs that both send it would race. So the stricter rule holds for what is billed.
+        // The request was not dispatched yet, or the engine deduplicates it by its id. It never runs twice on one
+        // engine, but two VMs that both dispatch it would race, so the execution rule of the request applies.
         RecordState::Waiting | RecordState::Dispatched { .. } => known.request.execution,
         RecordState::Complete | RecordState::MayHaveRun => Execution::Idempotent,
     };
-    match send(shared, record, execution, wave).await {
-        HandOverAction::Done { by } => follow_to(shared, &known, &by).await,
+    match send_to_candidates(shared, record, execution, wave).await {
+        HandOverAction::Done { by } => follow_new_owner(shared, &known, &by).await,
         HandOverAction::Keep => {
             known.answer.regain_right();
-            go_on(shared, &known, None);
+            resume_request(shared, &known, None);
         }
         HandOverAction::MayHaveRun | HandOverAction::Send { .. } => {
             let refusal = Refusal::new(RefusalKind::BackendFailed, Outcome::MayHaveRun);
@@ -97,11 +99,11 @@
         return;
     }
     let record = record_of(shared, &known);
-    send(shared, record, Execution::Idempotent, wave).await;
+    send_to_candidates(shared, record, Execution::Idempotent, wave).await;
 }
 
-/// Sends a record as its core says, and returns how that ended.
-async fn send(
+/// Sends a record to candidates as `HandOverSender` directs and returns its final action.
+async fn send_to_candidates(
     shared: &Arc<Shared>,
     record: AnswerRecord,
     execution: Execution,
@@ -128,11 +130,11 @@
         return SendOutcome::NotSent;
     };
     let sender = shared.settings.name.clone();
-    let order = HandOver { sender, id, record };
-    let limit = shared.settings.pacing.peer().min(SEND_LIMIT);
+    let hand_over = HandOver { sender, id, record };
+    let limit = shared.settings.pacing.peer().min(SEND_TIMEOUT);
     let call = shared
         .callers
-        .call(address, limit, |client, cx| async move { client.hand_over(cx, order).await });
+        .call(address, limit, |client, cx| async move { client.hand_over(cx, hand_over).await });
     match call.await {
         Ok(ReceiverVerdict::Take | ReceiverVerdict::TakenBefore) => SendOutcome::Taken,
         Ok(ReceiverVerdict::Refuse) => SendOutcome::Refused,
@@ -141,11 +143,11 @@
     }
 }
 
-const SEND_LIMIT: Duration = Duration::from_millis(250);
+const SEND_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Callers that are connected here read on from the new place for as long as this VM lives.
-async fn follow_to(shared: &Arc<Shared>, known: &Known, by: &EntryVmName) {
-    log::debug!("request={} is at {by} now", known.request.id);
+/// Relays the answer from its new VM to callers that are still connected here, for as long as this VM runs.
+async fn follow_new_owner(shared: &Arc<Shared>, known: &Known, by: &EntryVmName) {
+    log::debug!("request={} was handed over to {by}", known.request.id);
     let id = known.request.id;
     let answer = Arc::clone(&known.answer);
     shared.answers.moved(id);
@@ -156,22 +158,22 @@
     }
 }
 
-/// Goes on with a request that was sent to a server.
+/// Resumes a request that was already dispatched to a server.
 ///
-/// Failure: this VM doesn't know that server. Symptom: a billed run would be started a second time at
-/// another one. Only the server itself can go on with the same run, so the truth is told instead.
-fn go_on_at(shared: &Arc<Shared>, known: &Known, server: &BackendServerName) {
+/// Only that server can resume the same run. If this VM doesn't know the server, a non-idempotent request is
+/// refused as "may have run", because dispatching it to another server would start a billed run a second time.
+fn resume_dispatched(shared: &Arc<Shared>, known: &Known, server: &BackendServerName) {
     let index = shared.router().find(server);
     if index.is_some() || known.request.execution == Execution::Idempotent {
-        return go_on(shared, known, index);
+        return resume_request(shared, known, index);
     }
     let refusal = Refusal::new(RefusalKind::BackendFailed, Outcome::MayHaveRun);
     known.answer.end(End::Refused(refusal.with_request(known.request.id)));
     shared.answers.ended(known.request.id);
 }
 
-/// Goes on with a request here.
-fn go_on(shared: &Arc<Shared>, known: &Known, resume_on: Option<ServerIndex>) {
+/// Spawns the task that serves a request on this VM.
+fn resume_request(shared: &Arc<Shared>, known: &Known, resume_on: Option<ServerIndex>) {
     let accepted = Accepted {
         place: shared.admission.taken_over(&known.request),
         request: Arc::clone(&known.request),
@@ -214,14 +216,18 @@
     })
 }
 
-/// Takes a record that another VM handed over.
-pub(crate) fn take(shared: &Arc<Shared>, record: AnswerRecord) {
+/// Accepts a record that another VM handed over and resumes its request.
+pub(crate) fn accept_record(shared: &Arc<Shared>, record: AnswerRecord) {
     let view = shared.view();
     let now = shared.timer.now();
     let arrived = TimePoint(now.as_micros().saturating_sub(record.age_ms * 1_000));
     let promise = view.inventory.class.get(&record.class).map(|it| it.promise);
     let Some(promise) = promise else {
-        log::error!("request={}: class {} is unknown here", record.id, record.class);
+        log::error!(
+            "request={}: class {} is not in the inventory of this VM",
+            record.id,
+            record.class
+        );
         return;
     };
     let request = Arc::new(Identified {
@@ -242,10 +248,10 @@
     shared.answers.insert(known.clone());
     let answer = &known.answer;
     match record.state {
-        RecordState::Waiting => go_on(shared, &known, None),
+        RecordState::Waiting => resume_request(shared, &known, None),
         RecordState::Dispatched { server } => {
             answer.set_server(&server);
-            go_on_at(shared, &known, &server);
+            resume_dispatched(shared, &known, &server);
         }
         RecordState::Complete => {
             if record.status != 0 {
--- a/crates/quincevalve_entry/src/observe.rs
+++ b/crates/quincevalve_entry/src/observe.rs
@@ -1,4 +1,4 @@
-//! What an entry VM learns by asking: load reports, cache events, notices, the VM list.
+//! Tasks that poll engines and the platform: load reports, cache events, reclaim notices and the VM list.
 
 use std::{collections::HashMap, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -17,13 +17,14 @@
     view::{View, target_of},
 };
 
-const NOTICE_WAIT: Duration = Duration::from_secs(10);
-const EXPIRE_PERIOD: Duration = Duration::from_millis(20);
+const NOTICE_POLL_TIMEOUT: Duration = Duration::from_secs(10);
+const EXPIRE_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Keeps capacities in step with the servers that take work, and ends waits that have become hopeless.
-pub(crate) async fn watch_capacity(shared: Arc<Shared>) {
-    let mut ticks = shared.timer.every(EXPIRE_PERIOD);
-    let mut gauges = shared.timer.every(GAUGE_PERIOD);
+/// Periodically recomputes the admission capacities from the available servers and expires queued requests that can no
+/// longer be served in time.
+pub(crate) async fn maintain_capacities(shared: Arc<Shared>) {
+    let mut ticks = shared.timer.every(EXPIRE_INTERVAL);
+    let mut gauges = shared.timer.every(GAUGE_INTERVAL);
     loop {
         tokio::select! {
             Some(now) = ticks.tick() => {
@@ -39,10 +40,10 @@
     }
 }
 
-const GAUGE_PERIOD: Duration = Duration::from_secs(10);
+const GAUGE_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Each target's places on this VM: its slots in the data centre, with a little queued at the servers
-/// so that a freed slot is filled at once.
+/// Sets each target's admission capacity on this VM: its share of 1.5 times the available slots in the data centre.
+/// The extra half is queued at the servers, so that a freed slot is filled at once.
 pub(crate) fn set_capacities(shared: &Shared, view: &View) {
     let now = shared.timer.now();
     let mut targets: Vec<Target> = Vec::new();
@@ -54,9 +55,9 @@
     }
     let own = Demand { requests: shared.admission.demand() };
     let peers = shared.peers();
-    let near = peers.near(&shared.settings.data_centre);
-    let near: Vec<_> = near.map(|it| Demand { requests: it.demand }).collect();
-    shared.router().set_routers(near.len() as u32 + 1);
+    let local_peers = peers.in_data_centre(&shared.settings.data_centre);
+    let local_peers: Vec<_> = local_peers.map(|it| Demand { requests: it.demand }).collect();
+    shared.router().set_routers(local_peers.len() as u32 + 1);
     for target in targets {
         let local = shared.router().available_slots(now, &target, &shared.settings.data_centre);
         let all: u32 = {
@@ -67,30 +68,30 @@
                 .map(|it| router.available_slots(now, &target, it))
                 .sum()
         };
-        // A data centre without such servers lives on the others' spare places.
+        // A data centre without servers for the target uses half of the slots of the other data centres.
         let slots = if local > 0 { local } else { all / 2 };
-        let share = own_share(slots + slots / 2, own, &near);
+        let share = own_share(slots + slots / 2, own, &local_peers);
         shared.admission.set_capacity(&target, share);
     }
 }
 
-/// Engines that are asked in one period, in turn. What a VM spends on asking so doesn't grow with the
-/// data centre; where it has more engines, their reports get older, which routing allows for.
-const ASKED_IN_A_PERIOD: usize = 8;
+/// Maximum number of engines polled in one period, in round-robin order. The cost of polling doesn't grow with the
+/// data centre; with more engines, load reports get older, which routing allows for.
+const MAX_POLLS_PER_PERIOD: usize = 8;
 
-/// Asks engines of the data centre for their load and cache events.
-pub(crate) async fn watch_loads(shared: Arc<Shared>) {
+/// Polls the engines of the data centre for their load and cache events.
+pub(crate) async fn poll_loads(shared: Arc<Shared>) {
     let mut ticks = shared.timer.every(shared.settings.pacing.report());
     let mut after: HashMap<BackendServerName, u64> = HashMap::new();
-    let mut turn = 0;
+    let mut next_engine = 0;
     while ticks.tick().await.is_some() {
         let view = shared.view();
         let engines = local_engines(&shared, &view);
-        for _ in 0..ASKED_IN_A_PERIOD.min(engines.len()) {
-            let (name, address) = &engines[turn % engines.len()];
-            turn = turn.wrapping_add(1);
+        for _ in 0..MAX_POLLS_PER_PERIOD.min(engines.len()) {
+            let (name, address) = &engines[next_engine % engines.len()];
+            next_engine = next_engine.wrapping_add(1);
             let after = after.entry(name.clone()).or_default();
-            ask_engine(&shared, name, *address, after).await;
+            poll_engine(&shared, name, *address, after).await;
         }
     }
 }
@@ -102,7 +103,7 @@
     engines.map(|(name, server)| (name.clone(), server.address)).collect()
 }
 
-async fn ask_engine(
+async fn poll_engine(
     shared: &Shared,
     name: &BackendServerName,
     address: SocketAddr,
@@ -111,7 +112,7 @@
     let limit = shared.settings.pacing.probe();
     let Some(index) = shared.router().find(name) else { return };
     let Ok(load) = shared.engines.load(address, limit).await else { return };
-    take_load(shared, index, load);
+    apply_load(shared, index, load);
     let Ok(events) = shared.engines.cache_events(address, *after, limit).await else { return };
     let mut router = shared.router();
     for event in events {
@@ -120,7 +121,7 @@
     }
 }
 
-fn take_load(shared: &Shared, index: quincevalve_routing::ServerIndex, load: EngineLoad) {
+fn apply_load(shared: &Shared, index: quincevalve_routing::ServerIndex, load: EngineLoad) {
     let mut router = shared.router();
     let at = shared.timer.now();
     if load.leaving {
@@ -134,18 +135,19 @@
     );
 }
 
-/// Waits for the cloud's notices. Calls `on_own` when this VM itself is taken back.
-pub(crate) async fn watch_notices<F>(shared: Arc<Shared>, cloud: CloudClient, mut on_own: F)
+/// Polls the cloud for reclaim notices. Calls `on_own_reclaim` with the time left and the VMs of the wave when this VM
+/// itself is reclaimed.
+pub(crate) async fn poll_notices<F>(shared: Arc<Shared>, cloud: CloudClient, mut on_own_reclaim: F)
 where
     F: FnMut(Duration, Vec<String>) + Send,
 {
     let mut after = 0;
     loop {
-        match cloud.notices(after, NOTICE_WAIT).await {
+        match cloud.notices(after, NOTICE_POLL_TIMEOUT).await {
             Ok(notices) => {
                 for notice in notices {
                     after = notice.number.max(after);
-                    take_notice(&shared, &notice, &mut on_own);
+                    apply_notice(&shared, &notice, &mut on_own_reclaim);
                 }
             }
             Err(error) => {
@@ -156,7 +158,7 @@
     }
 }
 
-fn take_notice<F>(shared: &Shared, notice: &Notice, on_own: &mut F)
+fn apply_notice<F>(shared: &Shared, notice: &Notice, on_own_reclaim: &mut F)
 where
     F: FnMut(Duration, Vec<String>),
 {
@@ -171,14 +173,14 @@
         }
     }
     if notice.vms.iter().any(|it| it == shared.settings.name.as_str()) {
-        on_own(left, notice.vms.clone());
+        on_own_reclaim(left, notice.vms.clone());
     }
 }
 
-/// Reads the platform's list now and then. It lags: it can show that a server leaves, and only a
-/// higher incarnation in it can show that a leaving one is back.
-pub(crate) async fn watch_list(shared: Arc<Shared>, cloud: CloudClient) {
-    let mut ticks = shared.timer.every(LIST_PERIOD);
+/// Periodically reads the platform's VM list. The list lags behind: it can show that a server is leaving, but only a
+/// higher incarnation in it proves that a leaving server is live again.
+pub(crate) async fn poll_vm_list(shared: Arc<Shared>, cloud: CloudClient) {
+    let mut ticks = shared.timer.every(LIST_INTERVAL);
     while ticks.tick().await.is_some() {
         let Ok(list) = cloud.list().await else { continue };
         let mut router = shared.router();
@@ -194,9 +196,9 @@
     }
 }
 
-const LIST_PERIOD: Duration = Duration::from_secs(10);
+const LIST_INTERVAL: Duration = Duration::from_secs(10);
 
-/// The client of the cloud API that the settings name.
+/// Creates a client of the cloud API at the platform address of the settings.
 pub(crate) fn cloud_client(shared: &Shared) -> CloudClient {
     let http = HttpClient::new(Some(shared.settings.listen.ip()), shared.settings.pacing.connect());
     CloudClient::new(http, shared.settings.platform, shared.settings.pacing.platform())
--- a/crates/quincevalve_entry/src/peer_service.rs
+++ b/crates/quincevalve_entry/src/peer_service.rs
@@ -1,4 +1,4 @@
-//! What this entry VM does for its peers.
+//! The RPC service that an entry VM offers to its peers.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,8 +15,8 @@
     shared::Shared,
 };
 
-/// Tokens in one page at most.
-const PAGE_TOKENS: usize = 4_096;
+/// Maximum number of tokens in one page.
+const MAX_PAGE_TOKENS: usize = 4_096;
 
 #[derive(Clone)]
 pub(crate) struct PeerService {
@@ -32,7 +32,7 @@
         let HandOver { sender, id, record } = order;
         let verdict = self.shared.receiver().receive(&sender, id, record.id);
         if verdict == ReceiverVerdict::Take {
-            hand_over::take(&self.shared, record);
+            hand_over::accept_record(&self.shared, record);
         }
         verdict
     }
@@ -45,7 +45,8 @@
         wait_ms: u32,
     ) -> Option<AnswerPage> {
         if self.shared.answers.is_moved(id) {
-            // The log here only follows the VM that has the request; asking it would go in a circle.
+            // The local log only mirrors the VM that now owns the request. Answering from it could make two VMs follow
+            // each other.
             return None;
         }
         let known = self.shared.answers.find(id)?;
@@ -55,7 +56,7 @@
     }
 }
 
-/// Settles a claim in this VM's own slots.
+/// Settles a claim in a slot that this VM owns.
 pub(crate) async fn settle_claim(shared: &Shared, claim: Claim) -> Verdict {
     shared.claims.claim(claim).await.unwrap_or_else(|error| {
         log::error!("{error}");
@@ -63,12 +64,12 @@
     })
 }
 
-/// Waits for something after `from`, or the end.
+/// Waits until the answer has tokens after `from` or has ended, and returns that page.
 async fn next_page(known: &Known, from: u32) -> AnswerPage {
     std::future::poll_fn(|cx| {
         known.answer.poll_read(cx, |it| {
-            let has_news = it.end().is_some() || it.token_count() > from;
-            has_news.then(|| page_of(known, it, from))
+            let has_update = it.end().is_some() || it.token_count() > from;
+            has_update.then(|| page_of(known, it, from))
         })
     })
     .await
@@ -76,11 +77,11 @@
 
 fn page_of(known: &Known, state: &AnswerState, from: u32) -> AnswerPage {
     let head = state.head();
-    let texts = state.tokens_from(Sequence(from)).take(PAGE_TOKENS);
+    let texts = state.tokens_from(Sequence(from)).take(MAX_PAGE_TOKENS);
     let tokens: Vec<_> = texts.map(|it| it.1.to_owned()).collect();
-    let is_all = from as usize + tokens.len() >= state.token_count() as usize;
+    let is_last_page = from as usize + tokens.len() >= state.token_count() as usize;
     let end = match state.end() {
-        Some(End::Whole) if is_all => PageEnd::Whole,
+        Some(End::Whole) if is_last_page => PageEnd::Whole,
         Some(End::Refused(it)) if it.outcome == Outcome::NotRun => PageEnd::NotRun,
         Some(End::Refused(_)) => PageEnd::MayHaveRun,
         Some(End::Moved) => PageEnd::Moved,
--- a/crates/quincevalve_entry/src/peers.rs
+++ b/crates/quincevalve_entry/src/peers.rs
@@ -1,4 +1,4 @@
-//! The other entry VMs, as this one knows them.
+//! The other entry VMs known to this one.
 
 use std::net::SocketAddr;
 
@@ -7,7 +7,7 @@
     DataCentreName, EntryVmName, HomeTag, RequestId, hash_text, rendezvous_score,
 };
 
-/// One other entry VM.
+/// Another entry VM.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct PeerVm {
     pub(crate) name: EntryVmName,
@@ -18,14 +18,14 @@
     hash: u64,
 }
 
-/// All of the data centre, and a few of each other one.
+/// All entry VMs of the own data centre and a few contacts of each other data centre.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Peers {
     all: Vec<PeerVm>,
 }
 
 impl Peers {
-    /// Takes the state that the control process gives.
+    /// Builds the list from the members and summaries that the control process reports.
     pub(crate) fn new(own: &EntryVmName, members: &[Member], summaries: &[Summary]) -> Self {
         let near = members.iter().filter(|it| it.is_reachable()).map(|it| PeerVm {
             name: it.name.clone(),
@@ -58,18 +58,18 @@
         self.all.iter().find(|it| it.name == *name)
     }
 
-    /// Other entry VMs of the data centre that take work.
-    pub(crate) fn near<'a>(
+    /// Returns the other entry VMs of a data centre that accept work.
+    pub(crate) fn in_data_centre<'a>(
         &'a self,
         data_centre: &'a DataCentreName,
     ) -> impl Iterator<Item = &'a PeerVm> {
         self.all.iter().filter(move |it| it.takes_work && it.data_centre == *data_centre)
     }
 
-    /// The VM that keeps a slot of the ledger; `None` if that is this one.
+    /// Returns the VM that owns a slot of the ledger, or `None` if this VM owns it.
     ///
-    /// VMs that see different members choose different ones. That costs a conflict at the store and
-    /// nothing else, since the swap chain decides.
+    /// VMs with different member lists may choose different owners. That only costs a write conflict at the store,
+    /// because every write is a compare-and-swap.
     pub(crate) fn slot_owner(&self, slot: u32, own: &EntryVmName) -> Option<&PeerVm> {
         let key = hash_text(&format!("slot-{slot}"));
         let own_score = rendezvous_score(key, hash_text(own.as_str()));
@@ -78,18 +78,19 @@
         (rendezvous_score(key, best.hash) > own_score).then_some(best)
     }
 
-    /// Where a request can be, the likeliest first: where it was accepted, then rendezvous order.
-    pub(crate) fn places_of(&self, request: RequestId) -> Vec<&PeerVm> {
-        let mut places: Vec<_> = self.all.iter().collect();
-        places.sort_by_key(|it| {
+    /// Returns the VMs that may hold a request, the most likely first: the one that accepted it, then VMs that accept
+    /// work before others, each group in rendezvous order.
+    pub(crate) fn lookup_order(&self, request: RequestId) -> Vec<&PeerVm> {
+        let mut peers: Vec<_> = self.all.iter().collect();
+        peers.sort_by_key(|it| {
             let is_home = HomeTag::from(&it.name) == request.home();
             let score = rendezvous_score(request.hash64(), it.hash);
             std::cmp::Reverse((is_home, it.takes_work, score))
         });
-        places
+        peers
     }
 
-    /// Who can take a hand-over: VMs that take work and aren't taken back in the same wave.
+    /// Returns the VMs that can accept a hand-over: they accept work and aren't part of the same reclaim wave.
     pub(crate) fn candidates(&self, wave: &[String]) -> Vec<(EntryVmName, u64)> {
         let usable = self.all.iter().filter(|it| it.takes_work);
         usable
--- a/crates/quincevalve_entry/src/remote.rs
+++ b/crates/quincevalve_entry/src/remote.rs
@@ -1,4 +1,4 @@
-//! Answers that other entry VMs have: finding them, and following them here.
+//! Finds answers that other entry VMs hold and mirrors them into local logs.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -12,29 +12,29 @@
     shared::Shared,
 };
 
-/// How long one read waits at the other VM for something new.
-const PAGE_WAIT: Duration = Duration::from_secs(1);
-/// Searches before an answer counts as lost: a hand-over takes a moment to arrive.
-const SEARCHES: u32 = 10;
-const SEARCH_WAIT: Duration = Duration::from_millis(50);
-/// VMs that are asked at once.
-const ASKED_AT_ONCE: usize = 8;
+/// How long the other VM holds one read open while it has no new tokens.
+const PAGE_POLL_TIMEOUT: Duration = Duration::from_secs(1);
+/// Number of searches before an answer counts as lost. A request that is being handed over is briefly on no VM.
+const MAX_SEARCHES: u32 = 10;
+const SEARCH_INTERVAL: Duration = Duration::from_millis(50);
+/// Maximum number of VMs queried concurrently.
+const MAX_CONCURRENT_QUERIES: usize = 8;
 
-/// An answer at another VM.
-pub(crate) struct Found {
+/// An answer held by another VM: the address of that VM and the first page read.
+pub(crate) struct RemoteAnswer {
     pub(crate) address: SocketAddr,
     pub(crate) page: AnswerPage,
 }
 
-/// Looks for a request at the other entry VMs.
-pub(crate) async fn find(shared: &Shared, id: RequestId) -> Option<Found> {
+/// Searches the other entry VMs for a request.
+pub(crate) async fn find(shared: &Shared, id: RequestId) -> Option<RemoteAnswer> {
     let peers = shared.peers();
-    let places: Vec<_> = peers.places_of(id).into_iter().map(|it| it.address).collect();
-    for batch in places.chunks(ASKED_AT_ONCE) {
-        let mut asked: FuturesUnordered<_> =
-            batch.iter().map(|it| ask(shared, *it, id, 0, Duration::ZERO)).collect();
-        while let Some(found) = asked.next().await {
-            // A VM that handed the request on is passed over for the one that has it.
+    let addresses: Vec<_> = peers.lookup_order(id).into_iter().map(|it| it.address).collect();
+    for batch in addresses.chunks(MAX_CONCURRENT_QUERIES) {
+        let mut queries: FuturesUnordered<_> =
+            batch.iter().map(|it| read_page(shared, *it, id, 0, Duration::ZERO)).collect();
+        while let Some(found) = queries.next().await {
+            // Skip a VM that has handed the request over; another one holds it.
             if let Some(found) = found.filter(|it| it.page.end != PageEnd::Moved) {
                 return Some(found);
             }
@@ -43,35 +43,35 @@
     None
 }
 
-/// Looks for a request that must be somewhere, for as long as a hand-over may take.
-pub(crate) async fn find_patiently(shared: &Shared, id: RequestId) -> Option<Found> {
-    for _ in 0..SEARCHES {
+/// Searches for a request that must exist, repeatedly for as long as a hand-over may take.
+pub(crate) async fn find_with_retries(shared: &Shared, id: RequestId) -> Option<RemoteAnswer> {
+    for _ in 0..MAX_SEARCHES {
         if let Some(found) = find(shared, id).await {
             return Some(found);
         }
-        shared.timer.after(SEARCH_WAIT).await;
+        shared.timer.after(SEARCH_INTERVAL).await;
     }
     None
 }
 
-async fn ask(
+async fn read_page(
     shared: &Shared,
     address: SocketAddr,
     id: RequestId,
     from: u32,
     wait: Duration,
-) -> Option<Found> {
+) -> Option<RemoteAnswer> {
     let limit = wait + shared.settings.pacing.peer();
     let wait_ms = wait.as_millis() as u32;
     let call = shared.callers.call(address, limit, |client, cx| async move {
         client.read_answer(cx, id, from, wait_ms).await
     });
     let page = call.await.ok()??;
-    Some(Found { address, page })
+    Some(RemoteAnswer { address, page })
 }
 
-/// Follows an answer at another VM into a local log, wherever it moves, until it ends.
-pub(crate) async fn follow(shared: Arc<Shared>, answer: Arc<Answer>, found: Found) {
+/// Mirrors an answer from another VM into a local log until it ends, also across further hand-overs.
+pub(crate) async fn follow(shared: Arc<Shared>, answer: Arc<Answer>, found: RemoteAnswer) {
     let id = answer.id();
     let mut at = found.address;
     let mut page = Some(found.page);
@@ -84,14 +84,14 @@
             }
         }
         let from = answer.next().0;
-        page = match ask(&shared, at, id, from, PAGE_WAIT).await {
+        page = match read_page(&shared, at, id, from, PAGE_POLL_TIMEOUT).await {
             Some(next) if next.page.end != PageEnd::Moved => Some(next.page),
-            _ => match find_patiently(&shared, id).await {
+            _ => match find_with_retries(&shared, id).await {
                 Some(next) => {
                     at = next.address;
                     Some(next.page)
                 }
-                None => return answer.end(End::Refused(lost(id))),
+                None => return answer.end(End::Refused(lost_refusal(id))),
             },
         };
     }
@@ -105,9 +105,9 @@
         }
         return;
     }
-    // A search asks from the start; what is in the log already must not be added again.
-    let known = answer.next().0.saturating_sub(page.from) as usize;
-    answer.push_tokens(page.tokens.iter().skip(known).map(String::as_str));
+    // A search reads from the first token; skip the tokens that the log already has.
+    let stored = answer.next().0.saturating_sub(page.from) as usize;
+    answer.push_tokens(page.tokens.iter().skip(stored).map(String::as_str));
 }
 
 fn end_of(page: &AnswerPage, id: RequestId) -> Option<End> {
@@ -122,11 +122,12 @@
     }
 }
 
-fn lost(id: RequestId) -> Refusal {
+fn lost_refusal(id: RequestId) -> Refusal {
     Refusal::new(RefusalKind::NoSuchRequest, Outcome::MayHaveRun).with_request(id)
 }
 
-/// A local log of an answer that another VM has, if it belongs to the account.
+/// Starts mirroring an answer that another VM holds, if it belongs to the account. Returns the local log and the first
+/// page.
 pub(crate) async fn attach(
     shared: &Arc<Shared>,
     id: RequestId,
--- a/crates/quincevalve_entry/src/shared.rs
+++ b/crates/quincevalve_entry/src/shared.rs
@@ -1,4 +1,4 @@
-//! What all filters of one entry VM share.
+//! State shared by all filters and tasks of one entry VM.
 
 use std::sync::{
     Arc, Mutex, MutexGuard, PoisonError,
@@ -63,19 +63,19 @@
         self.view.borrow().clone()
     }
 
-    /// Whether this VM is being stopped or taken back.
+    /// Whether this VM is being stopped or reclaimed.
     pub(crate) fn is_leaving(&self) -> bool {
         self.leaving.load(Ordering::Relaxed)
     }
 
-    /// Shows the balancer that this VM goes, and takes no hand-overs any more. Requests are still
-    /// accepted until [`Shared::refuse`], since the balancer sends for a while.
+    /// Reports this VM as not ready to the load balancer and rejects further hand-overs. Requests are still accepted
+    /// until [`Shared::refuse`], because the load balancer keeps sending for a while.
     pub(crate) fn leave(&self) {
         self.leaving.store(true, Ordering::Relaxed);
         self.receiver().leave();
     }
 
-    /// Accepts nothing new any more.
+    /// Makes this VM refuse new requests.
     pub(crate) fn refuse(&self) {
         self.refusing.store(true, Ordering::Relaxed);
     }
@@ -92,7 +92,7 @@
         self.peers.borrow().clone()
     }
 
-    /// A hand-over id that this VM hasn't used.
+    /// Returns a hand-over id that this VM hasn't used.
     pub(crate) fn new_hand_over_id(&self) -> HandOverId {
         HandOverId(self.next_hand_over.fetch_add(1, Ordering::Relaxed))
     }
@@ -102,8 +102,8 @@
         RequestId::new(HomeTag::from(&self.settings.name), rng.random())
     }
 
-    /// Takes a view's servers into the router.
-    pub(crate) fn take_servers(&self, view: &View) {
+    /// Adds or updates a view's servers in the router.
+    pub(crate) fn upsert_servers(&self, view: &View) {
         let mut router = self.router();
         for spec in view.servers() {
             router.upsert(spec);
@@ -111,7 +111,7 @@
     }
 }
 
-/// Seeds a generator for what must differ between VMs and restarts.
-pub(crate) fn seeded(seed: u64) -> Pcg64Mcg {
+/// Creates a random number generator from a seed that must differ between VMs and restarts.
+pub(crate) fn seeded_rng(seed: u64) -> Pcg64Mcg {
     Pcg64Mcg::seed_from_u64(seed)
 }
--- a/crates/quincevalve_entry/src/start.rs
+++ b/crates/quincevalve_entry/src/start.rs
@@ -1,4 +1,4 @@
-//! One entry VM, started from its settings.
+//! Starts and stops one entry VM.
 
 use std::{
     net::SocketAddr,
@@ -27,18 +27,18 @@
 use crate::{
     answers::Answers,
     burn::Burn,
-    control_link::{self, Feeds, NO_REVISION},
+    control_link::{self, Feeds, INITIAL_REVISION},
     departures::Departures,
     filters::AdmissionDesk,
     front, hand_over, observe,
     peer_service::PeerService,
     peers::Peers,
     settings::EntrySettings,
-    shared::{Shared, seeded},
+    shared::{Shared, seeded_rng},
     view::View,
 };
 
-/// An entry VM that can't start.
+/// Error of starting an entry VM.
 #[derive(Debug, Snafu)]
 pub enum StartError {
     /// The inventory file can't be read.
@@ -46,39 +46,39 @@
     InventoryFile {
         /// The file.
         file: PathBuf,
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
-    /// The inventory can't be taken.
+    /// The inventory is invalid.
     #[snafu(display("{source}"))]
     Inventory {
-        /// Why.
+        /// The cause.
         source: ReadError,
     },
-    /// The address can't be listened on.
+    /// The VM can't listen on the address.
     #[snafu(display("listen = \"{address}\": {source}"))]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
-    /// Peers can't be let in.
+    /// The TLS settings for peers are unusable.
     #[snafu(display("{source}"))]
     PeerTls {
-        /// Why.
+        /// The cause.
         source: PeerTlsError,
     },
-    /// The address for peers can't be listened on.
+    /// The VM can't listen on the address for peers.
     #[snafu(display("peer_listen: {source}"))]
     Peers {
-        /// Why.
+        /// The cause.
         source: BindError,
     },
-    /// Metrics can't be started.
+    /// The metrics exporter can't be started.
     #[snafu(display("{source}"))]
     Metrics {
-        /// Why.
+        /// The cause.
         source: MetricsError,
     },
 }
@@ -94,16 +94,16 @@
 }
 
 impl EntryVm {
-    /// Starts on the current runtime, with the inventory that the settings name.
+    /// Starts on the current runtime with the inventory file named in the settings.
     pub async fn start(settings: EntrySettings) -> Result<Self, StartError> {
         let file = settings.inventory.clone();
         let text = std::fs::read_to_string(&file).context(InventoryFileSnafu { file: &file })?;
         let inventory = read_inventory(&file.display().to_string(), &text, Format::Toml)
             .context(InventorySnafu)?;
-        Self::start_with(settings, View::new(NO_REVISION, inventory)).await
+        Self::start_with(settings, View::new(INITIAL_REVISION, inventory)).await
     }
 
-    /// Starts on the current runtime, with a view.
+    /// Starts on the current runtime with the given view.
     pub async fn start_with(settings: EntrySettings, view: View) -> Result<Self, StartError> {
         let listen = settings.listen;
         let listener = TcpListener::bind(listen).await.context(ListenSnafu { address: listen })?;
@@ -119,7 +119,7 @@
         let shared = new_shared(settings, view, peer_table, security.clone(), metrics);
         let shared = Arc::new(shared);
         let initial = shared.view();
-        shared.take_servers(&initial);
+        shared.upsert_servers(&initial);
         observe::set_capacities(&shared, &initial);
 
         let (stop, stopped) = watch::channel(false);
@@ -148,47 +148,47 @@
         let Some(address) = settings.control else { return };
         let local = Some(settings.peer_listen.ip());
         let callers = PeerClients::new(security.clone(), local, settings.pacing.connect());
-        tokio::spawn(control_link::report(Arc::clone(shared), address, callers.clone()));
+        tokio::spawn(control_link::report_status(Arc::clone(shared), address, callers.clone()));
         let timer = shared.timer.clone();
-        tokio::spawn(control_link::follow(settings, address, callers, timer, feeds));
+        tokio::spawn(control_link::poll_updates(settings, address, callers, timer, feeds));
     }
 
     fn start_observers(&self) {
         let shared = &self.shared;
-        tokio::spawn(observe::watch_capacity(Arc::clone(shared)));
-        tokio::spawn(observe::watch_loads(Arc::clone(shared)));
-        tokio::spawn(observe::watch_list(Arc::clone(shared), observe::cloud_client(shared)));
+        tokio::spawn(observe::maintain_capacities(Arc::clone(shared)));
+        tokio::spawn(observe::poll_loads(Arc::clone(shared)));
+        tokio::spawn(observe::poll_vm_list(Arc::clone(shared), observe::cloud_client(shared)));
         let own = Arc::clone(shared);
-        let on_own = move |left: Duration, wave: Vec<String>| {
-            log::info!("{} is taken back in {left:?}", own.settings.name);
+        let on_own_reclaim = move |left: Duration, wave: Vec<String>| {
+            log::info!("{} is reclaimed in {left:?}", own.settings.name);
             tokio::spawn(hand_over::leave(Arc::clone(&own), left, wave));
         };
         let cloud = observe::cloud_client(shared);
-        tokio::spawn(observe::watch_notices(Arc::clone(shared), cloud, on_own));
+        tokio::spawn(observe::poll_notices(Arc::clone(shared), cloud, on_own_reclaim));
     }
 
-    /// Where callers reach it.
+    /// Returns the address that callers connect to.
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Where operators' tools read counts.
+    /// Returns the address of the status endpoint, if it is enabled.
     pub const fn status_address(&self) -> Option<SocketAddr> {
         self.status_address
     }
 
-    /// Where peers reach it.
+    /// Returns the address that other entry VMs connect to.
     pub const fn peer_address(&self) -> SocketAddr {
         self.peer_address
     }
 
-    /// A graceful shutdown: readiness drops, what runs is finished, what can't be finished in time is
-    /// handed over, then connections are closed.
+    /// Shuts down gracefully: reports not ready, finishes running requests, hands over those that can't finish in
+    /// time, then closes connections.
     pub async fn stop(self) {
         self.shared.leave();
         let pacing = self.shared.settings.pacing;
         let deadline = self.shared.timer.now() + pacing.drain();
-        // The balancer still sends until it has seen the readiness drop; those callers get an answer.
+        // The load balancer keeps sending requests until it has noticed that the VM is not ready; accept them.
         self.shared.timer.after(pacing.balancer()).await;
         self.shared.refuse();
         hand_over::wait_until_idle(&self.shared, deadline).await;
@@ -208,7 +208,7 @@
     let timer = Timer::start();
     let started = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     let nanos = started.map_or(0, |it| it.as_nanos() as u64);
-    // Two VMs, or two lives of one, must not draw the same request ids.
+    // Two VMs, or two runs of one VM, must not generate the same request ids.
     let seed = hash_text(settings.name.as_str()) ^ nanos;
     let http = HttpClient::new(Some(settings.listen.ip()), settings.pacing.connect());
     let store = HttpStore::new(http.clone(), settings.platform, settings.pacing.platform());
@@ -220,7 +220,7 @@
         claims,
         peers,
         receiver: Mutex::default(),
-        // Ids of two lives of a VM must differ, since receivers remember them.
+        // Hand-over ids must differ between restarts of a VM, because receivers remember them.
         next_hand_over: AtomicU64::new(nanos),
         refusing: AtomicBool::new(false),
         router: Mutex::new(Router::new(PredictedFirstToken, seed)),
@@ -231,7 +231,7 @@
         departures: Departures::default(),
         engines: EngineClient::new(http),
         burn: Burn::default(),
-        rng: Mutex::new(seeded(seed)),
+        rng: Mutex::new(seeded_rng(seed)),
         leaving: AtomicBool::new(false),
         metrics,
         timer,
