--- a/crates/quincevalve_entry/src/body.rs
+++ b/crates/quincevalve_entry/src/body.rs
@@ -9,7 +9,7 @@
 use http_body::{Body, Frame, SizeHint};
 use http_body_util::Full;
 
-use crate::reader::{AnswerBroken, AnswerReader};
+use crate::reader::{AnswerReader, AnswerTruncated};
 
 /// An enum and not a boxed trait object: the request path has no `dyn`.
 pub(crate) enum EntryBody {
@@ -27,12 +27,12 @@
 
 impl Body for EntryBody {
     type Data = Bytes;
-    type Error = AnswerBroken;
+    type Error = AnswerTruncated;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, AnswerBroken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, AnswerTruncated>>> {
         match self.get_mut() {
             Self::Full(full) => Pin::new(full).poll_frame(cx).map_err(|it| match it {}),
             Self::Answer(reader) => reader.poll_bytes(cx).map_ok(Frame::data),
--- a/crates/quincevalve_entry/src/burn.rs
+++ b/crates/quincevalve_entry/src/burn.rs
@@ -1,4 +1,4 @@
-//! Counts for the report on service-level burn: good and bad events per account and class, by minute.
+//! Counters for the SLO burn report: good and bad requests per account and class, by minute.
 
 use std::{
     collections::VecDeque,
@@ -10,49 +10,49 @@
 use quincevalve_names::{ClassName, ClientAccountName, RequestId, TimePoint};
 use serde::{Deserialize, Serialize};
 
-const BUCKET: Duration = Duration::from_secs(60);
-/// Six hours of minutes: the longest window of the report.
-const BUCKETS: usize = 360;
-/// Bad requests kept by name for each row.
-const EXAMPLES: usize = 8;
+const BUCKET_WIDTH: Duration = Duration::from_secs(60);
+/// Maximum number of buckets of a row: six hours, the longest window of the report.
+const MAX_BUCKETS: usize = 360;
+/// Maximum number of bad request ids kept for each row.
+const MAX_EXAMPLES: usize = 8;
 
-/// One minute of one row.
+/// Requests of one row in one minute.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BurnBucket {
     /// Minutes since the VM's start.
     pub minute: u64,
-    /// Requests that kept the promise.
+    /// Requests that met the promise of their class.
     pub good: u64,
-    /// Requests that did not: late, refused, or without a whole answer.
+    /// Requests that did not: late, refused, or without a complete answer.
     pub bad: u64,
 }
 
-/// One account's requests of one class.
+/// Counts of one account's requests of one class.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BurnRow {
-    /// The account.
+    /// Account of the requests.
     pub account: ClientAccountName,
-    /// The class.
+    /// Class of the requests.
     pub class: ClassName,
-    /// Minutes, oldest first.
+    /// One bucket for each minute with requests, oldest first.
     pub buckets: VecDeque<BurnBucket>,
-    /// The newest bad requests.
+    /// Ids of the newest bad requests, oldest first.
     pub examples: VecDeque<RequestId>,
 }
 
-/// What one entry VM exposes under `/internal/burn`.
+/// The response of an entry VM to `/internal/burn`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BurnReport {
     /// Minutes since the VM's start.
     pub minute: u64,
-    /// All rows.
+    /// One row for each account and class.
     pub rows: Vec<BurnRow>,
 }
 
-/// The counters.
+/// Burn counters of one entry VM.
 #[derive(Debug, Default)]
 pub(crate) struct Burn {
     rows: Mutex<IndexMap<(ClientAccountName, ClassName), BurnRow>>,
@@ -88,7 +88,7 @@
         if self.buckets.back().is_none_or(|it| it.minute != minute) {
             self.buckets.push_back(BurnBucket { minute, good: 0, bad: 0 });
         }
-        if self.buckets.len() > BUCKETS {
+        if self.buckets.len() > MAX_BUCKETS {
             self.buckets.pop_front();
         }
         let Some(bucket) = self.buckets.back_mut() else { return };
@@ -98,12 +98,12 @@
         }
         bucket.bad += 1;
         self.examples.push_back(request);
-        if self.examples.len() > EXAMPLES {
+        if self.examples.len() > MAX_EXAMPLES {
             self.examples.pop_front();
         }
     }
 }
 
 fn minute_of(now: TimePoint) -> u64 {
-    now.as_micros() / BUCKET.as_micros() as u64
+    now.as_micros() / BUCKET_WIDTH.as_micros() as u64
 }
--- a/crates/quincevalve_entry/src/departures.rs
+++ b/crates/quincevalve_entry/src/departures.rs
@@ -1,11 +1,11 @@
-//! Which VMs are being taken back, and when they go.
+//! Announced reclaims of VMs and the times at which the VMs disappear.
 
 use std::{collections::HashMap, sync::Arc};
 
 use quincevalve_names::TimePoint;
 use tokio::sync::watch;
 
-/// Announced departures by VM name; clones share one state.
+/// Announced departure times by VM name. Clones share one state.
 #[derive(Clone, Debug)]
 pub(crate) struct Departures {
     sender: watch::Sender<Arc<HashMap<String, TimePoint>>>,
@@ -18,30 +18,30 @@
 }
 
 impl Departures {
-    /// Notes that VMs go at a time. The earliest time stands.
+    /// Records that VMs disappear at `gone_at`. The earliest announced time of a VM is kept.
     pub(crate) fn announce(&self, vms: &[String], gone_at: TimePoint) {
         self.sender.send_modify(|table| {
             let table = Arc::make_mut(table);
             for vm in vms {
-                let at = table.entry(vm.clone()).or_insert(gone_at);
-                *at = gone_at.min(*at);
+                let departure = table.entry(vm.clone()).or_insert(gone_at);
+                *departure = gone_at.min(*departure);
             }
         });
     }
 
-    /// When a VM goes, if that was announced.
+    /// Returns the time at which a VM disappears, if announced.
     pub(crate) fn gone_at(&self, vm: &str) -> Option<TimePoint> {
         self.sender.borrow().get(vm).copied()
     }
 
-    /// Waits until a VM's departure is announced.
+    /// Waits until a VM's departure is announced and returns its time.
     pub(crate) async fn announced(&self, vm: &str) -> TimePoint {
-        let mut receiver = self.sender.subscribe();
+        let mut updates = self.sender.subscribe();
         loop {
-            if let Some(at) = receiver.borrow_and_update().get(vm).copied() {
-                return at;
+            if let Some(departure) = updates.borrow_and_update().get(vm).copied() {
+                return departure;
             }
-            if receiver.changed().await.is_err() {
+            if updates.changed().await.is_err() {
                 return std::future::pending().await;
             }
         }
--- a/crates/quincevalve_entry/src/filters/settle.rs
+++ b/crates/quincevalve_entry/src/filters/settle.rs
@@ -3,7 +3,7 @@
 use quincevalve_inventory::Promise;
 use quincevalve_names::TimePoint;
 
-use crate::{answer::End, reader::is_whole, request::Identified, shared::Shared};
+use crate::{answer::End, reader::is_complete, request::Identified, shared::Shared};
 
 /// Notes how a request ended.
 pub(crate) fn settle(
@@ -19,7 +19,7 @@
         // The VM that has the request now counts its end.
         return;
     }
-    let good = is_whole(end) && kept_promise(request, now, first_token_at);
+    let good = is_complete(end) && kept_promise(request, now, first_token_at);
     shared.burn.count(now, &request.account, &request.class, request.id, good);
     let outcome = match end {
         End::Whole => "whole",
--- a/crates/quincevalve_entry/src/lib.rs
+++ b/crates/quincevalve_entry/src/lib.rs
@@ -1,8 +1,8 @@
-//! The request path: HTTP in, HTTP out.
+//! The HTTP request path of an entry VM.
 //!
-//! A request passes the filters identify → admit → claim, then a task of its own runs
-//! route → dispatch → relay until the answer is whole or the truth about it is known, and settles it.
-//! The caller reads the answer from a log, so that losing the connection loses nothing.
+//! A request passes the filters identify → admit → claim. Then a separate task runs route → dispatch → relay until the
+//! answer is complete or its outcome is known, and settles the request. The caller reads the answer from a log, so
+//! nothing is lost when its connection breaks.
 
 mod answer;
 mod answers;
--- a/crates/quincevalve_entry/src/reader.rs
+++ b/crates/quincevalve_entry/src/reader.rs
@@ -1,4 +1,4 @@
-//! A caller's position in an answer.
+//! Reads an answer's log for one caller.
 
 use std::{
     sync::Arc,
@@ -15,30 +15,30 @@
     openai::{ChunkWriter, StreamShape},
 };
 
-/// What a reader makes of the log.
+/// How a reader encodes the log.
 #[derive(Debug)]
-pub(crate) enum Form {
+pub(crate) enum Encoding {
     /// Server-sent events of an OpenAI stream.
     Events(ChunkWriter),
-    /// A plain service's bytes as they came.
+    /// The bytes of a plain service, unchanged.
     Bytes,
 }
 
-/// The answer broke off after a part of it was sent.
+/// The answer ended early, after a part of it had been sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
-#[snafu(display("the answer broke off"))]
-pub(crate) struct AnswerBroken;
+#[snafu(display("the answer was truncated"))]
+pub(crate) struct AnswerTruncated;
 
-/// Reads an answer from a position on and follows it to its end.
+/// Reads an answer from a start position until it ends.
 #[derive(Debug)]
 pub(crate) struct AnswerReader {
     answer: Arc<Answer>,
     timer: Timer,
-    next: Sequence,
-    chunk: usize,
-    form: Form,
+    next_token: Sequence,
+    next_chunk: usize,
+    encoding: Encoding,
     done: bool,
-    broken: Option<AnswerBroken>,
+    truncated: Option<AnswerTruncated>,
 }
 
 impl AnswerReader {
@@ -48,42 +48,42 @@
         from: Sequence,
         shape: StreamShape,
     ) -> Self {
-        let form = Form::Events(ChunkWriter::new(answer.id(), shape));
-        Self::new(answer, timer, from, form)
+        let encoding = Encoding::Events(ChunkWriter::new(answer.id(), shape));
+        Self::new(answer, timer, from, encoding)
     }
 
     pub(crate) fn bytes(answer: Arc<Answer>, timer: Timer) -> Self {
-        Self::new(answer, timer, Sequence(0), Form::Bytes)
+        Self::new(answer, timer, Sequence(0), Encoding::Bytes)
     }
 
-    fn new(answer: Arc<Answer>, timer: Timer, next: Sequence, form: Form) -> Self {
+    fn new(answer: Arc<Answer>, timer: Timer, next_token: Sequence, encoding: Encoding) -> Self {
         answer.add_reader();
-        Self { answer, timer, next, chunk: 0, form, done: false, broken: None }
+        Self { answer, timer, next_token, next_chunk: 0, encoding, done: false, truncated: None }
     }
 
-    /// The bytes that came since the last call; several tokens that came together leave together.
+    /// Returns the bytes added since the last call. Tokens that arrived together are returned together.
     pub(crate) fn poll_bytes(
         &mut self,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Bytes, AnswerBroken>>> {
+    ) -> Poll<Option<Result<Bytes, AnswerTruncated>>> {
         if self.done {
-            return Poll::Ready(self.broken.take().map(Err));
+            return Poll::Ready(self.truncated.take().map(Err));
         }
         let answer = Arc::clone(&self.answer);
-        let bytes = std::task::ready!(answer.poll_read(cx, |state| self.take(state)));
+        let bytes = std::task::ready!(answer.poll_read(cx, |state| self.read_new(state)));
         if bytes.is_empty() {
-            return Poll::Ready(self.broken.take().map(Err));
+            return Poll::Ready(self.truncated.take().map(Err));
         }
         Poll::Ready(Some(Ok(bytes)))
     }
 
-    /// `None` to wait; empty at the end.
-    fn take(&mut self, state: &AnswerState) -> Option<Bytes> {
-        let bytes = match &mut self.form {
-            Form::Events(writer) => {
-                for (seq, text) in state.tokens_from(self.next) {
+    /// Encodes what was added to the log: `None` if there is nothing yet, empty bytes at the end.
+    fn read_new(&mut self, state: &AnswerState) -> Option<Bytes> {
+        let bytes = match &mut self.encoding {
+            Encoding::Events(writer) => {
+                for (seq, text) in state.tokens_from(self.next_token) {
                     writer.token(seq, text);
-                    self.next = seq.next();
+                    self.next_token = seq.next();
                 }
                 if let Some(end) = state.end() {
                     self.done = true;
@@ -91,13 +91,14 @@
                 }
                 writer.take()
             }
-            Form::Bytes => {
-                let new = state.chunks_from(self.chunk);
-                self.chunk += new.len();
+            Encoding::Bytes => {
+                let unread = state.chunks_from(self.next_chunk);
+                self.next_chunk += unread.len();
                 self.done = state.end().is_some();
-                // A service's bytes carry no end marker, so the connection itself must show the break.
-                self.broken = state.end().filter(|it| !is_whole(it)).map(|_| AnswerBroken);
-                new.concat().into()
+                // A service's bytes have no end marker, so only aborting the connection shows that the answer is
+                // truncated.
+                self.truncated = state.end().filter(|it| !is_complete(it)).map(|_| AnswerTruncated);
+                unread.concat().into()
             }
         };
         (!bytes.is_empty() || self.done).then_some(bytes)
@@ -110,7 +111,7 @@
     }
 }
 
-/// Whether an answer ended whole.
-pub(crate) fn is_whole(end: &End) -> bool {
+/// Returns whether an answer ended complete.
+pub(crate) fn is_complete(end: &End) -> bool {
     matches!(end, End::Whole)
 }
--- a/crates/quincevalve_entry/src/settings.rs
+++ b/crates/quincevalve_entry/src/settings.rs
@@ -14,61 +14,61 @@
 pub struct EntrySettings {
     /// This VM's name.
     pub name: EntryVmName,
-    /// Where it stands.
+    /// Data centre that this VM runs in.
     pub data_centre: DataCentreName,
-    /// Where callers reach it.
+    /// Address that callers connect to.
     pub listen: SocketAddr,
-    /// Where operators' tools read counts; without it they can't. Callers never reach it.
+    /// Address at which operators' tools read counters; disabled if absent. Not meant for callers.
     #[serde(default)]
     pub status_listen: Option<SocketAddr>,
-    /// Where other entry VMs reach it.
+    /// Address that other entry VMs connect to.
     pub peer_listen: SocketAddr,
-    /// The control process of the same VM; without it this VM knows no peers and no newer inventory.
+    /// Address of the control process of the same VM. Without it, this VM has no peers and keeps its initial inventory.
     #[serde(default)]
     pub control: Option<SocketAddr>,
-    /// How peers are let in and called; without it plain TCP, on loopback only.
+    /// TLS settings for connections from and to peers. Without them, peers use plain TCP, on loopback only.
     #[serde(default)]
     pub peer_tls: Option<PeerTls>,
-    /// The inventory to start from, until a newer revision comes.
+    /// Inventory file to start with, until a newer revision is received.
     pub inventory: PathBuf,
-    /// The platform's address.
+    /// Address of the platform's cloud API and store.
     pub platform: SocketAddr,
-    /// What callers may use.
+    /// Limits on what callers may use.
     #[serde(default)]
     pub limits: Limits,
-    /// The claims of non-idempotent requests.
+    /// Settings of the ledger of claims on non-idempotent requests.
     #[serde(default)]
     pub ledger: LedgerSettings,
-    /// Waits and periods.
+    /// Timeouts and intervals.
     #[serde(default)]
     pub pacing: Pacing,
-    /// Logs.
+    /// Log settings.
     #[serde(default)]
     pub log: LogSettings,
-    /// Metrics.
+    /// Metrics settings.
     #[serde(default)]
     pub metrics: MetricsSettings,
 }
 
-/// Limits on what callers send.
+/// Limits on connections, requests and kept answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Connections open at once.
+    /// Maximum number of open connections.
     pub connections: usize,
-    /// Bytes of a request's head.
+    /// Maximum size of a request's head, in bytes.
     pub header_bytes: usize,
-    /// Bytes of a request's body.
+    /// Maximum size of a request's body, in bytes.
     pub body_bytes: usize,
-    /// Milliseconds for a request's head to arrive.
+    /// Timeout for receiving a request's head, in milliseconds.
     pub header_ms: u64,
-    /// Milliseconds without a byte of the body.
+    /// Maximum time without a byte of a request's body, in milliseconds.
     pub body_progress_ms: u64,
-    /// Milliseconds in which a caller must take some of its answer.
+    /// Maximum time in which a caller reads nothing of its answer, in milliseconds.
     pub caller_progress_ms: u64,
-    /// Bytes of answers kept for re-attaching.
+    /// Maximum size of all answers kept for re-attaching, in bytes.
     pub kept_answer_bytes: usize,
-    /// Answers kept for re-attaching.
+    /// Maximum number of answers kept for re-attaching.
     pub kept_answers: usize,
 }
 
@@ -87,17 +87,17 @@
     }
 }
 
-/// The claims of non-idempotent requests. Every entry VM must have the same numbers.
+/// Settings of the ledger of claims on non-idempotent requests. They must be the same on all entry VMs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LedgerSettings {
-    /// Slots that claims are spread over; each is one key of the platform's store.
+    /// Number of slots that claims are distributed over. Each slot is one key of the platform's store.
     pub slots: u32,
-    /// Milliseconds between two writes of one slot.
+    /// Minimum interval between two writes of one slot, in milliseconds.
     pub pace_ms: u64,
-    /// Seconds for which a claim is kept. A key that is older counts as new.
+    /// Retention of a claim, in seconds. An idempotency key that is used again later counts as new.
     pub retention_s: u64,
-    /// Milliseconds until a claim that can't be settled is refused.
+    /// Timeout after which a claim that can't be settled is refused, in milliseconds.
     pub give_up_ms: u64,
 }
 
@@ -119,31 +119,31 @@
     }
 }
 
-/// Waits and periods, in milliseconds.
+/// Timeouts and intervals, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Pacing {
-    /// The longest wait for a connection to a backend server.
+    /// Timeout for connecting to a backend server.
     pub connect_ms: u64,
-    /// The longest wait for an engine to confirm that it took an order.
+    /// Timeout for an engine to confirm that it accepted a request.
     pub head_ms: u64,
-    /// The longest time without a byte from an engine before its first token.
+    /// Maximum time without a byte from an engine before its first token.
     pub first_token_progress_ms: u64,
-    /// The longest time without a byte from an engine after its first token.
+    /// Maximum time without a byte from an engine after its first token.
     pub token_progress_ms: u64,
-    /// The longest wait for an answer to a probe on a new connection.
+    /// Timeout for the response to a probe on a new connection.
     pub probe_ms: u64,
-    /// Between two load reports of one server.
+    /// Interval between two rounds of polling engines for load reports.
     pub report_ms: u64,
-    /// How long an answer that nobody reads goes on, so that its caller can re-attach.
+    /// How long a request without a reader keeps running, so that its caller can re-attach.
     pub reattach_ms: u64,
-    /// How long a stop waits for requests in flight.
+    /// Maximum time for which a stop waits for requests in flight.
     pub drain_ms: u64,
-    /// How long after a stop or notice the VM still accepts, until the balancer has seen it.
+    /// How long the VM keeps accepting requests after a stop or reclaim notice, until the load balancer has noticed it.
     pub balancer_ms: u64,
-    /// The longest wait for the platform's answer.
+    /// Timeout for a response of the platform.
     pub platform_ms: u64,
-    /// The longest wait for a peer's answer.
+    /// Timeout for a response of a peer.
     pub peer_ms: u64,
 }
 
--- a/crates/quincevalve_entry/src/stall_guard.rs
+++ b/crates/quincevalve_entry/src/stall_guard.rs
@@ -1,4 +1,4 @@
-//! Connections of callers that stop reading.
+//! Write timeout for connections of callers that stop reading.
 
 use std::{
     future::Future,
@@ -14,26 +14,25 @@
     net::TcpStream,
 };
 
-/// A connection whose writes fail once nothing could be written for a time.
+/// A connection whose writes fail when none of them makes progress for `timeout`.
 ///
-/// Failure: a caller is gone without a word, or something on the way forgot its connection. Symptom: the
-/// answer waits in full buffers for good, holds a connection's place, and counts as being read, so it is
-/// never given up. A write that moves nothing for the limit ends the connection; the answer is kept, and
-/// a caller that comes back reads on.
+/// A caller can disappear without closing its connection, or a device on the path can lose the connection's state.
+/// Without a timeout the answer would wait in full buffers forever, occupy a connection slot, and count as being read,
+/// so it would never be discarded. The answer itself is kept: a caller that reconnects can resume reading.
 pub(crate) struct StallGuard {
     stream: TcpStream,
     timer: Timer,
-    limit: Duration,
+    timeout: Duration,
     alarm: Option<Alarm>,
 }
 
 impl StallGuard {
-    pub(crate) const fn new(stream: TcpStream, timer: Timer, limit: Duration) -> Self {
-        Self { stream, timer, limit, alarm: None }
+    pub(crate) const fn new(stream: TcpStream, timer: Timer, timeout: Duration) -> Self {
+        Self { stream, timer, timeout, alarm: None }
     }
 
-    /// Passes a write's result on, and fails it once it has been pending for too long.
-    fn watch<T>(
+    /// Returns a write's result, or a timeout error if writes have been pending for too long.
+    fn poll_write_timeout<T>(
         &mut self,
         cx: &mut Context<'_>,
         written: Poll<io::Result<T>>,
@@ -42,7 +41,7 @@
             self.alarm = None;
             return written;
         }
-        let alarm = self.alarm.get_or_insert_with(|| self.timer.after(self.limit));
+        let alarm = self.alarm.get_or_insert_with(|| self.timer.after(self.timeout));
         match Pin::new(alarm).poll(cx) {
             Poll::Ready(()) => Poll::Ready(Err(io::ErrorKind::TimedOut.into())),
             Poll::Pending => Poll::Pending,
@@ -68,7 +67,7 @@
     ) -> Poll<io::Result<usize>> {
         let this = self.get_mut();
         let written = Pin::new(&mut this.stream).poll_write(cx, buf);
-        this.watch(cx, written)
+        this.poll_write_timeout(cx, written)
     }
 
     fn poll_write_vectored(
@@ -78,7 +77,7 @@
     ) -> Poll<io::Result<usize>> {
         let this = self.get_mut();
         let written = Pin::new(&mut this.stream).poll_write_vectored(cx, bufs);
-        this.watch(cx, written)
+        this.poll_write_timeout(cx, written)
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/crates/quincevalve_entry/src/view.rs
+++ b/crates/quincevalve_entry/src/view.rs
@@ -1,4 +1,4 @@
-//! The configuration in force, as one unchanging value.
+//! Immutable snapshot of the configuration in force.
 
 use std::collections::HashMap;
 
@@ -7,21 +7,21 @@
 use quincevalve_names::{BackendServerName, ClientAccountName, Revision};
 use quincevalve_routing::{ServerSpec, Target};
 
-/// A revision of the inventory, with what the filters look up in it.
+/// A revision of the inventory with the lookup tables that the filters need.
 ///
-/// Each request keeps the view that it was identified with, so that a change in the middle can't show it
-/// half of the old and half of the new.
+/// Each request keeps the view that it was identified with, so that a configuration change during the request can't
+/// show it a mix of old and new values.
 #[derive(Clone, Debug)]
 pub struct View {
-    /// The revision.
+    /// Revision of the inventory.
     pub revision: Revision,
-    /// The inventory.
+    /// The validated inventory.
     pub inventory: Inventory,
     keys: HashMap<KeyHash, ClientAccountName>,
 }
 
 impl View {
-    /// Prepares a checked inventory.
+    /// Creates a view of a validated inventory.
     pub fn new(revision: Revision, inventory: Inventory) -> Self {
         let accounts = inventory.account.iter();
         let keys = accounts
@@ -30,15 +30,15 @@
         Self { revision, inventory, keys }
     }
 
-    /// The account that a key belongs to.
+    /// Returns the account that an API key belongs to.
     pub(crate) fn account_of(&self, key: &str) -> Option<&ClientAccountName> {
         let hash = KeyHash::of(key);
-        // The table finds the row; the comparison that decides is in constant time.
+        // The hash table only finds the entry; the comparison that decides takes constant time.
         let (stored, account) = self.keys.get_key_value(&hash)?;
         stored.matches(&hash).then_some(account)
     }
 
-    /// Every backend server, as the router takes it.
+    /// Returns the routing specification of each backend server.
     pub(crate) fn servers(&self) -> impl Iterator<Item = ServerSpec> {
         self.inventory.backend_server.iter().map(|(name, server)| {
             let classes: &IndexMap<_, _> = &self.inventory.vm_class;
@@ -56,7 +56,7 @@
         })
     }
 
-    /// The address of a backend server.
+    /// Returns the address of a backend server.
     pub(crate) fn address(&self, name: &BackendServerName) -> Option<std::net::SocketAddr> {
         self.inventory.backend_server.get(name).map(|it| it.address)
     }
--- a/crates/quincevalve_entry/tests/refusals.rs
+++ b/crates/quincevalve_entry/tests/refusals.rs
@@ -1,7 +1,6 @@
-//! What callers are shown for requests that can't be taken, pinned: one fixture for each.
+//! Compares the responses to refused requests with fixtures, one for each case.
 //!
-//! Each case sends its bytes to a real entry VM. Nothing was dispatched, so each refusal has to say
-//! `not-run`.
+//! Each case sends its bytes to a real entry VM. Nothing is dispatched, so each refusal must say `not-run`.
 
 use std::{net::SocketAddr, path::Path, time::Duration};
 
@@ -15,21 +14,21 @@
     net::TcpStream,
 };
 
-/// Set it to write the expected answers anew; then read every change to them.
+/// Environment variable that makes the test rewrite the expected responses. Review every change to them.
 const UPDATE: &str = "UPDATE_FIXTURES";
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Case {
-    /// The request's head, without the blank line.
+    /// Head of the request, without the blank line.
     head: String,
-    /// The body.
+    /// Body of the request.
     #[serde(default)]
     body: String,
-    /// The body is repeated so often.
+    /// Number of times that the body is repeated.
     #[serde(default = "once")]
     repeat: usize,
-    /// The declared length, where it differs from what is sent: the rest never comes.
+    /// Declared content length, if it differs from the length sent: the rest never arrives.
     #[serde(default)]
     declared: Option<usize>,
 }
@@ -65,14 +64,14 @@
 body_progress_ms = 100
 "#;
 
-fn refused(path: &Path, text: String) -> datatest_stable::Result<()> {
+fn response_matches_fixture(path: &Path, text: String) -> datatest_stable::Result<()> {
     let case: Case = toml::from_str(&text)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let answer = runtime.block_on(async {
         let settings: EntrySettings = parse_settings(Path::new("entry.toml"), SETTINGS)?;
         let inventory = read_inventory("inventory.toml", INVENTORY, Format::Toml)?;
         let vm = EntryVm::start_with(settings, View::new(Revision(1), inventory)).await?;
-        ask(vm.address(), &case).await
+        send_request(vm.address(), &case).await
     })?;
     let expected = path.with_extension("txt");
     if std::env::var_os(UPDATE).is_some() {
@@ -85,7 +84,7 @@
     Err(format!("expected:\n{expected}\ngot:\n{answer}").into())
 }
 
-async fn ask(address: SocketAddr, case: &Case) -> datatest_stable::Result<String> {
+async fn send_request(address: SocketAddr, case: &Case) -> datatest_stable::Result<String> {
     let mut stream = TcpStream::connect(address).await?;
     let body = case.body.repeat(case.repeat);
     let length = case.declared.unwrap_or(body.len());
@@ -101,22 +100,22 @@
             Ok(0) | Err(_) => break,
             Ok(length) => answer.extend_from_slice(&buffer[..length]),
         }
-        if is_whole(&answer) {
+        if is_complete(&answer) {
             break;
         }
     }
-    Ok(shown(&String::from_utf8_lossy(&answer)))
+    Ok(normalize(&String::from_utf8_lossy(&answer)))
 }
 
-fn is_whole(answer: &[u8]) -> bool {
+fn is_complete(answer: &[u8]) -> bool {
     let text = String::from_utf8_lossy(answer);
     let Some((head, body)) = text.split_once("\r\n\r\n") else { return false };
     let length = head.lines().find_map(|it| it.strip_prefix("content-length: "));
     length.and_then(|it| it.parse::<usize>().ok()).is_some_and(|it| body.len() >= it)
 }
 
-/// The answer without what differs between two runs.
-fn shown(answer: &str) -> String {
+/// Removes from a response what differs between two runs.
+fn normalize(answer: &str) -> String {
     let lines = answer.lines().filter(|it| !it.starts_with("date:"));
     let shown: Vec<_> = lines
         .map(|it| {
@@ -127,5 +126,5 @@
 }
 
 datatest_stable::harness! {
-    { test = refused, root = "resources/test/fixtures/refusals", pattern = r".*\.toml$" },
+    { test = response_matches_fixture, root = "resources/test/fixtures/refusals", pattern = r".*\.toml$" },
 }
--- a/crates/quincevalve_entry/tests/settings.rs
+++ b/crates/quincevalve_entry/tests/settings.rs
@@ -1,17 +1,17 @@
-//! What operators are shown for settings that can't be used, pinned.
+//! Compares the error messages for invalid settings with fixtures.
 
 use std::path::Path;
 
 use quincevalve_entry::EntrySettings;
 use quincevalve_program::parse_settings;
 
-/// Set it to write the expected texts anew; then read every change to them.
+/// Environment variable that makes the test rewrite the expected texts. Review every change to them.
 const UPDATE: &str = "UPDATE_FIXTURES";
 
-fn refused(path: &Path, text: String) -> datatest_stable::Result<()> {
+fn error_matches_fixture(path: &Path, text: String) -> datatest_stable::Result<()> {
     let name = path.file_name().unwrap_or_default();
     let error = match parse_settings::<EntrySettings>(Path::new(name), &text) {
-        Ok(_) => return Err("the settings were taken".into()),
+        Ok(_) => return Err("the settings were accepted".into()),
         Err(error) => format!("{error}\n"),
     };
     let expected = path.with_extension("txt");
@@ -26,5 +26,5 @@
 }
 
 datatest_stable::harness! {
-    { test = refused, root = "resources/test/fixtures/settings", pattern = r".*\.toml$" },
+    { test = error_matches_fixture, root = "resources/test/fixtures/settings", pattern = r".*\.toml$" },
 }
--- a/crates/quincevalve_entry/tests/silent_caller.rs
+++ b/crates/quincevalve_entry/tests/silent_caller.rs
@@ -1,8 +1,7 @@
-//! A caller that stops reading loses its connection and not its answer.
+//! A caller that stops reading loses its connection but not its answer.
 //!
-//! The caller asks for a long stream, reads its head and then nothing more, as one does whose connection
-//! was forgotten on the way. The buffers fill, the write moves nothing for the limit, the VM ends the
-//! connection. The caller comes back for its request and reads the whole answer.
+//! The caller requests a long stream, reads only its head, and the buffers fill. After `caller_progress_ms` without
+//! progress the VM closes the connection. The caller then re-attaches to its request and reads the complete answer.
 
 use std::{path::Path, time::Duration};
 
@@ -58,8 +57,8 @@
 "#;
 
 async fn start() -> EntryVm {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let engine = listener.local_addr().expect("its address");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a port");
+    let engine = listener.local_addr().expect("the listener's address");
     let speed = EngineSpeed {
         slots: 4,
         prefill_tokens_per_s: 1_000_000,
@@ -68,13 +67,13 @@
     };
     tokio::spawn(Engine::new(speed, Incarnation(1), 1).serve(listener));
     let settings: EntrySettings =
-        parse_settings(Path::new("entry.toml"), SETTINGS).expect("the settings are right");
+        parse_settings(Path::new("entry.toml"), SETTINGS).expect("valid settings");
     let inventory = read_inventory("inventory", &inventory(engine), Format::Toml);
-    let view = View::new(Revision(1), inventory.expect("the inventory is right"));
-    EntryVm::start_with(settings, view).await.expect("it starts")
+    let view = View::new(Revision(1), inventory.expect("valid inventory"));
+    EntryVm::start_with(settings, view).await.expect("the VM starts")
 }
 
-/// Reads to the end of the connection.
+/// Reads until the connection or the chunked body ends.
 async fn read_all(stream: &mut TcpStream, text: &mut Vec<u8>) {
     let mut buffer = vec![0; 64 << 10];
     while let Ok(length) = stream.read(&mut buffer).await {
@@ -86,9 +85,9 @@
 }
 
 #[tokio::test]
-async fn the_connection_ends_and_the_answer_stays() {
+async fn closes_the_connection_and_keeps_the_answer_when_the_caller_stops_reading() {
     let vm = start().await;
-    let mut caller = TcpStream::connect(vm.address()).await.expect("a connection");
+    let mut caller = TcpStream::connect(vm.address()).await.expect("connect to the VM");
     let body = format!(
         "{{\"model\":\"m\",\"max_tokens\":{TOKENS},\"stream\":true,\
          \"messages\":[{{\"role\":\"user\",\"content\":\"go on\"}}]}}"
@@ -98,23 +97,26 @@
          content-length: {}\r\n\r\n{body}",
         body.len()
     );
-    caller.write_all(request.as_bytes()).await.expect("sent");
+    caller.write_all(request.as_bytes()).await.expect("send the request");
     let mut first = vec![0; 512];
-    let length = caller.read(&mut first).await.expect("the head");
+    let length = caller.read(&mut first).await.expect("read the head");
     first.truncate(length);
     let head = String::from_utf8_lossy(&first).into_owned();
-    let id = head.lines().find_map(|it| it.strip_prefix("quincevalve-request: ")).expect("an id");
+    let id = head
+        .lines()
+        .find_map(|it| it.strip_prefix("quincevalve-request: "))
+        .expect("a request id in the head");
 
-    // Longer than the limit: the VM finds that nothing moves.
+    // Longer than `caller_progress_ms` (200 ms), so that the VM closes the connection.
     tokio::time::sleep(Duration::from_secs(2)).await;
     let mut rest = first;
     read_all(&mut caller, &mut rest).await;
-    assert!(!String::from_utf8_lossy(&rest).contains("[DONE]"), "the connection was kept");
+    assert!(!String::from_utf8_lossy(&rest).contains("[DONE]"), "the connection was not closed");
 
-    let mut again = TcpStream::connect(vm.address()).await.expect("a connection");
+    let mut again = TcpStream::connect(vm.address()).await.expect("connect to the VM");
     let request =
         format!("GET /v1/requests/{id} HTTP/1.1\r\nhost: x\r\nauthorization: Bearer key\r\n\r\n");
-    again.write_all(request.as_bytes()).await.expect("sent");
+    again.write_all(request.as_bytes()).await.expect("send the request");
     let mut whole = Vec::new();
     read_all(&mut again, &mut whole).await;
     let whole = String::from_utf8_lossy(&whole);
