--- a/crates/quincevalve_node/src/metrics.rs
+++ b/crates/quincevalve_node/src/metrics.rs
@@ -89,35 +89,27 @@
         );
         registry.register(
             "between_events_seconds",
-            "Time between two events of a stream, as sent to the caller",
+            "Time between two events of a stream, as they go to the caller",
             between_events.clone(),
         );
-        registry.register("sendings", "Attempts at servers by result", attempts.clone());
+        registry.register("sendings", "Sendings to servers by result", attempts.clone());
         registry.register(
             "sendings_by_version",
-            "Attempts at servers by the server's software version",
+            "Sendings to servers by their software's version",
             attempts_by_version.clone(),
         );
-        registry.register("in_flight", "Requests and streams in flight", in_flight.clone());
+        registry.register("in_flight", "Requests and streams at present", in_flight.clone());
         registry.register("servers", "Servers that take new work", servers.clone());
         registry.register(
             "limited_servers",
-            "Servers that signal a request limit",
+            "Servers that name a limit of requests",
             limited_servers.clone(),
         );
-        registry.register("vms", "Known entry VMs", vms.clone());
-        registry.register(
-            "config_version",
-            "Version of the configuration in force",
-            config_version.clone(),
-        );
-        registry.register(
-            "proof_age_ms",
-            "Age of the newest freshness confirmation",
-            proof_age_ms.clone(),
-        );
-        registry.register("quarantined", "Quarantined requests", quarantined.clone());
-        registry.register("log_lines_left_out", "Suppressed log lines", suppressed_lines.clone());
+        registry.register("vms", "Entry VMs that are known", vms.clone());
+        registry.register("config_version", "Configuration in force", config_version.clone());
+        registry.register("proof_age_ms", "Age of the newest proof", proof_age_ms.clone());
+        registry.register("quarantined", "Requests kept from servers", quarantined.clone());
+        registry.register("log_lines_left_out", "Log lines not written", suppressed_lines.clone());
         Self {
             registry,
             requests,
