--- a/crates/quincevalve_node/src/duties.rs
+++ b/crates/quincevalve_node/src/duties.rs
@@ -73,7 +73,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Vacancy {
     since: TimePoint,
-    /// Random draw that decides how long this VM waits, compared with others, before it attempts the takeover.
+    /// Random draw that decides how long this VM waits, compared with other VMs, before it attempts the takeover.
     draw: f64,
 }
 
--- a/crates/quincevalve_node/src/duties/orders/tests.rs
+++ b/crates/quincevalve_node/src/duties/orders/tests.rs
@@ -45,17 +45,18 @@
     Order { data_centre: "a".into(), kind: ServerKind::Reclaimable, count }
 }
 
-fn counted(node: &Node) -> u32 {
+fn ordered_count(node: &Node) -> u32 {
     let centre: DataCentreName = "a".into();
     count_present(node, &"engines".into(), [&centre].into_iter())[&centre].reclaimable
 }
 
-// A server whose signalled limit leaves it almost idle counts as a whole server in the plan, and callers are rejected.
+// Guards against a plan that counts a server whose signalled limit leaves it almost idle as a whole server: too few
+// servers would be ordered, and callers would be rejected.
 #[test]
 fn replaces_a_limited_server_without_releasing_it() {
     run(|| {
         let node = node_with_servers(0.5);
-        assert_eq!(counted(&node), 2);
+        assert_eq!(ordered_count(&node), 2);
         assert_eq!(count_ordered(&node, &"engines".into(), &order(3), 6), 4);
         // At most the service's maximum in a data centre.
         assert_eq!(count_ordered(&node, &"engines".into(), &order(3), 3), 3);
@@ -66,7 +67,7 @@
 fn counts_a_server_whose_limit_exceeds_its_load() {
     run(|| {
         let node = node_with_servers(100.0);
-        assert_eq!(counted(&node), 3);
+        assert_eq!(ordered_count(&node), 3);
         assert_eq!(count_ordered(&node, &"engines".into(), &order(3), 6), 3);
     });
 }
--- a/crates/quincevalve_node/src/duties/rollouts.rs
+++ b/crates/quincevalve_node/src/duties/rollouts.rs
@@ -85,7 +85,7 @@
     /// Writes the next record of a service's roll-out, if one is due.
     async fn advance(&mut self, service: &ServiceName) -> Result<(), StoreError> {
         let Some(holder_revision) = self.read_holder_revision().await? else { return Ok(()) };
-        let (revision, known) = self.stored(service).await?;
+        let (revision, known) = self.stored_record(service).await?;
         // An incomplete list of servers would give wrong counts of both versions.
         if self.node.servers.borrow().may_be_incomplete(clock::now()) {
             return Ok(());
@@ -94,7 +94,7 @@
         let Some(next) = self.next_record(service, known.as_ref()) else { return Ok(()) };
         // A failed write may have taken effect, so the record is forgotten first and read again after a failure.
         self.stored.remove(service);
-        let revision = self.write(service, holder_revision, revision, &next).await?;
+        let revision = self.write_record(service, holder_revision, revision, &next).await?;
         self.log_step(service, &next);
         self.stored.insert(service.clone(), (revision, Some(next.clone())));
         apply_record(self.node, service, next);
@@ -112,16 +112,16 @@
         Ok(self.holder_revision)
     }
 
-    async fn stored(&mut self, service: &ServiceName) -> Result<StoredRecord, StoreError> {
+    async fn stored_record(&mut self, service: &ServiceName) -> Result<StoredRecord, StoreError> {
         if let Some(stored) = self.stored.get(service) {
             return Ok(stored.clone());
         }
-        let stored = self.read(service).await?;
+        let stored = self.read_record(service).await?;
         self.stored.insert(service.clone(), stored.clone());
         Ok(stored)
     }
 
-    async fn read(&self, service: &ServiceName) -> Result<StoredRecord, StoreError> {
+    async fn read_record(&self, service: &ServiceName) -> Result<StoredRecord, StoreError> {
         let key = rollout_key(service);
         let Some(item) = self.store.get(&key).await? else {
             return Ok((StoreRevision::ABSENT, None));
@@ -175,7 +175,7 @@
     }
 
     /// Writes the record and the status for operators, if this VM still holds the duties and the order is unchanged.
-    async fn write(
+    async fn write_record(
         &self,
         service: &ServiceName,
         holder_revision: StoreRevision,
--- a/crates/quincevalve_node/src/node.rs
+++ b/crates/quincevalve_node/src/node.rs
@@ -244,7 +244,8 @@
         peers.table.relays_store(peers.has_members(now), now)
     }
 
-    /// Takes one log line about a rejected request from its budget; a line that doesn't fit is counted as suppressed.
+    /// Returns whether a log line about a rejected request fits its budget, and spends the budget. A line that doesn't
+    /// fit is counted as suppressed.
     pub(crate) fn may_log_refusal(&self) -> bool {
         let may = self.refusal_log_budget.borrow_mut().take(clock::now());
         if !may {
@@ -253,7 +254,8 @@
         may
     }
 
-    /// Takes one log line from the budget; a line that doesn't fit is counted as suppressed.
+    /// Returns whether a log line fits the budget, and spends the budget. A line that doesn't fit is counted as
+    /// suppressed.
     pub(crate) fn may_log(&self) -> bool {
         let mut budget = self.log_budget.borrow_mut();
         let may = budget.take(clock::now());
--- a/crates/quincevalve_node/src/peers/datagram.rs
+++ b/crates/quincevalve_node/src/peers/datagram.rs
@@ -47,8 +47,8 @@
     pub(super) incarnation: u64,
     /// The receiver's clock when it sent the echoed datagram.
     pub(super) sent: TimePoint,
-    /// How long ago the sender received the echoed datagram.
-    pub(super) held: Duration,
+    /// Time from the receipt of the echoed datagram to the sending of this one.
+    pub(super) delay: Duration,
 }
 
 /// When the store answered the sender or a VM in contact with it.
--- a/crates/quincevalve_node/src/peers/receive.rs
+++ b/crates/quincevalve_node/src/peers/receive.rs
@@ -28,7 +28,7 @@
     },
 };
 
-/// Receives datagrams of peers for as long as the process lives.
+/// Receives datagrams of peers for as long as the process runs.
 pub(crate) async fn receive_datagrams(node: Rc<Node>, socket: Rc<UdpSocket>) {
     let mut buf = vec![0; MAX_DATAGRAM];
     loop {
@@ -65,8 +65,8 @@
     node.wall_clock.borrow_mut().record(name.clone(), datagram.wall_ms, now);
     match datagram.content {
         Content::Digest { scope, sum, store_report, store_contact } => {
-            // The store report may remove servers; the contact, applied first, decides whether a removal may be an
-            // expiry.
+            // The contact is applied before the store report, because whether a removal of a server in the report may
+            // be an expiry depends on it.
             if let Some(reported) = store_contact {
                 apply_store_contact(node, reported, datagram.echo);
             }
@@ -77,7 +77,8 @@
                     send(node, socket, datagram.from.address, Content::ConfigRequest { above });
                 }
             }
-            // The sums of two collectors cover the same VMs and would be counted twice.
+            // Only the sum of this VM's own collector is used: the sums of two collectors cover the same VMs, which would
+            // be counted twice.
             if scope == Scope::Rest && !node.peers.borrow().is_collector(&name, now) {
                 return;
             }
@@ -181,12 +182,13 @@
     }
 }
 
-/// Returns a lower bound of the time at which a datagram with this echo was sent, by this VM's clock: when this VM sent
-/// the echoed datagram, plus how long the sender had held it. `None` if an earlier start of this VM sent the echoed
-/// datagram.
+/// Returns the earliest time, by this VM's clock, at which a datagram with this echo can have been sent.
+///
+/// That is the time at which this VM sent the echoed datagram, plus the echo's delay. Returns `None` if an earlier start
+/// of this VM sent the echoed datagram.
 fn earliest_send_time(node: &Node, echo: Option<Echo>) -> Option<TimePoint> {
     let echo = echo.filter(|it| it.incarnation == node.incarnation)?;
-    Some(echo.sent + echo.held)
+    Some(echo.sent + echo.delay)
 }
 
 /// Returns the time `by` before `at`; `None` if that is before the clock's start.
--- a/crates/quincevalve_node/src/peers/receive/tests.rs
+++ b/crates/quincevalve_node/src/peers/receive/tests.rs
@@ -90,7 +90,7 @@
         echo: Some(Echo {
             incarnation: node.incarnation,
             sent: ago(100),
-            held: Duration::from_millis(40),
+            delay: Duration::from_millis(40),
         }),
         revision: None,
         content: Content::Digest {
--- a/crates/quincevalve_node/src/peers/send.rs
+++ b/crates/quincevalve_node/src/peers/send.rs
@@ -23,7 +23,7 @@
     store::view::MAX_BATCH_BYTES,
 };
 
-/// Length of a period, the interval between two digests. Loads and spending reach all VMs within three digests.
+/// Interval between two digests, called a period. Loads and spending reach all VMs within three digests.
 pub(super) const DIGEST_INTERVAL: Duration = Duration::from_millis(60);
 
 const PERIODS_PER_SECOND: f64 = 1_000.0 / DIGEST_INTERVAL.as_millis() as f64;
@@ -52,7 +52,7 @@
 /// Periods between two reports of usage, which is needed at a resolution of 1 s.
 const USAGE_PERIODS: u32 = 12;
 
-/// Sends digests, signals, usage and messages about poisonous requests to peers for as long as the process lives.
+/// Sends digests, signals, usage and messages about poison requests to peers for as long as the process runs.
 pub(crate) async fn send_digests(node: Rc<Node>, socket: Rc<UdpSocket>) {
     for period in 0_u32.. {
         let now = clock::now();
@@ -68,7 +68,7 @@
             apply_peer_sums(&node, now);
         }
         send_load_digests(&node, &socket, period, now);
-        send_poison(&node, &socket, now);
+        send_poison_messages(&node, &socket, now);
         send_signals(&node, &socket, now);
         if period % COLLECTOR_PROBE_PERIODS == 0 {
             probe_preferred_collector(&node, &socket, now);
@@ -292,7 +292,7 @@
 }
 
 /// Sends the messages that are due about requests under which servers exit, and writes new quarantine entries.
-fn send_poison(node: &Node, socket: &UdpSocket, now: TimePoint) {
+fn send_poison_messages(node: &Node, socket: &UdpSocket, now: TimePoint) {
     if !node.poison.borrow().is_due(now) {
         return;
     }
@@ -379,7 +379,7 @@
         last.map(|it| Echo {
             incarnation: it.incarnation,
             sent: it.sent,
-            held: now.since(it.received_at),
+            delay: now.since(it.received_at),
         })
     };
     let datagram = Datagram {
--- a/crates/quincevalve_node/src/ports.rs
+++ b/crates/quincevalve_node/src/ports.rs
@@ -133,7 +133,7 @@
 pub enum ReadConsistency {
     /// The newest data.
     Latest,
-    /// Data that may be some seconds old; such a read costs a fraction.
+    /// Data that may be some seconds old. Such a read costs a fraction of a consistent one.
     MayBeStale,
 }
 
@@ -324,7 +324,7 @@
     pub key: HeaderName,
     /// The account of the caller, set for servers.
     pub account: HeaderName,
-    /// Segments of the prompt, as `ID:TOKENS` separated by commas.
+    /// The prompt's segments, as `ID:TOKENS` separated by commas.
     pub prompt_parts: HeaderName,
     /// Number of prompt tokens and maximum number of output tokens, separated by a comma.
     pub token_counts: HeaderName,
--- a/crates/quincevalve_node/src/request/dispatch.rs
+++ b/crates/quincevalve_node/src/request/dispatch.rs
@@ -1,4 +1,4 @@
-//! Takes an admitted request to its answer: picks a server, sends the request, and retries if that is allowed.
+//! Processes an admitted request: picks a server, sends the request to it, and retries if that is allowed.
 
 use std::rc::Rc;
 
--- a/crates/quincevalve_node/src/request/exit_check.rs
+++ b/crates/quincevalve_node/src/request/exit_check.rs
@@ -32,7 +32,7 @@
 /// Returns whether the server has exited unexpectedly.
 ///
 /// A connection also closes when a link is reset, an answer is corrupted or a server is reclaimed. A server has crashed
-/// only if it was not departing and its port refuses connections. A server that is unreachable altogether may be
+/// only if it was not leaving and its port refuses connections. A server that is unreachable altogether may be
 /// partitioned from this VM.
 async fn has_exited(node: &Node, place: &Placement) -> bool {
     let address = {
--- a/crates/quincevalve_node/src/request/identify.rs
+++ b/crates/quincevalve_node/src/request/identify.rs
@@ -137,20 +137,20 @@
 fn prompt(names: &HeaderNames, headers: &HeaderMap) -> Option<Prompt> {
     let counts = header_text(headers, &names.token_counts)?;
     let (input, output) = counts.split_once(',')?;
-    let parts = header_text(headers, &names.prompt_parts).unwrap_or_default();
+    let segments = header_text(headers, &names.prompt_parts).unwrap_or_default();
     Some(Prompt {
         input: input.trim().parse().ok()?,
         max_output: output.trim().parse().ok()?,
         expected_output: header_number(headers, &names.length_hint).map(|it| it as u32),
-        shared: last_shared_part(parts),
+        shared: last_shared_segment(segments),
     })
 }
 
-/// Returns the hash of the last shared part's id, and the tokens up to its end. The last part in the header belongs to
-/// the request alone.
-fn last_shared_part(parts: &str) -> Option<(u64, u32)> {
-    let parts: Vec<_> = parts.split(',').filter_map(|it| it.trim().split_once(':')).collect();
-    let (_, shared) = parts.split_last()?;
+/// Returns the hash of the last shared segment's id, and the number of tokens up to its end. The last segment in the
+/// header belongs to the request alone.
+fn last_shared_segment(segments: &str) -> Option<(u64, u32)> {
+    let segments: Vec<_> = segments.split(',').filter_map(|it| it.trim().split_once(':')).collect();
+    let (_, shared) = segments.split_last()?;
     let (id, _) = shared.last()?;
     let tokens = shared.iter().filter_map(|(_, tokens)| tokens.parse::<u32>().ok()).sum();
     Some((hash_text(id), tokens))
--- a/crates/quincevalve_node/src/request/migration.rs
+++ b/crates/quincevalve_node/src/request/migration.rs
@@ -1,4 +1,4 @@
-//! Migration of running requests from departing engines to other engines.
+//! Migration of running requests from leaving engines to other engines.
 
 use std::{net::SocketAddr, rc::Rc};
 
--- a/crates/quincevalve_node/src/request/relay.rs
+++ b/crates/quincevalve_node/src/request/relay.rs
@@ -110,7 +110,7 @@
     time_to_first_event: Option<Duration>,
     /// When the newest event arrived.
     last_event_at: Option<Instant>,
-    /// Sum of the gaps between successive events, and the number of gaps.
+    /// Sum of the gaps between successive events; `gap_count` is their number.
     gap_sum: Duration,
     gap_count: u32,
     longest_gap: Duration,
--- a/crates/quincevalve_node/src/rollouts.rs
+++ b/crates/quincevalve_node/src/rollouts.rs
@@ -24,7 +24,8 @@
 pub(crate) const ROLLOUT_KEY_PREFIX: &str = "rollout/";
 /// Minimum fraction of VMs that must be reachable for this VM to judge the new version's answers.
 const MIN_REACHABLE_FRACTION: f64 = 0.5;
-/// Maximum age of the freshness confirmation for the same purpose, as a fraction of `Bounds::change_in_force`.
+/// Maximum age of the freshness confirmation for this VM to judge the new version's answers, as a fraction of
+/// `Bounds::change_in_force`.
 const FRESH_FRACTION: f64 = 0.6;
 
 /// Returns the store key of a service's record.
@@ -132,7 +133,7 @@
     node.rollouts.borrow_mut().choose(&req.service, route, draw, clock::now())
 }
 
-/// Returns which versions' servers a request may be sent to that was sent before.
+/// Returns which versions' servers a retried request may be sent to.
 pub(crate) fn choice_for_retry(node: &Node, service: &ServiceName) -> VersionChoice {
     node.rollouts.borrow().choice_for_retry(service)
 }
--- a/crates/quincevalve_node/src/store/state_copy.rs
+++ b/crates/quincevalve_node/src/store/state_copy.rs
@@ -83,8 +83,8 @@
     chunks: Vec<Chunk>,
 }
 
-/// Fetches the store's state from another VM. Returns without it if there is no source or no source answers in time;
-/// this VM then has to read the store itself.
+/// Fetches the store's state from another VM. Returns without the state if there is no source or no source answers in
+/// time; this VM then has to read the store itself.
 pub(crate) async fn fetch_state<S>(node: &Node, store: &S, socket: &UdpSocket)
 where
     S: PlatformStore,
@@ -132,11 +132,12 @@
     strongest: &[SocketAddr],
 ) -> Vec<SocketAddr> {
     let me = node.peers.borrow().table.me().address;
-    let others = descriptors.iter().map(|it| it.address);
-    let mut others: Vec<_> = others.filter(|it| *it != me && !strongest.contains(it)).collect();
-    others.shuffle(&mut *node.rng.borrow_mut());
-    others.truncate(MAX_OTHER_SOURCES);
-    others
+    let other_addresses = descriptors.iter().map(|it| it.address);
+    let mut other_addresses: Vec<_> =
+        other_addresses.filter(|it| *it != me && !strongest.contains(it)).collect();
+    other_addresses.shuffle(&mut *node.rng.borrow_mut());
+    other_addresses.truncate(MAX_OTHER_SOURCES);
+    other_addresses
 }
 
 /// Returns the answer to a starting VM's request for state: chunks, or a redirect if this VM has no recent freshness
@@ -194,7 +195,7 @@
 }
 
 impl EncodedState {
-    /// Returns whether these are the last chunks, so that their requester has all others.
+    /// Returns whether these are the last chunks, so that the requester then has the whole state.
     fn includes_last_chunk(&self, wanted: &[u32]) -> bool {
         wanted.len() < WINDOW || wanted.last().map(|it| *it as usize + 1) == Some(self.chunks.len())
     }
@@ -256,7 +257,8 @@
 }
 
 impl StateCopy {
-    /// Returns the first chunks of this VM's current view; nothing if the sender was answered a moment ago.
+    /// Returns the first chunks of this VM's current view, or none if the sender was answered within
+    /// [`MIN_ANSWER_INTERVAL`].
     fn first_chunks(
         &mut self,
         node: &Node,
--- a/crates/quincevalve_node/src/store/state_copy/tests.rs
+++ b/crates/quincevalve_node/src/store/state_copy/tests.rs
@@ -41,7 +41,7 @@
 }
 
 /// Returns a VM that read the store a moment ago.
-fn informed(name: &str) -> Node {
+fn synced_node(name: &str) -> Node {
     let node = bare_node(name);
     let state = StoreState {
         at: 50,
@@ -60,15 +60,15 @@
 }
 
 /// Returns a VM that fetches the state while it starts.
-fn starting() -> Node {
+fn starting_node() -> Node {
     let node = bare_node("vm-new");
-    let sources = vec![any_address(), elsewhere()];
+    let sources = vec![any_address(), other_address()];
     let fetch = ChunkFetch::new(sources, Duration::from_secs(1), clock::now());
     node.state_copy.borrow_mut().fetch = Some(fetch);
     node
 }
 
-fn elsewhere() -> SocketAddr {
+fn other_address() -> SocketAddr {
     ([127, 0, 0, 2], 0).into()
 }
 
@@ -88,7 +88,7 @@
 #[test]
 fn a_starting_vm_copies_the_state_of_another() {
     run(|| {
-        let (source, starting_vm) = (informed("vm-1"), starting());
+        let (source, starting_vm) = (synced_node("vm-1"), starting_node());
         let now = clock::now();
         let chunks = chunks(&source);
         assert!(chunks.len() > 1, "the state takes several datagrams");
@@ -118,11 +118,11 @@
     run(|| {
         let node = bare_node("vm-1");
         assert!(chunks(&node).is_empty(), "it has no state");
-        let node = informed("vm-1");
+        let node = synced_node("vm-1");
         let later = clock::now() + Duration::from_secs(3);
         assert!(chunks_for(&node, "vm-new#1", later).is_empty(), "its confirmation is old");
         node.reported_config_version.set(4);
-        assert!(chunks(&node).is_empty(), "others have a newer configuration");
+        assert!(chunks(&node).is_empty(), "other VMs have a newer configuration");
     });
 }
 
@@ -131,19 +131,20 @@
 #[test]
 fn does_not_assemble_chunks_of_two_answers() {
     run(|| {
-        let (source, other, starting_vm) = (informed("vm-1"), informed("vm-2"), starting());
+        let (source, other, starting_vm) =
+            (synced_node("vm-1"), synced_node("vm-2"), starting_node());
         let first = chunks(&source);
         for chunk in first.iter().skip(1) {
             receive_chunk(&starting_vm, chunk.clone(), None, any_address());
         }
         let second = chunks(&other);
-        receive_chunk(&starting_vm, second[0].clone(), None, elsewhere());
+        receive_chunk(&starting_vm, second[0].clone(), None, other_address());
         assert!(starting_vm.config().is_none());
         handle_redirect(&starting_vm, any_address(), true);
-        receive_chunk(&starting_vm, second[0].clone(), None, elsewhere());
+        receive_chunk(&starting_vm, second[0].clone(), None, other_address());
         assert!(starting_vm.config().is_none());
         for chunk in second.iter().skip(1) {
-            receive_chunk(&starting_vm, chunk.clone(), None, elsewhere());
+            receive_chunk(&starting_vm, chunk.clone(), None, other_address());
         }
         assert_eq!(starting_vm.config().map(|it| it.version), Some(3));
         assert!(!starting_vm.was_confirmed_fresh(), "the chunks carried no confirmation");
@@ -153,7 +154,7 @@
 #[test]
 fn does_not_answer_an_immediate_retry_of_a_first_request() {
     run(|| {
-        let node = informed("vm-1");
+        let node = synced_node("vm-1");
         let now = clock::now();
         assert!(!chunks_for(&node, "vm-new#1", now).is_empty());
         assert!(chunks_for(&node, "vm-new#1", now + RETRY_INTERVAL / 2).is_empty());
@@ -169,7 +170,7 @@
 #[test]
 fn ignores_a_copy_when_no_fetch_is_running() {
     run(|| {
-        let (source, other) = (informed("vm-1"), bare_node("vm-2"));
+        let (source, other) = (synced_node("vm-1"), bare_node("vm-2"));
         for chunk in chunks(&source) {
             receive_chunk(&other, chunk, Some(clock::now()), any_address());
         }
@@ -183,7 +184,7 @@
 #[test]
 fn redirects_requests_while_its_link_is_busy() {
     run(|| {
-        let node = informed("vm-1");
+        let node = synced_node("vm-1");
         let (now, wanted) = (clock::now(), ChunkRequest::default());
         let answers = (0..40).map(|it| answer_request(&node, &format!("vm-{it}#1"), &wanted, now));
         let (served, redirected): (Vec<_>, Vec<_>) =
@@ -206,7 +207,7 @@
 #[test]
 fn sends_only_the_requested_chunks_again() {
     run(|| {
-        let node = informed("vm-1");
+        let node = synced_node("vm-1");
         let first = chunks(&node);
         let now = clock::now() + RETRY_INTERVAL;
         let wanted = ChunkRequest { version: Some(first[0].version), chunks: vec![1] };
--- a/crates/quincevalve_node/src/store/sync.rs
+++ b/crates/quincevalve_node/src/store/sync.rs
@@ -40,12 +40,12 @@
 /// Interval at which a VM checks whether the reports of other VMs are new enough.
 const FRESHNESS_POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Lifetime of this VM's entry: three renewal intervals, so that a slow store or a short outage doesn't remove it.
-/// Until the entry of a stopped VM expires, the others count that VM and its share of the quotas is unused.
+/// Until the entry of a stopped VM expires, the other VMs count that VM and its share of the quotas is unused.
 const ENTRY_TTL: Duration = Duration::from_secs(12);
 /// Interval between two renewals of this VM's entry.
 const ENTRY_RENEWAL_INTERVAL: Duration = Duration::from_secs(4);
 
-/// Follows the store for as long as the process lives.
+/// Follows the store for as long as the process runs.
 pub(crate) async fn follow_store<S>(node: Rc<Node>, store: S, socket: Rc<UdpSocket>)
 where
     S: PlatformStore,
@@ -153,7 +153,7 @@
     !has_full_state || role == StoreReadRole::Reader || !is_fresh
 }
 
-/// Reads the store and returns how recent the data is.
+/// Reads the store and returns how current the data is.
 ///
 /// The first full read may return data that is seconds old: that costs a tenth of a consistent read, and all VMs may
 /// start together. The changes since are requested at once, and only their answer confirms freshness.
@@ -173,13 +173,13 @@
         record_store_contact(node, ContactSpan::at(requested_at));
         // When thousands of servers change at once, the answer holds only the first changes. Treated as the newest
         // state, it would hide a configuration among the later changes, whose routes would be answered 404.
-        let age = if changes.may_be_truncated {
+        let consistency = if changes.may_be_truncated {
             ReadConsistency::MayBeStale
         } else {
             ReadConsistency::Latest
         };
         apply_changes(node, changes);
-        return Ok(age);
+        return Ok(consistency);
     }
     if !node.store_view.borrow().was_ever_read() {
         apply_snapshot(node, store.snapshot(ReadConsistency::MayBeStale).await?);
@@ -204,12 +204,12 @@
     }
     let now = clock::now();
     let missing = missing.get_or_insert_with(|| MissingConfig::new(newest, now));
-    let age = match missing.next_source(newest, node.settings.bounds.change_in_force, now) {
+    let consistency = match missing.next_source(newest, node.settings.bounds.change_in_force, now) {
         ConfigSource::Peers => return,
         ConfigSource::StaleRead => ReadConsistency::MayBeStale,
         ConfigSource::ConsistentRead => ReadConsistency::Latest,
     };
-    match store.config(age).await {
+    match store.config(consistency).await {
         Ok(Some(config)) => node.apply_config(config),
         Ok(None) => {}
         Err(error) => log::debug!(error:% = error; "config-not-read"),
@@ -229,7 +229,7 @@
     node.freshness.set(freshness);
 }
 
-/// Writes this VM's entry to the store and renews it for as long as the process lives.
+/// Writes this VM's entry to the store and renews it for as long as the process runs.
 pub(crate) async fn maintain_entry<S>(node: Rc<Node>, store: S)
 where
     S: PlatformStore,
--- a/crates/quincevalve_node/src/store/sync/tests.rs
+++ b/crates/quincevalve_node/src/store/sync/tests.rs
@@ -40,7 +40,7 @@
     });
 }
 
-// When the VMs that read the store for the others stop, a follower reads it itself once its freshness confirmation is
+// When the VMs that read the store for all VMs stop, a follower reads it itself once its freshness confirmation is
 // too old, and not before.
 #[test]
 fn a_follower_reads_the_store_when_its_confirmation_is_too_old() {
--- a/crates/quincevalve_node/src/store/view.rs
+++ b/crates/quincevalve_node/src/store/view.rs
@@ -78,8 +78,8 @@
     ///
     /// The holder of the duties stores thousands of bytes of counts each second. If these were relayed to all VMs,
     /// datagrams would exceed 60 KB and be truncated: no VM would learn of a leaving server, and all VMs would read the
-    /// store themselves. The VM that takes over the duties reads these keys itself; the others only need the entries of
-    /// VMs, the holder, quarantines and roll-outs.
+    /// store themselves. The VM that takes over the duties reads these keys itself; the other VMs only need the entries
+    /// of VMs, the holder, quarantines and roll-outs.
     fn is_needed_by_peers(&self) -> bool {
         match self {
             Self::Own { key, .. } | Self::OwnRemoved(key) => {
@@ -206,7 +206,7 @@
 /// Returns the differences between a snapshot and this VM's view as changes for other VMs; `None` before the first full
 /// read, and if the changes don't fit in a datagram.
 ///
-/// When the store drops its history, the VMs that read it for the others read all of it. If they had no changes to
+/// When the store drops its history, the VMs that read it for all VMs read all of it. If they had no changes to
 /// relay, each of hundreds of VMs would read the whole store, for longer than keys may be used without a freshness
 /// confirmation, and all callers would be rejected. With the differences, the other VMs continue from the revision they
 /// have.
@@ -269,8 +269,8 @@
     changed.chain(removed).filter(RelayedChange::is_needed_by_peers).collect()
 }
 
-/// Replaces this VM's view by a state of the whole store, unless the view is as new. Returns whether it was replaced. A
-/// newer configuration is applied in either case.
+/// Replaces this VM's view by a state of the whole store, unless the view is at least as new. Returns whether it was
+/// replaced. A newer configuration is applied in either case.
 pub(crate) fn apply_state(node: &Node, state: StoreState) -> bool {
     let now = clock::now();
     if let Some(config) = state.config {
@@ -280,8 +280,8 @@
         return false;
     }
     let missing = node.servers.borrow_mut().replace_all(state.servers, &state.unreadable, now);
-    for (name, taken_for) in missing {
-        log_removal(&name, Some(taken_for));
+    for (name, removal) in missing {
+        log_removal(&name, Some(removal));
     }
     node.poison.borrow_mut().replace_all(state.quarantine, now);
     let was_running = node.store_view.borrow().was_ever_read();
@@ -468,8 +468,8 @@
 }
 
 /// Logs how a removal was interpreted, which explains requests that reach the server afterwards.
-fn log_removal(name: &BackendServerName, taken_for: Option<Removal>) {
-    let taken_for = match taken_for {
+fn log_removal(name: &BackendServerName, removal: Option<Removal>) {
+    let taken_for = match removal {
         Some(Removal::Leaving) => "leaving",
         Some(Removal::MayHaveExpired) => "lapse",
         None => "known",
--- a/crates/quincevalve_node/src/store/view/tests.rs
+++ b/crates/quincevalve_node/src/store/view/tests.rs
@@ -6,7 +6,7 @@
     test_node::{node, run},
 };
 
-fn draining() -> ServerEntry {
+fn draining_entry() -> ServerEntry {
     ServerEntry {
         start: ServerStart(1),
         service: "model".into(),
@@ -21,7 +21,7 @@
     }
 }
 
-fn own(key: &str, bytes: usize) -> RelayedChange {
+fn own_item(key: &str, bytes: usize) -> RelayedChange {
     RelayedChange::Own { key: key.to_owned(), value: vec![0; bytes] }
 }
 
@@ -29,31 +29,32 @@
 // filled the datagrams.
 #[test]
 fn relays_only_keys_that_other_vms_need() {
-    assert!(own("peers/vm-1", 100).is_needed_by_peers());
-    assert!(own("quarantine/00000000000000ab", 40).is_needed_by_peers());
+    assert!(own_item("peers/vm-1", 100).is_needed_by_peers());
+    assert!(own_item("quarantine/00000000000000ab", 40).is_needed_by_peers());
     assert!(
         RelayedChange::OwnRemoved("quarantine/00000000000000ab".to_owned()).is_needed_by_peers()
     );
-    assert!(own(HOLDER_KEY, 5).is_needed_by_peers());
+    assert!(own_item(HOLDER_KEY, 5).is_needed_by_peers());
     assert!(RelayedChange::OwnRemoved(HOLDER_KEY.to_owned()).is_needed_by_peers());
     assert!(RelayedChange::Config(7).is_needed_by_peers());
     assert!(RelayedChange::ServerRemoved("i-1".into()).is_needed_by_peers());
     for key in ["duty/term", "duty/usage", "duty/counts"] {
-        assert!(!own(key, 100).is_needed_by_peers(), "{key}");
+        assert!(!own_item(key, 100).is_needed_by_peers(), "{key}");
     }
 }
 
 #[test]
 fn size_bound_of_a_change_is_at_least_its_encoded_size() {
-    let server = RelayedChange::Server("i-0123456789".into(), draining());
-    for change in [server, own("peers/vm-1", 200), RelayedChange::ServerRemoved("i-1".into())] {
+    let server = RelayedChange::Server("i-0123456789".into(), draining_entry());
+    for change in [server, own_item("peers/vm-1", 200), RelayedChange::ServerRemoved("i-1".into())]
+    {
         let encoded = encoding().serialize(&change).unwrap();
         assert!(change.max_encoded_bytes() >= encoded.len(), "{change:?}: {}", encoded.len());
     }
 }
 
-// The VM that reads the store for others reads it in pages, and a server begins to leave between two pages, so that a
-// later page contains the change. The change is then not new to the reader; if it weren't relayed, VMs that look up to
+// The VM that reads the store for all VMs reads it in pages, and a server begins to leave between two pages, so that
+// a later page contains the change. The change is then not new to the reader; if it weren't relayed, VMs that look up to
 // date would keep sending requests to the server.
 #[test]
 fn relays_changes_made_during_a_full_read() {
@@ -61,25 +62,25 @@
         let reader = node("vm-1");
         let name = BackendServerName::from("i-1");
         let snapshot = Snapshot {
-            servers: vec![(name.clone(), draining())],
+            servers: vec![(name.clone(), draining_entry())],
             at: StoreRevision(100),
             newest: StoreRevision(103),
             ..Snapshot::default()
         };
         apply_snapshot(&reader, snapshot);
-        let change = (StoreRevision(103), Change::Server(name.clone(), draining()));
+        let change = (StoreRevision(103), Change::Server(name.clone(), draining_entry()));
         apply_changes(
             &reader,
             Changes { changes: vec![change], at: StoreRevision(104), may_be_truncated: false },
         );
-        let renewal = (StoreRevision(105), Change::Server(name.clone(), draining()));
+        let renewal = (StoreRevision(105), Change::Server(name.clone(), draining_entry()));
         apply_changes(
             &reader,
             Changes { changes: vec![renewal], at: StoreRevision(105), may_be_truncated: false },
         );
         let batch = reader.store_view.borrow().changes_since(StoreRevision(100), usize::MAX);
         let batch = batch.expect("changes since the full read");
-        assert_eq!(batch.changes, [(103, RelayedChange::Server(name, draining()))]);
+        assert_eq!(batch.changes, [(103, RelayedChange::Server(name, draining_entry()))]);
         assert_eq!(batch.upto, 105);
     });
 }
@@ -136,21 +137,21 @@
     });
 }
 
-fn ready() -> ServerEntry {
-    ServerEntry { draining: false, leaves_in: None, ..draining() }
+fn ready_entry() -> ServerEntry {
+    ServerEntry { draining: false, leaves_in: None, ..draining_entry() }
 }
 
-fn usable(node: &Node) -> usize {
+fn usable_count(node: &Node) -> usize {
     node.servers.borrow().usable(&"model".into(), clock::now()).count()
 }
 
 /// Returns a VM that knows one server and has contact with the store.
-fn informed() -> Node {
+fn node_with_server() -> Node {
     let node = node("vm-1");
     record_store_contact(&node, ContactSpan::at(clock::now()));
-    let servers = vec![("i-1".into(), ready())];
+    let servers = vec![("i-1".into(), ready_entry())];
     apply_state(&node, StoreState { at: 100, newest: 100, servers, ..StoreState::default() });
-    assert_eq!(usable(&node), 1);
+    assert_eq!(usable_count(&node), 1);
     node
 }
 
@@ -159,29 +160,29 @@
 #[test]
 fn a_leaving_server_is_unusable_after_each_kind_of_change() {
     run(|| {
-        let node = informed();
-        let leaves = (StoreRevision(101), Change::Server("i-1".into(), draining()));
+        let node = node_with_server();
+        let leaves = (StoreRevision(101), Change::Server("i-1".into(), draining_entry()));
         apply_changes(
             &node,
             Changes { changes: vec![leaves], at: StoreRevision(101), may_be_truncated: false },
         );
-        assert_eq!(usable(&node), 0);
+        assert_eq!(usable_count(&node), 0);
     });
     run(|| {
-        let node = informed();
+        let node = node_with_server();
         let removal = (StoreRevision(101), Change::ServerRemoved("i-1".into()));
         apply_changes(
             &node,
             Changes { changes: vec![removal], at: StoreRevision(101), may_be_truncated: false },
         );
-        assert_eq!(usable(&node), 0);
+        assert_eq!(usable_count(&node), 0);
     });
     run(|| {
-        let node = informed();
+        let node = node_with_server();
         let unreadable = Change::ServerUnreadable("i-1".into(), "spoiled".to_owned());
         let changes = vec![(StoreRevision(101), unreadable)];
         apply_changes(&node, Changes { changes, at: StoreRevision(101), may_be_truncated: false });
-        assert_eq!(usable(&node), 0);
+        assert_eq!(usable_count(&node), 0);
     });
 }
 
@@ -189,17 +190,17 @@
 #[test]
 fn a_leaving_server_is_unusable_after_a_full_read() {
     let snapshots = [
-        Snapshot { servers: vec![("i-1".into(), draining())], ..Snapshot::default() },
+        Snapshot { servers: vec![("i-1".into(), draining_entry())], ..Snapshot::default() },
         Snapshot { unreadable: vec![("i-1".into(), "spoiled".to_owned())], ..Snapshot::default() },
         Snapshot::default(),
     ];
     for snapshot in snapshots {
         run(|| {
-            let node = informed();
+            let node = node_with_server();
             node.store_view.borrow_mut().invalidate();
             let at = StoreRevision(120);
             apply_snapshot(&node, Snapshot { at, newest: at, ..snapshot });
-            assert_eq!(usable(&node), 0);
+            assert_eq!(usable_count(&node), 0);
         });
     }
 }
@@ -208,16 +209,16 @@
 #[test]
 fn an_old_full_read_does_not_restore_a_server() {
     run(|| {
-        let node = informed();
+        let node = node_with_server();
         let removal = (StoreRevision(101), Change::ServerRemoved("i-1".into()));
         apply_changes(
             &node,
             Changes { changes: vec![removal], at: StoreRevision(101), may_be_truncated: false },
         );
         let at = StoreRevision(100);
-        let servers = vec![("i-1".into(), ready())];
+        let servers = vec![("i-1".into(), ready_entry())];
         apply_snapshot(&node, Snapshot { servers, at, newest: at, ..Snapshot::default() });
-        assert_eq!(usable(&node), 0);
+        assert_eq!(usable_count(&node), 0);
     });
 }
 
@@ -241,7 +242,7 @@
     });
 }
 
-fn read_all_again(
+fn read_store_again(
     node: &Node,
     servers: Vec<(BackendServerName, ServerEntry)>,
     own: Vec<SystemItem>,
@@ -254,22 +255,22 @@
     );
 }
 
-fn vm(name: &str) -> SystemItem {
+fn vm_item(name: &str) -> SystemItem {
     let descriptor =
         VmDescriptor { name: name.to_owned(), ..node("vm-0").peers.borrow().table.me().clone() };
     let value = serde_json::to_vec(&descriptor).expect("a descriptor");
     SystemItem { key: peer_key(&descriptor), value, revision: StoreRevision(110), lease: None }
 }
 
-// When the store drops its history, the VMs that read it for the others do a full read. Without the differences to
+// When the store drops its history, the VMs that read it for all VMs do a full read. Without the differences to
 // relay, each of 1,000 VMs would read the whole store, for 8 s, and all callers would be rejected.
 #[test]
 fn other_vms_continue_from_their_revision_after_the_history_is_dropped() {
     run(|| {
-        let (reader, member) = (informed(), informed());
-        let new = |port| ServerEntry { address: ([10, 1, 0, 9], port).into(), ..ready() };
+        let (reader, member) = (node_with_server(), node_with_server());
+        let new = |port| ServerEntry { address: ([10, 1, 0, 9], port).into(), ..ready_entry() };
         let servers = vec![("i-2".into(), new(80)), ("i-3".into(), new(81))];
-        read_all_again(&reader, servers, vec![vm("vm-7")]);
+        read_store_again(&reader, servers, vec![vm_item("vm-7")]);
         let batch = reader.store_view.borrow().changes_since(StoreRevision(100), MAX_BATCH_BYTES);
         assert!(apply_batch(&member, batch.expect("the differences")));
         assert_eq!(member.store_view.borrow().reached(), Some(StoreRevision(120)));
@@ -286,9 +287,9 @@
 #[test]
 fn does_not_relay_differences_that_exceed_a_datagram() {
     run(|| {
-        let reader = informed();
-        let servers = (0..1_000).map(|it| (format!("i-{it}").as_str().into(), ready()));
-        read_all_again(&reader, servers.collect(), Vec::new());
+        let reader = node_with_server();
+        let servers = (0..1_000).map(|it| (format!("i-{it}").as_str().into(), ready_entry()));
+        read_store_again(&reader, servers.collect(), Vec::new());
         assert!(
             reader.store_view.borrow().changes_since(StoreRevision(100), MAX_BATCH_BYTES).is_none()
         );
@@ -302,13 +303,13 @@
 #[test]
 fn does_not_relay_unchanged_entries_after_a_full_read() {
     run(|| {
-        let reader = informed();
+        let reader = node_with_server();
         let names = ["vm-1", "vm-2", "vm-3"];
-        let servers = vec![("i-1".into(), ready())];
-        read_all_again(&reader, servers.clone(), names.iter().map(|it| vm(it)).collect());
+        let servers = vec![("i-1".into(), ready_entry())];
+        read_store_again(&reader, servers.clone(), names.iter().map(|it| vm_item(it)).collect());
         reader.store_view.borrow_mut().invalidate();
         let at = StoreRevision(130);
-        let own = names.iter().map(|it| vm(it)).collect();
+        let own = names.iter().map(|it| vm_item(it)).collect();
         apply_snapshot(
             &reader,
             Snapshot { servers, system_items: own, at, newest: at, ..Snapshot::default() },
--- a/crates/quincevalve_node/tests/poison_request.rs
+++ b/crates/quincevalve_node/tests/poison_request.rs
@@ -41,13 +41,13 @@
     first: fn(&Arrival) -> String,
     release: Rc<Notify>,
 ) -> impl Fn(usize, &Arrival) -> Reply + 'static {
-    let holds = Cell::new(None);
+    let holding_server = Cell::new(None);
     move |number, arrival| {
         if arrival.header("x-attempt") == Some("held") {
-            holds.set(Some(arrival.server));
+            holding_server.set(Some(arrival.server));
             return Reply::SendAndCloseOnNotify(first(arrival), release.clone());
         }
-        if holds.get() == Some(arrival.server) {
+        if holding_server.get() == Some(arrival.server) {
             return Reply::SendAndClose(String::new());
         }
         script(number, arrival)
@@ -56,16 +56,16 @@
 
 /// Starts two more VMs and waits until all three know each other.
 async fn start_two_more_vms(world: &World) -> [Vm; 2] {
-    let others = [
+    let other_vms = [
         Vm::start("vm-2", world.store.for_another_vm()).await,
         Vm::start("vm-3", world.store.for_another_vm()).await,
     ];
-    for metrics in [world.metrics, others[0].metrics, others[1].metrics] {
+    for metrics in [world.metrics, other_vms[0].metrics, other_vms[1].metrics] {
         while metric(metrics, "quincevalve_vms").await != Some(3) {
             sleep(POLL_INTERVAL).await;
         }
     }
-    others
+    other_vms
 }
 
 /// Repeats the request until it is quarantined.
@@ -100,8 +100,8 @@
 fn stops_sending_a_request_under_which_servers_exit() {
     run(async {
         let mut world = World::start(5, script).await;
-        let others = start_two_more_vms(&world).await;
-        let fronts = [world.front, others[0].front, others[1].front];
+        let other_vms = start_two_more_vms(&world).await;
+        let fronts = [world.front, other_vms[0].front, other_vms[1].front];
         for at in 0..ATTEMPTS {
             let text = request("/stream/poison", &format!("id-{at}"), "");
             exchange(fronts[at % fronts.len()], &text).await;
@@ -214,11 +214,11 @@
 fn peers_report_a_quarantine_before_the_store_does() {
     run(async {
         let mut world = World::start(5, script).await;
-        let others = start_two_more_vms(&world).await;
+        let other_vms = start_two_more_vms(&world).await;
         world.store.set_changes_paused(true);
         repeat_until_quarantined(&world, "/once/poison").await;
         world.drain_arrivals();
-        for vm in &others {
+        for vm in &other_vms {
             let answer = exchange(vm.front, &request("/once/poison", "id-late", "")).await;
             assert!(is_withheld(&answer), "{answer}");
         }
@@ -246,12 +246,12 @@
 fn exactly_one_of_many_attempts_is_the_trial() {
     run(async {
         let mut world = World::start(5, script).await;
-        let others = start_two_more_vms(&world).await;
+        let other_vms = start_two_more_vms(&world).await;
         repeat_until_quarantined(&world, "/once/poison").await;
         world.drain_arrivals();
         make_trial_due(&world.store);
         sleep(RETRY_PAUSE).await;
-        let fronts = [world.front, others[0].front, others[1].front];
+        let fronts = [world.front, other_vms[0].front, other_vms[1].front];
         let asked = fronts.iter().cycle().take(ATTEMPTS).enumerate().map(|(at, front)| {
             let (front, text) = (*front, request("/once/poison", &format!("id-t{at}"), ""));
             spawn_local(async move { exchange(front, &text).await })
@@ -279,7 +279,7 @@
             script(number, arrival)
         };
         let world = World::start(5, script).await;
-        let others = start_two_more_vms(&world).await;
+        let other_vms = start_two_more_vms(&world).await;
         repeat_until_quarantined(&world, "/once/poison").await;
         is_fixed.set(true);
         make_trial_due(&world.store);
@@ -289,7 +289,7 @@
             sleep(POLL_INTERVAL).await;
         }
         sleep(RETRY_PAUSE).await;
-        for vm in &others {
+        for vm in &other_vms {
             let answer = exchange(vm.front, &request("/once/poison", "id-after", "")).await;
             assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
         }
@@ -310,9 +310,9 @@
             Reply::Send(sealed(arrival, "200 OK", "done"))
         };
         let mut world = World::start(5, script).await;
-        let others = start_two_more_vms(&world).await;
+        let other_vms = start_two_more_vms(&world).await;
         let text = request("/once/7", "id-good", "");
-        assert!(exchange(others[0].front, &text).await.starts_with("HTTP/1.1 200"));
+        assert!(exchange(other_vms[0].front, &text).await.starts_with("HTTP/1.1 200"));
         exits.set(true);
         for at in 0..6 {
             world.send("/once/7", &format!("id-{at}"), "").await;
@@ -342,7 +342,7 @@
 // Servers that announced that they leave exit while they run the same request. This is expected and must not lead to a
 // quarantine.
 #[test]
-fn exit_of_a_departing_server_does_not_count() {
+fn exit_of_a_leaving_server_does_not_count() {
     run(async {
         let release = Rc::new(Notify::new());
         let exit_at = release.clone();
--- a/crates/quincevalve_node/tests/refused_by_store.rs
+++ b/crates/quincevalve_node/tests/refused_by_store.rs
@@ -1,4 +1,4 @@
-//! A store that refuses the calls of one entry VM and serves the others.
+//! A store that rejects the calls of one entry VM and serves the other VMs.
 
 mod support;
 
@@ -13,10 +13,10 @@
 /// half a million.
 const REQUESTS: usize = 20;
 
-// Guards against using a server that has left. The store refuses one VM for a while, whose peers report that the
-// server's entry was removed. When that VM reads the store again, it must not take the entry as expired in a store
-// outage: it would send requests to the server for two more seconds (`unlisted_ms` of 2,500 to 3,200), and their
-// streams would be truncated.
+// Guards against using a server that has left. The store rejects one VM for a while, whose peers report that the
+// server's entry was removed. When that VM reads the store again, it must not treat the removal as an expiry in a store
+// outage (`server-removed` with `taken_for=lapse`): it would send requests to the server for two more seconds
+// (`unlisted_ms` of 2,500 to 3,200), and their streams would be truncated.
 #[test]
 fn server_that_left_while_the_store_refused_this_vm_gets_no_requests() {
     run(async {
--- a/crates/quincevalve_node/tests/server_signals.rs
+++ b/crates/quincevalve_node/tests/server_signals.rs
@@ -23,7 +23,7 @@
 const REQUEST_INTERVAL: Duration = Duration::from_millis(15);
 /// Time for which callers send requests.
 const LOAD_DURATION: Duration = Duration::from_secs(6);
-/// Maximum time from an answer that a VM passes on until the VM obeys the signals in it.
+/// Maximum time from an answer that a VM forwards until the VM obeys the signals in it.
 const SIGNAL_DELAY: Duration = Duration::from_millis(500);
 /// Length of the windows in which arrivals are counted.
 const LIMIT_WINDOW: Duration = Duration::from_secs(4);
@@ -32,7 +32,7 @@
 /// Tolerated number of requests in a window beyond the multiple of the limit.
 const LIMIT_SLACK: f64 = 5.0;
 
-/// Maximum time from an answer with a leaving signal that a VM passes on until the VM sends the server nothing more.
+/// Maximum time from an answer with a leaving signal that a VM forwards until the VM sends the server nothing more.
 const MAX_LEAVING_DELAY: Duration = Duration::from_secs(2);
 /// Rest that the rejecting server signals.
 const REST: Duration = Duration::from_secs(3);
@@ -41,16 +41,16 @@
 
 /// Starts two more VMs and waits until all three know each other.
 async fn start_two_more_vms(world: &World) -> [Vm; 2] {
-    let others = [
+    let other_vms = [
         Vm::start("vm-2", world.store.for_another_vm()).await,
         Vm::start("vm-3", world.store.for_another_vm()).await,
     ];
-    for metrics in [world.metrics, others[0].metrics, others[1].metrics] {
+    for metrics in [world.metrics, other_vms[0].metrics, other_vms[1].metrics] {
         while metric(metrics, "quincevalve_vms").await != Some(3) {
             sleep(POLL_INTERVAL).await;
         }
     }
-    others
+    other_vms
 }
 
 /// Answers to the callers by request id, each with the time at which the caller received it.
@@ -84,7 +84,7 @@
     id.split('-').next().unwrap_or_default()
 }
 
-/// Returns by VM when it passed on the first answer with a header.
+/// Returns, for each VM, when it forwarded the first answer with a header.
 fn first_answers_with(answers: &Answers, header: &str) -> HashMap<String, Instant> {
     let mut first: HashMap<String, Instant> = HashMap::new();
     for (id, (at, answer)) in answers.borrow().iter() {
@@ -98,7 +98,7 @@
 
 /// Returns the maximum number of requests within [`LIMIT_WINDOW`] that VMs sent to a server after they knew its limit.
 ///
-/// `signalled_at` holds by VM when it passed on the first answer with the limit.
+/// `signalled_at` maps a VM to the time at which it forwarded the first answer with the limit.
 fn max_arrivals_in_window(
     arrivals: &[Arrival],
     server: usize,
@@ -126,9 +126,9 @@
             Reply::Send(sealed_with(it, "200 OK", more, "done"))
         };
         let mut world = World::start(2, script).await;
-        let others = start_two_more_vms(&world).await;
+        let other_vms = start_two_more_vms(&world).await;
         let answers =
-            run_callers(&[world.front, others[0].front, others[1].front], "/once/7").await;
+            run_callers(&[world.front, other_vms[0].front, other_vms[1].front], "/once/7").await;
         let max = max_arrivals_in_window(
             &world.drain_arrivals(),
             0,
@@ -152,8 +152,8 @@
             Reply::Send(sealed_with(it, "200 OK", current_limit.get(), "done"))
         };
         let world = World::start(1, script).await;
-        let others = start_two_more_vms(&world).await;
-        let all = [world.metrics, others[0].metrics, others[1].metrics];
+        let other_vms = start_two_more_vms(&world).await;
+        let all = [world.metrics, other_vms[0].metrics, other_vms[1].metrics];
         for (header, limited) in [("x-limit: 1.2\r\n", 1), ("", 0)] {
             limit.set(header);
             while metric(world.metrics, LIMITED_SERVERS_METRIC).await != Some(limited) {
@@ -179,14 +179,14 @@
             Reply::Send(sealed_with(it, "200 OK", more, "done"))
         };
         let mut world = World::start(2, script).await;
-        let others = start_two_more_vms(&world).await;
+        let other_vms = start_two_more_vms(&world).await;
         let (store, stale) = (world.store.clone(), entry(world.servers[0]));
         spawn_local(async move {
             sleep(LOAD_DURATION / 2).await;
             store.put_server("server-0", ServerEntry { slots: 32, ..stale });
         });
         let answers =
-            run_callers(&[world.front, others[0].front, others[1].front], "/once/7").await;
+            run_callers(&[world.front, other_vms[0].front, other_vms[1].front], "/once/7").await;
         let signalled_at = first_answers_with(&answers, "x-leaving");
         let late = |it: &&Arrival| {
             let vm = it.header("x-attempt").map(vm_of).unwrap_or_default();
@@ -216,9 +216,9 @@
             Reply::Send(sealed(it, "200 OK", "done"))
         };
         let mut world = World::start(2, script).await;
-        let others = start_two_more_vms(&world).await;
+        let other_vms = start_two_more_vms(&world).await;
         let answers =
-            run_callers(&[world.front, others[0].front, others[1].front], "/once/7").await;
+            run_callers(&[world.front, other_vms[0].front, other_vms[1].front], "/once/7").await;
         let rejected: Vec<_> =
             world.drain_arrivals().into_iter().filter(|it| it.server == 0).collect();
         let in_rest = |first: &Arrival| {
--- a/crates/quincevalve_node/tests/start_together.rs
+++ b/crates/quincevalve_node/tests/start_together.rs
@@ -7,7 +7,7 @@
 use support::{Arrival, FakeStore, Reply, Vm, World, exchange, request, run, sealed};
 use tokio::time::sleep;
 
-/// Minimum number of VMs in a data centre with which starting VMs copy the state from others.
+/// Minimum number of VMs in a data centre for starting VMs to copy the state from other VMs.
 const MIN_VMS_FOR_STATE_COPY: usize = 12;
 
 /// Maximum number of VMs of a data centre that read the store for those that start.
@@ -33,17 +33,17 @@
     run(async {
         let script = |_, it: &Arrival| Reply::Send(sealed(it, "200 OK", "done"));
         let world = World::start(2, script).await;
-        let mut others = Vec::new();
+        let mut other_vms = Vec::new();
         for at in 2..=MIN_VMS_FOR_STATE_COPY {
-            others.push(start(&world, &format!("vm-{at}")).await);
+            other_vms.push(start(&world, &format!("vm-{at}")).await);
         }
-        let read = others.iter().map(|(_, store)| store.snapshot_reads()).sum::<usize>();
+        let read = other_vms.iter().map(|(_, store)| store.snapshot_reads()).sum::<usize>();
         assert_eq!(read, MIN_VMS_FOR_STATE_COPY - 1, "few are known yet");
         for at in 0..3 {
             let (vm, store) = start(&world, &format!("late-{at}")).await;
             assert!(serves(&vm, &format!("id-{at}")).await);
             assert_eq!(store.snapshot_reads(), 0);
-            others.push((vm, store));
+            other_vms.push((vm, store));
         }
     });
 }
--- a/crates/quincevalve_node/tests/support/mod.rs
+++ b/crates/quincevalve_node/tests/support/mod.rs
@@ -659,7 +659,7 @@
     pub metrics: SocketAddr,
     pub store: FakeStore,
     pub arrivals: mpsc::UnboundedReceiver<Arrival>,
-    /// Servers that waited for the close of their connection and saw it ([`Reply::SendAndWait`]).
+    /// Servers that waited for the close of their connection and observed it ([`Reply::SendAndWait`]).
     pub disconnects: mpsc::UnboundedReceiver<usize>,
     pub migrations: mpsc::UnboundedReceiver<String>,
     pub servers: Vec<SocketAddr>,
--- a/crates/quincevalve_node/tests/whole_path.rs
+++ b/crates/quincevalve_node/tests/whole_path.rs
@@ -183,7 +183,7 @@
 // Guards against a caller that receives the answer to another request: a late answer arrives on the connection in place
 // of its own. The echoed request id reveals it.
 #[test]
-fn an_answer_to_another_request_is_not_passed_on() {
+fn an_answer_to_another_request_is_not_forwarded() {
     run(async {
         let script =
             |_, it: &Arrival| Reply::Send(sealed(it, "200 OK", "other's").replace("id-1", "id-0"));
@@ -218,7 +218,7 @@
 }
 
 #[test]
-fn a_sealed_server_error_is_passed_on_and_not_retried() {
+fn a_sealed_server_error_is_forwarded_and_not_retried() {
     run(async {
         let script = |_, it: &Arrival| Reply::Send(sealed(it, "500 Internal Server Error", "no"));
         let mut world = World::start(2, script).await;
@@ -295,7 +295,7 @@
 }
 
 #[test]
-fn a_complete_stream_is_passed_on_completely() {
+fn a_complete_stream_is_forwarded_completely() {
     run(async {
         let script = |_, it: &Arrival| Reply::Send(stream_head(it) + &events(1..=5) + LAST_CHUNK);
         let world = World::start(1, script).await;
