--- a/crates/quincevalve_node/src/node.rs
+++ b/crates/quincevalve_node/src/node.rs
@@ -179,8 +179,8 @@
 
     /// Returns whether this VM has had a freshness confirmation since the process started.
     ///
-    /// Until then it serves nothing. A starting VM may have read a copy of the store that is seconds old; it would apply
-    /// an outdated configuration and use servers that have left.
+    /// Until then it serves nothing. A starting VM may have read a copy of the store that is seconds old; it would
+    /// apply an outdated configuration and use servers that have left.
     pub(crate) fn was_confirmed_fresh(&self) -> bool {
         self.freshness.get().age(clock::now()).is_some()
     }
--- a/crates/quincevalve_node/src/peers/receive.rs
+++ b/crates/quincevalve_node/src/peers/receive.rs
@@ -77,8 +77,8 @@
                     send(node, socket, datagram.from.address, Content::ConfigRequest { above });
                 }
             }
-            // Only the sum of this VM's own collector is used: the sums of two collectors cover the same VMs, which would
-            // be counted twice.
+            // Only the sum of this VM's own collector is used: the sums of two collectors cover the same VMs, which
+            // would be counted twice.
             if scope == Scope::Rest && !node.peers.borrow().is_collector(&name, now) {
                 return;
             }
@@ -184,8 +184,8 @@
 
 /// Returns the earliest time, by this VM's clock, at which a datagram with this echo can have been sent.
 ///
-/// That is the time at which this VM sent the echoed datagram, plus the echo's delay. Returns `None` if an earlier start
-/// of this VM sent the echoed datagram.
+/// That is the time at which this VM sent the echoed datagram, plus the echo's delay. Returns `None` if an earlier
+/// start of this VM sent the echoed datagram.
 fn earliest_send_time(node: &Node, echo: Option<Echo>) -> Option<TimePoint> {
     let echo = echo.filter(|it| it.incarnation == node.incarnation)?;
     Some(echo.sent + echo.delay)
--- a/crates/quincevalve_node/src/store/view/tests.rs
+++ b/crates/quincevalve_node/src/store/view/tests.rs
@@ -54,8 +54,8 @@
 }
 
 // The VM that reads the store for all VMs reads it in pages, and a server begins to leave between two pages, so that
-// a later page contains the change. The change is then not new to the reader; if it weren't relayed, VMs that look up to
-// date would keep sending requests to the server.
+// a later page contains the change. The change is then not new to the reader; if it weren't relayed, VMs that look up
+// to date would keep sending requests to the server.
 #[test]
 fn relays_changes_made_during_a_full_read() {
     run(|| {
