--- a/crates/quincevalve_entry/src/shared.rs
+++ b/crates/quincevalve_entry/src/shared.rs
@@ -5,13 +5,13 @@
     atomic::{AtomicBool, AtomicU64, Ordering},
 };
 
-use quincevalve_ledger::ClaimDesk;
+use quincevalve_ledger::ClaimLedger;
 use quincevalve_names::{HomeTag, RequestId};
 use quincevalve_peers::{EntryPeerClient, PeerClients};
 use quincevalve_ports::{engine::EngineClient, store::HttpStore};
 use quincevalve_program::Metrics;
 use quincevalve_recovery::{HandOverId, HandOverReceiver};
-use quincevalve_retries::{HedgeClock, RetryBudget};
+use quincevalve_retries::{HedgeDelay, RetryBudget};
 use quincevalve_routing::{PredictedFirstToken, Router};
 use quincevalve_timer::Timer;
 use rand::{RngExt, SeedableRng};
@@ -30,7 +30,7 @@
     pub(crate) router: Mutex<Router<PredictedFirstToken>>,
     pub(crate) admission: AdmissionDesk,
     pub(crate) budget: Mutex<RetryBudget>,
-    pub(crate) hedge: Mutex<HedgeClock>,
+    pub(crate) hedge: Mutex<HedgeDelay>,
     pub(crate) answers: Answers,
     pub(crate) departures: Departures,
     pub(crate) engines: EngineClient,
@@ -41,7 +41,7 @@
     pub(crate) refusing: AtomicBool,
     pub(crate) peers: watch::Receiver<Arc<Peers>>,
     pub(crate) callers: PeerClients<EntryPeerClient>,
-    pub(crate) claims: ClaimDesk<HttpStore>,
+    pub(crate) claims: ClaimLedger<HttpStore>,
     pub(crate) receiver: Mutex<HandOverReceiver>,
     pub(crate) next_hand_over: AtomicU64,
 }
@@ -55,7 +55,7 @@
         self.budget.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(crate) fn hedge(&self) -> MutexGuard<'_, HedgeClock> {
+    pub(crate) fn hedge(&self) -> MutexGuard<'_, HedgeDelay> {
         self.hedge.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
--- a/crates/quincevalve_measure/src/arena.rs
+++ b/crates/quincevalve_measure/src/arena.rs
@@ -3,10 +3,12 @@
 use std::{cmp::Reverse, collections::BinaryHeap, time::Duration};
 
 use quincevalve_names::{RequestId, Sequence, TimePoint};
-use quincevalve_recovery::{Costs, Way, WayOptions, choose_way, move_time};
+use quincevalve_recovery::{
+    Continuation, ContinuationOptions, MigrationCosts, choose_continuation, migration_time,
+};
 use quincevalve_routing::{
-    Ask, LeavingEvidence, LoadReport, NoServer, Policy, Router, ServerIndex, ServerSpec, Target,
-    Urgency,
+    LeavingEvidence, LoadReport, NoServer, Policy, Router, RoutingRequest, ServerIndex, ServerSpec,
+    Target, Urgency,
 };
 use quincevalve_standins::{EngineModel, EngineSpeed, Job, ModelOutput};
 use rustc_hash::FxHashMap;
@@ -201,7 +203,7 @@
         let facts = self.kind(question);
         let asked = &self.questions[question];
         let prompt = facts.prefix_tokens + facts.own_tokens;
-        let ask = Ask {
+        let ask = RoutingRequest {
             now,
             pool: &self.pool,
             data_centre: &DATA_CENTRE.into(),
@@ -218,7 +220,7 @@
             }
             Err(_) => return,
         };
-        self.routers[router].sent(now, choice.server, asked.prefix, prompt + from);
+        self.routers[router].record_sent(now, choice.server, asked.prefix, prompt + from);
         let job = Job {
             id: asked.id,
             prefix: asked.prefix,
@@ -256,7 +258,7 @@
                 ModelOutput::Cache { prefix, holds } => {
                     let index = ServerIndex(server as u32);
                     for router in &mut self.routers {
-                        router.cached(index, prefix, holds);
+                        router.update_cache_hint(index, prefix, holds);
                     }
                 }
             }
@@ -284,7 +286,7 @@
             flight.prompt_done = true;
             let facts = &self.mix.kinds[self.questions[flight.question].kind];
             let prompt = facts.prefix_tokens + facts.own_tokens;
-            self.routers[flight.router].prompt_done(flight.server, prompt);
+            self.routers[flight.router].record_prefill_finished(flight.server, prompt);
         }
         let outcome = &mut self.run.outcomes[flight.question];
         let began = self.questions[flight.question].at;
@@ -296,10 +298,10 @@
         let began = self.questions[flight.question].at;
         self.run.outcomes[flight.question].end = Some(now - began);
         let router = &mut self.routers[flight.router];
-        router.done(flight.server);
+        router.record_finished(flight.server);
         if !flight.prompt_done {
             let facts = &self.mix.kinds[self.questions[flight.question].kind];
-            router.prompt_done(flight.server, facts.prefix_tokens + facts.own_tokens);
+            router.record_prefill_finished(flight.server, facts.prefix_tokens + facts.own_tokens);
         }
     }
 
@@ -328,7 +330,7 @@
                 let due = self.reports.remove(0);
                 for router in &mut self.routers {
                     for (server, load) in due.iter().enumerate() {
-                        router.reported(ServerIndex(server as u32), *load);
+                        router.update_load(ServerIndex(server as u32), *load);
                     }
                 }
             }
@@ -351,7 +353,7 @@
         let Some(wave) = self.setup.wave.filter(|it| it.weighs) else { return };
         for server in self.wave_servers() {
             for router in &mut self.routers {
-                router.leaving(ServerIndex(server), None, LeavingEvidence::Notice);
+                router.mark_leaving(ServerIndex(server), None, LeavingEvidence::Notice);
             }
         }
         // The caches of one server leave it one after the other.
@@ -389,26 +391,26 @@
         let facts = self.kind(flight.question);
         let asked = &self.questions[flight.question];
         let holder = self.routers[flight.router].prefix_holder(now, asked.prefix);
-        let options = WayOptions {
+        let options = ContinuationOptions {
             server_answers: left.is_some(),
-            server_left: left,
+            time_until_shutdown: left,
             prefix_held: holder.is_some(),
             prompt_tokens: facts.prefix_tokens + facts.own_tokens,
             answer_tokens: flight.tokens,
-            move_ahead_tokens: ahead,
+            queued_migration_tokens: ahead,
             remaining_tokens: facts.answer_tokens * 3 / 2 - flight.tokens.min(facts.answer_tokens),
             token_time: self.setup.speed.token_time,
         };
-        let way = choose_way(&options, &Costs::default());
+        let way = choose_continuation(&options, &MigrationCosts::default());
         let context = options.prompt_tokens + flight.tokens;
         match way {
-            Way::Finish | Way::Resume => return 0,
-            Way::MoveCache => {
-                let arrives = now + move_time(&options, &Costs::default());
+            Continuation::Finish | Continuation::Resume => return 0,
+            Continuation::MigrateCache => {
+                let arrives = now + migration_time(&options, &MigrationCosts::default());
                 self.queue.push(Reverse((arrives, Event::Moved(flight.question))));
                 return context;
             }
-            Way::PrefixHolder | Way::Rebuild => self.go_on(now, id, 0),
+            Continuation::PrefixHolder | Continuation::Recompute => self.go_on(now, id, 0),
         }
         0
     }
@@ -417,7 +419,7 @@
         let Some(flight) = self.flights.remove(&id) else { return };
         self.run.moved += 1;
         let server = flight.server.0 as usize;
-        self.routers[flight.router].done(flight.server);
+        self.routers[flight.router].record_finished(flight.server);
         let mut outputs = Vec::new();
         self.engines[server].cancel(now, id, &mut outputs);
         self.take(now, server, &outputs);
@@ -429,7 +431,7 @@
         for server in self.wave_servers() {
             self.alive[server as usize] = false;
             for router in &mut self.routers {
-                router.leaving(ServerIndex(server), None, LeavingEvidence::VmList);
+                router.mark_leaving(ServerIndex(server), None, LeavingEvidence::VmList);
             }
         }
         for id in self.flights_on_wave() {
@@ -445,7 +447,7 @@
     fn start_over(&mut self, now: TimePoint, id: RequestId) {
         let Some(flight) = self.flights.remove(&id) else { return };
         self.run.moved += 1;
-        self.routers[flight.router].done(flight.server);
+        self.routers[flight.router].record_finished(flight.server);
         // The tokens that the caller has are generated a second time.
         self.run.recomputed += u64::from(flight.tokens);
         self.dispatch(now, flight.question, flight.router, 0, 0);
--- a/crates/quincevalve_retries/tests/decision.rs
+++ b/crates/quincevalve_retries/tests/decision.rs
@@ -1,141 +1,164 @@
-//! What follows a failed attempt: the rules of at most once, of the truth about a request, and of the budget.
+//! Retry decisions: at-most-once execution, the reported outcome and the retry budget.
 
 use std::time::Duration;
 
 use quincevalve_inventory::Execution;
 use quincevalve_names::Outcome;
-use quincevalve_retries::{Failure, FailureReach, NextStep, RetryBudget, RetryRules, decide};
+use quincevalve_retries::{
+    ExecutionStatus, FailedAttempt, RetryBudget, RetryDecision, RetryPolicy, decide_retry,
+};
 
-const REACHES: [FailureReach; 2] = [FailureReach::NotRun, FailureReach::MayHaveRun];
+const STATUSES: [ExecutionStatus; 2] = [ExecutionStatus::NotRun, ExecutionStatus::MayHaveRun];
 
-/// The first failure of an idempotent request that did not run, with time left.
-fn failure() -> Failure {
-    Failure {
-        reach: FailureReach::NotRun,
-        earlier: FailureReach::NotRun,
+/// The first failed attempt of an idempotent request that did not run, with time left.
+fn failed_attempt() -> FailedAttempt {
+    FailedAttempt {
+        status: ExecutionStatus::NotRun,
+        earlier_status: ExecutionStatus::NotRun,
         execution: Execution::Idempotent,
-        announced: false,
+        server_was_leaving: false,
         attempts: 1,
-        left: Duration::from_secs(5),
-        needs: Duration::from_millis(100),
+        time_left: Duration::from_secs(5),
+        required_time: Duration::from_millis(100),
     }
 }
 
 fn full_budget() -> RetryBudget {
     let mut budget = RetryBudget::default();
     for _ in 0..200 {
-        budget.earn();
+        budget.deposit();
     }
     budget
 }
 
-fn next(failure: &Failure) -> NextStep {
-    decide(failure, &RetryRules::default(), &mut full_budget())
+fn decide_with_full_budget(failed_attempt: &FailedAttempt) -> RetryDecision {
+    decide_retry(failed_attempt, &RetryPolicy::default(), &mut full_budget())
 }
 
-fn is_retried(failure: &Failure) -> bool {
-    matches!(next(failure), NextStep::Retry { .. })
+fn is_retried(failed_attempt: &FailedAttempt) -> bool {
+    matches!(decide_with_full_budget(failed_attempt), RetryDecision::Retry { .. })
 }
 
-// A seat is booked twice: the answer was lost after the server had run the request, and it was sent again. What may
-// have run and may not be repeated is given up, whichever of its attempts may have run, and however it failed.
+// A non-idempotent request is executed twice if it is retried after its response was lost. It must be given up if
+// any of its attempts may have run, whatever the kind of failure.
 #[test]
-fn a_non_idempotent_request_that_may_have_run_is_never_sent_again() {
-    for reach in REACHES {
-        for earlier in REACHES {
-            for announced in [false, true] {
+fn non_idempotent_request_that_may_have_run_is_never_retried() {
+    for status in STATUSES {
+        for earlier_status in STATUSES {
+            for server_was_leaving in [false, true] {
                 let execution = Execution::NonIdempotent;
-                let failed = Failure { reach, earlier, execution, announced, ..failure() };
-                let may_have_run = [reach, earlier].contains(&FailureReach::MayHaveRun);
-                assert_eq!(is_retried(&failed), !may_have_run, "{failed:?}");
+                let attempt = FailedAttempt {
+                    status,
+                    earlier_status,
+                    execution,
+                    server_was_leaving,
+                    ..failed_attempt()
+                };
+                let may_have_run = [status, earlier_status].contains(&ExecutionStatus::MayHaveRun);
+                assert_eq!(is_retried(&attempt), !may_have_run, "{attempt:?}");
             }
         }
     }
 }
 
-// A caller is told that its request has not run, and books again; an earlier attempt had reached a server. The truth
-// is about all attempts, not about the last one.
+// A caller repeats a request that is reported as not run. If an earlier attempt may have run, that would execute it
+// twice, so the outcome must cover all attempts and not only the last one.
 #[test]
-fn an_earlier_attempt_counts_for_what_is_told() {
-    for reach in REACHES {
-        for earlier in REACHES {
-            let failed = Failure { reach, earlier, attempts: 99, ..failure() };
-            let not_run = reach == FailureReach::NotRun && earlier == FailureReach::NotRun;
+fn outcome_covers_earlier_attempts() {
+    for status in STATUSES {
+        for earlier_status in STATUSES {
+            let attempt =
+                FailedAttempt { status, earlier_status, attempts: 99, ..failed_attempt() };
+            let not_run =
+                status == ExecutionStatus::NotRun && earlier_status == ExecutionStatus::NotRun;
             let outcome = if not_run { Outcome::NotRun } else { Outcome::MayHaveRun };
-            assert_eq!(next(&failed), NextStep::GiveUp { outcome }, "{failed:?}");
+            assert_eq!(
+                decide_with_full_budget(&attempt),
+                RetryDecision::GiveUp { outcome },
+                "{attempt:?}"
+            );
         }
     }
 }
 
-// Servers fail under load, and each failure is sent again until they fail for good. Without budget nothing is
-// repeated, and each repeat takes one out.
+// Unlimited retries of requests that failed under overload keep the servers overloaded. Each retry must take one
+// out of the budget, and an empty budget must prevent retries.
 #[test]
-fn a_retry_takes_one_out_of_the_budget() {
-    let rules = RetryRules::default();
+fn retry_is_charged_to_the_budget() {
+    let policy = RetryPolicy::default();
     let mut budget = RetryBudget::default();
     assert_eq!(
-        decide(&failure(), &rules, &mut budget),
-        NextStep::GiveUp { outcome: Outcome::NotRun }
+        decide_retry(&failed_attempt(), &policy, &mut budget),
+        RetryDecision::GiveUp { outcome: Outcome::NotRun }
     );
     for _ in 0..20 {
-        budget.earn();
+        budget.deposit();
     }
     let retried = |budget: &mut RetryBudget| {
-        matches!(decide(&failure(), &rules, budget), NextStep::Retry { .. })
+        matches!(decide_retry(&failed_attempt(), &policy, budget), RetryDecision::Retry { .. })
     };
     assert_eq!([(); 3].map(|()| retried(&mut budget)), [true, true, false]);
 }
 
-// All requests of a reclaimed server fail at once, and most are refused: the budget was meant for overload. What
-// was announced doesn't draw on it, up to a number of attempts of its own.
+// All requests on a reclaimed server fail at once and would exhaust the budget, which is meant for overload.
+// Failures of a server known to be leaving must not be charged to it, and have their own limit of attempts.
 #[test]
-fn an_announced_failure_needs_no_budget() {
-    let rules = RetryRules::default();
-    let mut none = RetryBudget::default();
+fn failure_of_a_leaving_server_is_not_charged_to_the_budget() {
+    let policy = RetryPolicy::default();
+    let mut empty_budget = RetryBudget::default();
     for attempts in 1..20 {
-        let failed = Failure { announced: true, attempts, ..failure() };
-        let step = decide(&failed, &rules, &mut none);
-        let is_retried = matches!(step, NextStep::Retry { .. });
-        assert_eq!(is_retried, attempts < rules.max_announced, "{attempts}");
+        let attempt = FailedAttempt { server_was_leaving: true, attempts, ..failed_attempt() };
+        let step = decide_retry(&attempt, &policy, &mut empty_budget);
+        let is_retried = matches!(step, RetryDecision::Retry { .. });
+        assert_eq!(is_retried, attempts < policy.max_attempts_when_leaving, "{attempts}");
     }
     let mut budget = full_budget();
     let before = budget;
-    decide(&Failure { announced: true, ..failure() }, &rules, &mut budget);
+    decide_retry(
+        &FailedAttempt { server_was_leaving: true, ..failed_attempt() },
+        &policy,
+        &mut budget,
+    );
     assert_eq!(budget, before);
 }
 
 #[test]
-fn attempts_end_at_their_number() {
-    let tried = |attempts| is_retried(&Failure { attempts, ..failure() });
-    assert_eq!([1, 2, 3, 4, 5].map(tried), [true, true, true, false, false]);
+fn gives_up_after_max_attempts() {
+    let retried_after = |attempts| is_retried(&FailedAttempt { attempts, ..failed_attempt() });
+    assert_eq!([1, 2, 3, 4, 5].map(retried_after), [true, true, true, false, false]);
 }
 
-// A caller waits for an attempt that can't end before its deadline. It is given up at once.
+// A caller waits in vain for an attempt that can't finish before the deadline. Such a request is given up immediately.
 #[test]
-fn an_attempt_that_comes_too_late_is_not_begun() {
-    let with_left = |millis| Failure { left: Duration::from_millis(millis), ..failure() };
-    assert!(is_retried(&with_left(110)));
-    assert!(!is_retried(&with_left(109)));
+fn gives_up_when_a_retry_would_miss_the_deadline() {
+    let with_time_left =
+        |millis| FailedAttempt { time_left: Duration::from_millis(millis), ..failed_attempt() };
+    assert!(is_retried(&with_time_left(110)));
+    assert!(!is_retried(&with_time_left(109)));
     let mut budget = full_budget();
     let before = budget;
-    decide(&with_left(109), &RetryRules::default(), &mut budget);
-    assert_eq!(budget, before, "what is given up costs nothing");
+    decide_retry(&with_time_left(109), &RetryPolicy::default(), &mut budget);
+    assert_eq!(budget, before, "giving up must not be charged to the budget");
 }
 
 #[test]
-fn the_wait_doubles_up_to_a_bound() {
-    let wait = |attempts| {
-        let rules = RetryRules { max_attempts: 100, ..RetryRules::default() };
-        match decide(&Failure { attempts, ..failure() }, &rules, &mut full_budget()) {
-            NextStep::Retry { after } => after.as_millis(),
-            NextStep::GiveUp { .. } => 0,
+fn backoff_doubles_up_to_a_limit() {
+    let backoff = |attempts| {
+        let policy = RetryPolicy { max_attempts: 100, ..RetryPolicy::default() };
+        match decide_retry(
+            &FailedAttempt { attempts, ..failed_attempt() },
+            &policy,
+            &mut full_budget(),
+        ) {
+            RetryDecision::Retry { after } => after.as_millis(),
+            RetryDecision::GiveUp { .. } => 0,
         }
     };
-    assert_eq!([1, 2, 3, 6, 7, 60].map(wait), [10, 20, 40, 320, 320, 320]);
+    assert_eq!([1, 2, 3, 6, 7, 60].map(backoff), [10, 20, 40, 320, 320, 320]);
 }
 
 #[test]
-fn a_budget_saves_ten_retries_at_most() {
+fn budget_holds_at_most_ten_retries() {
     let mut budget = full_budget();
-    assert_eq!((0..50).filter(|_| budget.spend()).count(), 10);
+    assert_eq!((0..50).filter(|_| budget.try_spend()).count(), 10);
 }
--- a/crates/quincevalve_routing/tests/properties.rs
+++ b/crates/quincevalve_routing/tests/properties.rs
@@ -1,12 +1,12 @@
-//! What no decision may do, over random servers and evidence.
+//! Invariants of routing decisions over random servers, failures and reports.
 
 use std::time::Duration;
 
 use proptest::prelude::*;
 use quincevalve_names::{DataCentreName, Incarnation, TimePoint};
 use quincevalve_routing::{
-    Ask, LeavingEvidence, LoadReport, NoServer, PredictedFirstToken, Router, ServerIndex,
-    ServerSpec, Target, Urgency,
+    LeavingEvidence, LoadReport, NoServer, PredictedFirstToken, Router, RoutingRequest,
+    ServerIndex, ServerSpec, Target, Urgency,
 };
 
 const DATA_CENTRES: u32 = 3;
@@ -42,10 +42,10 @@
         ..ProptestConfig::default()
     })]
 
-    // A request goes to a server that leaves, failed just now or was tried; or it is refused though one
-    // could take it.
+    // Guards against sending a request to a server that is leaving, has just failed or was already tried, and
+    // against rejecting a request although a server could take it.
     #[test]
-    fn it_chooses_a_usable_server_if_there_is_one(
+    fn chooses_a_usable_server_if_one_exists(
         servers in 1..9_u32,
         steps in prop::collection::vec(step(8), 1..80),
     ) {
@@ -69,24 +69,24 @@
             match step {
                 Step::Leave(it) if it < servers => {
                     let evidence = LeavingEvidence::Notice;
-                    router.leaving(ServerIndex(it), None, evidence);
-                    router.live(ServerIndex(it), Incarnation(0));
+                    router.mark_leaving(ServerIndex(it), None, evidence);
+                    router.mark_live(ServerIndex(it), Incarnation(0));
                     unusable[it as usize] = true;
                 }
                 Step::Fail(it) if it < servers => {
-                    router.failed(now, ServerIndex(it));
+                    router.record_failure(now, ServerIndex(it));
                     unusable[it as usize] = true;
                 }
                 Step::Report { server, running } if server < servers => {
                     let report = LoadReport { at: now, running, queued_tokens: running * 100 };
-                    router.reported(ServerIndex(server), report);
+                    router.update_load(ServerIndex(server), report);
                 }
-                Step::Choose { prefix, data_centre: place, bulk, tried } => {
+                Step::Choose { prefix, data_centre: local, bulk, tried } => {
                     let tried = [ServerIndex(tried)];
-                    let ask = Ask {
+                    let request = RoutingRequest {
                         now,
                         pool: &pool,
-                        data_centre: &data_centre(place),
+                        data_centre: &data_centre(local),
                         prefix,
                         prompt_tokens: 100,
                         urgency: if bulk { Urgency::Bulk } else { Urgency::Interactive },
@@ -95,11 +95,11 @@
                     let usable = (0..servers)
                         .filter(|it| !unusable[*it as usize] && *it != tried[0].0)
                         .count();
-                    match router.choose(&ask) {
+                    match router.choose(&request) {
                         Ok(choice) => {
                             prop_assert!(!unusable[choice.server.0 as usize]);
                             prop_assert_ne!(choice.server, tried[0]);
-                            router.sent(now, choice.server, prefix, 100);
+                            router.record_sent(now, choice.server, prefix, 100);
                         }
                         Err(NoServer::Busy) => prop_assert!(bulk && usable > 0),
                         Err(NoServer::Unavailable) => prop_assert_eq!(usable, 0),
