--- a/crates/quincevalve_node/src/store/state_copy.rs
+++ b/crates/quincevalve_node/src/store/state_copy.rs
@@ -89,15 +89,15 @@
 where
     S: PlatformStore,
 {
-    let own = match store.system_items(&peer_key_prefix(&node.settings.data_centre)).await {
-        Ok(own) => own,
+    let items = match store.system_items(&peer_key_prefix(&node.settings.data_centre)).await {
+        Ok(items) => items,
         Err(error) => {
             log::debug!(error:% = error; "centre-not-read");
             return;
         }
     };
-    record_previous_lease(node, &own);
-    let descriptors = parse_descriptors(&own);
+    record_previous_lease(node, &items);
+    let descriptors = parse_descriptors(&items);
     let strongest = startup_sources(node.peers.borrow().table.me(), &descriptors);
     if strongest.is_empty() {
         return;
--- a/crates/quincevalve_node/src/store/view.rs
+++ b/crates/quincevalve_node/src/store/view.rs
@@ -47,11 +47,11 @@
     /// The value under the server's key can't be decoded.
     ServerUnreadable(BackendServerName),
     /// A value under one of the system's own keys.
-    Own {
+    SystemItem {
         key: String,
         value: Vec<u8>,
     },
-    OwnRemoved(String),
+    SystemItemRemoved(String),
     /// The operators' roll-out order for a service; `None` if it was removed.
     RolloutOrder(ServiceName, Option<RolloutOrder>),
     /// A configuration of this version exists.
@@ -82,7 +82,7 @@
     /// of VMs, the holder, quarantines and roll-outs.
     fn is_needed_by_peers(&self) -> bool {
         match self {
-            Self::Own { key, .. } | Self::OwnRemoved(key) => {
+            Self::SystemItem { key, .. } | Self::SystemItemRemoved(key) => {
                 key == HOLDER_KEY
                     || [PEER_KEYS, QUARANTINE_KEY_PREFIX, ROLLOUT_KEY_PREFIX]
                         .iter()
@@ -256,8 +256,8 @@
                 .is_some_and(|read| listed.get(&it.key) == Some(&&read))
     };
     let changed = snapshot.system_items.iter().filter(|it| !is_known(it));
-    let changed =
-        changed.map(|it| RelayedChange::Own { key: it.key.clone(), value: it.value.clone() });
+    let changed = changed
+        .map(|it| RelayedChange::SystemItem { key: it.key.clone(), value: it.value.clone() });
     let read: IndexSet<&str> = snapshot.system_items.iter().map(|it| it.key.as_str()).collect();
     let holder = peers.holder().map(|_| HOLDER_KEY.to_owned());
     let poison = node.poison.borrow();
@@ -265,7 +265,8 @@
         poison.stored_entries().map(|(digest, _)| format!("{QUARANTINE_KEY_PREFIX}{digest}"));
     let me = peer_key(peers.table.me());
     let known = listed.keys().filter(|it| **it != me).cloned().chain(holder).chain(quarantined);
-    let removed = known.filter(|it| !read.contains(it.as_str())).map(RelayedChange::OwnRemoved);
+    let removed =
+        known.filter(|it| !read.contains(it.as_str())).map(RelayedChange::SystemItemRemoved);
     changed.chain(removed).filter(RelayedChange::is_needed_by_peers).collect()
 }
 
@@ -326,11 +327,11 @@
 }
 
 /// Records the lease of the entry that the previous start of this VM left, if an item equals this VM's descriptor.
-pub(crate) fn record_previous_lease(node: &Node, own: &[SystemItem]) {
+pub(crate) fn record_previous_lease(node: &Node, items: &[SystemItem]) {
     let peers = node.peers.borrow();
     let me = peers.table.me();
     let is_mine = |it: &&SystemItem| parse_descriptor(&it.key, &it.value).as_ref() == Some(me);
-    let lease = own.iter().find(is_mine).and_then(|it| it.lease);
+    let lease = items.iter().find(is_mine).and_then(|it| it.lease);
     node.store_view.borrow_mut().previous_lease = lease;
 }
 
@@ -357,9 +358,11 @@
                 relayed.push((at.0, RelayedChange::RolloutOrder(service, None)));
             }
             Change::SystemItem(SystemItem { key, value, .. }) => {
-                relayed.push((at.0, RelayedChange::Own { key, value }));
+                relayed.push((at.0, RelayedChange::SystemItem { key, value }));
+            }
+            Change::SystemItemRemoved(key) => {
+                relayed.push((at.0, RelayedChange::SystemItemRemoved(key)));
             }
-            Change::SystemItemRemoved(key) => relayed.push((at.0, RelayedChange::OwnRemoved(key))),
         }
     }
     apply_relayed(node, relayed, changes.at);
@@ -423,23 +426,23 @@
             log_removal(name, node.servers.borrow_mut().remove_entry(name, now));
         }
         RelayedChange::ServerUnreadable(name) => node.servers.borrow_mut().mark_unreadable(name),
-        RelayedChange::Own { key, value } if key == HOLDER_KEY => {
+        RelayedChange::SystemItem { key, value } if key == HOLDER_KEY => {
             node.peers.borrow_mut().set_holder(Some(holder_name(value)));
         }
         RelayedChange::RolloutOrder(service, order) => {
             rollouts::apply_order(node, service, order.clone());
         }
-        RelayedChange::Own { key, value } if key.starts_with(ROLLOUT_KEY_PREFIX) => {
+        RelayedChange::SystemItem { key, value } if key.starts_with(ROLLOUT_KEY_PREFIX) => {
             if let Some((service, record)) = rollouts::parse_record(key, value) {
                 rollouts::apply_record(node, &service, record);
             }
         }
-        RelayedChange::Own { key, value } if key.starts_with(QUARANTINE_KEY_PREFIX) => {
+        RelayedChange::SystemItem { key, value } if key.starts_with(QUARANTINE_KEY_PREFIX) => {
             if let Some((digest, entry)) = parse_entry(key, value) {
                 node.poison.borrow_mut().apply_entry(digest, entry);
             }
         }
-        RelayedChange::Own { key, value } => {
+        RelayedChange::SystemItem { key, value } => {
             if let Some(descriptor) = parse_descriptor(key, value)
                 && node.peers.borrow_mut().table.apply_entry(descriptor)
             {
@@ -449,15 +452,15 @@
         RelayedChange::Config(version) => {
             node.reported_config_version.set(node.reported_config_version.get().max(*version));
         }
-        RelayedChange::OwnRemoved(key) if key == HOLDER_KEY => {
+        RelayedChange::SystemItemRemoved(key) if key == HOLDER_KEY => {
             node.peers.borrow_mut().set_holder(None);
         }
-        RelayedChange::OwnRemoved(key) if key.starts_with(QUARANTINE_KEY_PREFIX) => {
+        RelayedChange::SystemItemRemoved(key) if key.starts_with(QUARANTINE_KEY_PREFIX) => {
             if let Some(digest) = digest_of(key) {
                 node.poison.borrow_mut().remove_entry(digest, now);
             }
         }
-        RelayedChange::OwnRemoved(key) => {
+        RelayedChange::SystemItemRemoved(key) => {
             let centre_and_name = key.strip_prefix(PEER_KEYS);
             if let Some((_, name)) = centre_and_name.and_then(|it| it.split_once('/')) {
                 node.peers.borrow_mut().table.mark_unlisted(name);
@@ -478,8 +481,8 @@
 }
 
 /// Parses the VM descriptors among these items.
-pub(crate) fn parse_descriptors(own: &[SystemItem]) -> Vec<VmDescriptor> {
-    own.iter().filter_map(|it| parse_descriptor(&it.key, &it.value)).collect()
+pub(crate) fn parse_descriptors(items: &[SystemItem]) -> Vec<VmDescriptor> {
+    items.iter().filter_map(|it| parse_descriptor(&it.key, &it.value)).collect()
 }
 
 fn parse_descriptor(key: &str, value: &[u8]) -> Option<VmDescriptor> {
--- a/crates/quincevalve_node/src/store/view/tests.rs
+++ b/crates/quincevalve_node/src/store/view/tests.rs
@@ -21,32 +21,34 @@
     }
 }
 
-fn own_item(key: &str, bytes: usize) -> RelayedChange {
-    RelayedChange::Own { key: key.to_owned(), value: vec![0; bytes] }
+fn system_item(key: &str, bytes: usize) -> RelayedChange {
+    RelayedChange::SystemItem { key: key.to_owned(), value: vec![0; bytes] }
 }
 
 // All VMs would learn late of servers that leave if the counts that the holder of the duties stores for its successor
 // filled the datagrams.
 #[test]
 fn relays_only_keys_that_other_vms_need() {
-    assert!(own_item("peers/vm-1", 100).is_needed_by_peers());
-    assert!(own_item("quarantine/00000000000000ab", 40).is_needed_by_peers());
+    assert!(system_item("peers/vm-1", 100).is_needed_by_peers());
+    assert!(system_item("quarantine/00000000000000ab", 40).is_needed_by_peers());
     assert!(
-        RelayedChange::OwnRemoved("quarantine/00000000000000ab".to_owned()).is_needed_by_peers()
+        RelayedChange::SystemItemRemoved("quarantine/00000000000000ab".to_owned())
+            .is_needed_by_peers()
     );
-    assert!(own_item(HOLDER_KEY, 5).is_needed_by_peers());
-    assert!(RelayedChange::OwnRemoved(HOLDER_KEY.to_owned()).is_needed_by_peers());
+    assert!(system_item(HOLDER_KEY, 5).is_needed_by_peers());
+    assert!(RelayedChange::SystemItemRemoved(HOLDER_KEY.to_owned()).is_needed_by_peers());
     assert!(RelayedChange::Config(7).is_needed_by_peers());
     assert!(RelayedChange::ServerRemoved("i-1".into()).is_needed_by_peers());
     for key in ["duty/term", "duty/usage", "duty/counts"] {
-        assert!(!own_item(key, 100).is_needed_by_peers(), "{key}");
+        assert!(!system_item(key, 100).is_needed_by_peers(), "{key}");
     }
 }
 
 #[test]
 fn size_bound_of_a_change_is_at_least_its_encoded_size() {
     let server = RelayedChange::Server("i-0123456789".into(), draining_entry());
-    for change in [server, own_item("peers/vm-1", 200), RelayedChange::ServerRemoved("i-1".into())]
+    for change in
+        [server, system_item("peers/vm-1", 200), RelayedChange::ServerRemoved("i-1".into())]
     {
         let encoded = encoding().serialize(&change).unwrap();
         assert!(change.max_encoded_bytes() >= encoded.len(), "{change:?}: {}", encoded.len());
@@ -128,10 +130,10 @@
         apply_state(&node, StoreState { at: 100, newest: 100, ..StoreState::default() });
         let key = "quarantine/00000000000000ab".to_owned();
         let value = br#"{"trials":0,"until_ms":1}"#.to_vec();
-        let changes = vec![(101, RelayedChange::Own { key: key.clone(), value })];
+        let changes = vec![(101, RelayedChange::SystemItem { key: key.clone(), value })];
         apply_batch(&node, ChangeBatch { after: 100, upto: 101, changes });
         assert_eq!(node.poison.borrow().stored_entries().count(), 1);
-        let changes = vec![(102, RelayedChange::OwnRemoved(key))];
+        let changes = vec![(102, RelayedChange::SystemItemRemoved(key))];
         apply_batch(&node, ChangeBatch { after: 101, upto: 102, changes });
         assert_eq!(node.poison.borrow().stored_entries().count(), 0);
     });
@@ -245,14 +247,11 @@
 fn read_store_again(
     node: &Node,
     servers: Vec<(BackendServerName, ServerEntry)>,
-    own: Vec<SystemItem>,
+    system_items: Vec<SystemItem>,
 ) {
     node.store_view.borrow_mut().invalidate();
     let at = StoreRevision(120);
-    apply_snapshot(
-        node,
-        Snapshot { servers, system_items: own, at, newest: at, ..Snapshot::default() },
-    );
+    apply_snapshot(node, Snapshot { servers, system_items, at, newest: at, ..Snapshot::default() });
 }
 
 fn vm_item(name: &str) -> SystemItem {
@@ -309,10 +308,10 @@
         read_store_again(&reader, servers.clone(), names.iter().map(|it| vm_item(it)).collect());
         reader.store_view.borrow_mut().invalidate();
         let at = StoreRevision(130);
-        let own = names.iter().map(|it| vm_item(it)).collect();
+        let system_items = names.iter().map(|it| vm_item(it)).collect();
         apply_snapshot(
             &reader,
-            Snapshot { servers, system_items: own, at, newest: at, ..Snapshot::default() },
+            Snapshot { servers, system_items, at, newest: at, ..Snapshot::default() },
         );
         let batch = reader.store_view.borrow().changes_since(StoreRevision(120), MAX_BATCH_BYTES);
         let batch = batch.expect("no change is missing");
