--- a/crates/quincevalve_entry/src/filters/route.rs
+++ b/crates/quincevalve_entry/src/filters/route.rs
@@ -1,4 +1,4 @@
-//! Route: which backend server gets this attempt?
+//! Route: chooses the backend server of an attempt.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -15,7 +15,7 @@
     pub(crate) shared: Arc<Shared>,
 }
 
-/// An attempt with its server.
+/// An attempt with the server chosen for it.
 pub(crate) struct Routed {
     pub(crate) attempt: Attempt,
     pub(crate) server: ServerIndex,
@@ -30,7 +30,7 @@
     async fn apply(&self, attempt: Attempt) -> Result<Routed, Failed> {
         let chosen = match attempt.resume_on {
             Some(server) => Ok(server),
-            None => self.choose_patiently(&attempt).await,
+            None => self.choose_or_wait(&attempt).await,
         };
         let Ok(server) = chosen else { return Err(Failed::not_run(attempt, Cause::NoServer)) };
         let name = self.shared.router().name(server).clone();
@@ -41,12 +41,12 @@
     }
 }
 
-/// How long held bulk work waits before it asks again.
-const HOLD: Duration = Duration::from_millis(100);
+/// Interval at which waiting bulk work checks again for a server.
+const BULK_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Route {
-    /// Waits while every server is too full for bulk work, as long as the promise leaves time.
-    async fn choose_patiently(&self, attempt: &Attempt) -> Result<ServerIndex, NoServer> {
+    /// Chooses a server. Waits while every server is too busy for bulk work, up to half of the promised time.
+    async fn choose_or_wait(&self, attempt: &Attempt) -> Result<ServerIndex, NoServer> {
         let request = &attempt.request;
         let timer = &self.shared.timer;
         loop {
@@ -54,19 +54,19 @@
             if chosen != Err(NoServer::Busy) {
                 return chosen;
             }
-            // Past half of its promise it goes wherever there is a server.
+            // After half of the promised time, bulk work takes any available server.
             let waited = timer.now() - request.arrived;
             if waited >= request.promise.limit() / 2 {
                 return self.choose(attempt, Urgency::Interactive);
             }
-            timer.after(HOLD).await;
+            timer.after(BULK_RETRY_INTERVAL).await;
         }
     }
 
     fn choose(&self, attempt: &Attempt, urgency: Urgency) -> Result<ServerIndex, NoServer> {
         let request = &attempt.request;
         let target = request.target();
-        let ask = |tried| RoutingRequest {
+        let routing_request = |tried| RoutingRequest {
             now: self.shared.timer.now(),
             pool: &target,
             data_centre: &self.shared.settings.data_centre,
@@ -76,9 +76,9 @@
             tried,
         };
         let mut router = self.shared.router();
-        // Where every server was tried, a tried one that isn't shunned is better than none.
-        let choice = match router.choose(&ask(&attempt.tried)) {
-            Err(NoServer::Unavailable) => router.choose(&ask(&[])),
+        // If every server was tried, a tried one that is still available is better than none.
+        let choice = match router.choose(&routing_request(&attempt.tried)) {
+            Err(NoServer::Unavailable) => router.choose(&routing_request(&[])),
             other => other,
         };
         choice.map(|it| it.server)
--- a/crates/quincevalve_entry/src/filters/settle.rs
+++ b/crates/quincevalve_entry/src/filters/settle.rs
@@ -1,11 +1,11 @@
-//! Settle: the end of a request, counted and written down once.
+//! Settle: counts and logs the end of a request, exactly once.
 
 use quincevalve_inventory::Promise;
 use quincevalve_names::TimePoint;
 
 use crate::{answer::End, reader::is_complete, request::Identified, shared::Shared};
 
-/// Notes how a request ended.
+/// Records how a request ended, in the answer table, the error budget, the metrics and the log.
 pub(crate) fn settle(
     shared: &Shared,
     request: &Identified,
@@ -14,13 +14,13 @@
     attempts: u32,
 ) {
     let now = shared.timer.now();
-    shared.answers.ended(request.id);
+    shared.answers.record_ended(request.id);
     if matches!(end, End::Moved) {
-        // The VM that has the request now counts its end.
+        // The VM that took over the request counts its end.
         return;
     }
-    let good = is_complete(end) && kept_promise(request, now, first_token_at);
-    shared.burn.count(now, &request.account, &request.class, request.id, good);
+    let kept_promise = is_complete(end) && is_promise_kept(request, now, first_token_at);
+    shared.burn.count(now, &request.account, &request.class, request.id, kept_promise);
     let outcome = match end {
         End::Whole => "whole",
         End::Refused(it) => it.outcome.as_str(),
@@ -37,10 +37,15 @@
     );
 }
 
-fn kept_promise(request: &Identified, now: TimePoint, first_token_at: Option<TimePoint>) -> bool {
-    let promised_by = request.promised_by();
+/// Returns whether the promised time was met.
+fn is_promise_kept(
+    request: &Identified,
+    now: TimePoint,
+    first_token_at: Option<TimePoint>,
+) -> bool {
+    let promise_deadline = request.promise_deadline();
     match request.promise {
-        Promise::FirstTokenMs(_) => first_token_at.unwrap_or(now) <= promised_by,
-        Promise::CompleteMs(_) => now <= promised_by,
+        Promise::FirstTokenMs(_) => first_token_at.unwrap_or(now) <= promise_deadline,
+        Promise::CompleteMs(_) => now <= promise_deadline,
     }
 }
--- a/crates/quincevalve_entry/src/hand_over.rs
+++ b/crates/quincevalve_entry/src/hand_over.rs
@@ -24,8 +24,8 @@
 
 /// Maximum number of concurrent hand-overs.
 const MAX_CONCURRENT_HAND_OVERS: usize = 64;
-/// Timeout for acquiring the exclusive right to one request. The serving task releases it when it next wakes up.
-const RIGHT_TIMEOUT: Duration = Duration::from_millis(200);
+/// Timeout for the serving task to release the ownership of a request, which it does when it next wakes up.
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Shuts this VM down after a reclaim notice that leaves it `left`, as part of a reclaim wave: requests that can
 /// finish in time do, the rest are handed over.
@@ -59,7 +59,7 @@
     log::info!("handing over {} running requests", running.len());
     let hand_overs = running.into_iter().map(|it| hand_over_running(shared, it, wave));
     stream::iter(hand_overs).buffer_unordered(MAX_CONCURRENT_HAND_OVERS).collect::<()>().await;
-    let ended = shared.answers.kept_with_key();
+    let ended = shared.answers.ended_with_key();
     let copies = ended.into_iter().map(|it| hand_over_ended(shared, it, deadline, wave));
     stream::iter(copies).buffer_unordered(MAX_CONCURRENT_HAND_OVERS).collect::<()>().await;
 }
@@ -69,11 +69,11 @@
         // A dispatched call that must not be repeated can only finish on this VM.
         return;
     }
-    let taken = shared.timer.timeout(RIGHT_TIMEOUT, known.answer.take_right()).await;
+    let taken = shared.timer.timeout(RELEASE_TIMEOUT, known.answer.request_release()).await;
     if taken != Some(true) {
         return;
     }
-    // Build the record only now: while this task holds the right, nothing else on this VM changes it.
+    // Build the record only after the release: nothing else on this VM changes the answer from now on.
     let record = record_of(shared, &known);
     let execution = match record.state {
         // The request was not dispatched yet, or the engine deduplicates it by its id. It never runs twice on one
@@ -84,7 +84,7 @@
     match send_to_candidates(shared, record, execution, wave).await {
         HandOverAction::Done { by } => follow_new_owner(shared, &known, &by).await,
         HandOverAction::Keep => {
-            known.answer.regain_right();
+            known.answer.restore_ownership();
             resume_request(shared, &known, None);
         }
         HandOverAction::MayHaveRun | HandOverAction::Send { .. } => {
@@ -150,7 +150,7 @@
     log::debug!("request={} was handed over to {by}", known.request.id);
     let id = known.request.id;
     let answer = Arc::clone(&known.answer);
-    shared.answers.moved(id);
+    shared.answers.mark_moved(id);
     if let Some(found) = remote::find(shared, id).await {
         tokio::spawn(remote::follow(Arc::clone(shared), answer, found));
     } else {
@@ -169,13 +169,13 @@
     }
     let refusal = Refusal::new(RefusalKind::BackendFailed, Outcome::MayHaveRun);
     known.answer.end(End::Refused(refusal.with_request(known.request.id)));
-    shared.answers.ended(known.request.id);
+    shared.answers.record_ended(known.request.id);
 }
 
 /// Spawns the task that serves a request on this VM.
 fn resume_request(shared: &Arc<Shared>, known: &Known, resume_on: Option<ServerIndex>) {
     let accepted = Accepted {
-        place: shared.admission.taken_over(&known.request),
+        permit: shared.admission.uncounted_permit(&known.request),
         request: Arc::clone(&known.request),
         answer: Arc::clone(&known.answer),
         resume_on,
@@ -259,12 +259,12 @@
                 answer.push_bytes(record.bytes);
             }
             answer.end(End::Whole);
-            shared.answers.ended(known.request.id);
+            shared.answers.record_ended(known.request.id);
         }
         RecordState::MayHaveRun => {
             let refusal = Refusal::new(RefusalKind::BackendFailed, Outcome::MayHaveRun);
             answer.end(End::Refused(refusal.with_request(known.request.id)));
-            shared.answers.ended(known.request.id);
+            shared.answers.record_ended(known.request.id);
         }
     }
 }
