--- a/crates/quincevalve_node/src/node.rs
+++ b/crates/quincevalve_node/src/node.rs
@@ -179,8 +179,8 @@
 
     /// Returns whether this VM has had a freshness confirmation since the process started.
     ///
-    /// Until then it serves nothing. A starting VM may have read a copy of the store that is seconds old; it would apply
-    /// an outdated configuration and use servers that have left.
+    /// Until then it serves nothing. A starting VM may have read a copy of the store that is seconds old; it would
+    /// apply an outdated configuration and use servers that have left.
     pub(crate) fn was_confirmed_fresh(&self) -> bool {
         self.freshness.get().age(clock::now()).is_some()
     }
@@ -244,7 +244,8 @@
         peers.table.relays_store(peers.has_members(now), now)
     }
 
-    /// Takes one log line about a rejected request from its budget; a line that doesn't fit is counted as suppressed.
+    /// Returns whether a log line about a rejected request fits its budget, and spends the budget. A line that doesn't
+    /// fit is counted as suppressed.
     pub(crate) fn may_log_refusal(&self) -> bool {
         let may = self.refusal_log_budget.borrow_mut().take(clock::now());
         if !may {
@@ -253,7 +254,8 @@
         may
     }
 
-    /// Takes one log line from the budget; a line that doesn't fit is counted as suppressed.
+    /// Returns whether a log line fits the budget, and spends the budget. A line that doesn't fit is counted as
+    /// suppressed.
     pub(crate) fn may_log(&self) -> bool {
         let mut budget = self.log_budget.borrow_mut();
         let may = budget.take(clock::now());
