--- a/crates/quincevalve_measure/src/arena.rs
+++ b/crates/quincevalve_measure/src/arena.rs
@@ -419,7 +419,7 @@
                 return context;
             }
             Continuation::PrefixHolder | Continuation::Recompute => {
-                self.continue_elsewhere(now, id, 0)
+                self.continue_elsewhere(now, id, 0);
             }
         }
         0
--- a/crates/quincevalve_measure/src/experiments/ledger.rs
+++ b/crates/quincevalve_measure/src/experiments/ledger.rs
@@ -98,7 +98,7 @@
                     self.handle(now, slot_of(&claim), event);
                 }
                 Some(SimulationEvent::StoreCallArrived(slot, action)) => {
-                    self.apply_store_call(now, slot, &action)
+                    self.apply_store_call(now, slot, &action);
                 }
                 Some(SimulationEvent::Answered(slot, event)) => self.handle(now, slot, event),
                 Some(SimulationEvent::Tick(slot)) => self.handle(now, slot, SlotEvent::Tick),
