--- a/crates/quincevalve_measure/src/fleet.rs
+++ b/crates/quincevalve_measure/src/fleet.rs
@@ -310,7 +310,7 @@
                     self.nodes[node].membership.suspect(now, &name);
                 }
             }
-            Event::Announce { from, to, revision } => self.receive_gossip(to, from, revision),
+            Event::Announce { from, to, revision } => self.receive_announcement(to, from, revision),
             Event::Fetch { from, to } => self.fetch(from, to),
             Event::Fetched { from, to, revision } => {
                 let source = Source::Peer(self.address(from));
@@ -407,11 +407,11 @@
         let newest = sender.chain(others).chain(summaries).max_by_key(|it| it.1);
         let Some((peer, revision)) = newest else { return };
         if let Some(peer) = self.by_address.get(&peer).copied() {
-            self.receive_gossip(node, peer, revision);
+            self.receive_announcement(node, peer, revision);
         }
     }
 
-    fn receive_gossip(&mut self, node: usize, peer: usize, revision: Revision) {
+    fn receive_announcement(&mut self, node: usize, peer: usize, revision: Revision) {
         if !self.nodes[node].alive {
             return;
         }
--- a/crates/quincevalve_measure/src/options.rs
+++ b/crates/quincevalve_measure/src/options.rs
@@ -27,12 +27,12 @@
 }
 
 const HELP: &str = "\
-One small experiment for each decision, beside its naive version.
+One small experiment per design decision, compared with its naive version.
 
 Usage: quincevalve-measure EXPERIMENT... [--seed N] [--csv FILE] [--svg FOLDER]
 
 Options:
-  --seed N      seed of everything that is drawn (1)
+  --seed N      seed of the random number generators (default: 1)
   --csv FILE    write all tables to one CSV file
   --svg FOLDER  write a plot of each table that has one
   -h, --help    print this text
