--- a/crates/quincevalve_trial/src/caller.rs
+++ b/crates/quincevalve_trial/src/caller.rs
@@ -1,4 +1,4 @@
-//! The callers: ordinary HTTP clients behind a balancer.
+//! Simulated callers: plain HTTP clients behind a load balancer.
 
 use std::{
     net::SocketAddr,
@@ -20,41 +20,44 @@
 
 use crate::{
     deployment::api_key,
-    workload::{Ask, Question},
+    workload::{Payload, PlannedRequest},
 };
 
-const READY_PERIOD: Duration = Duration::from_millis(100);
-const READY_LIMIT: Duration = Duration::from_millis(250);
-const REATTACH_TRIES: u32 = 40;
-const REATTACH_WAIT: Duration = Duration::from_millis(100);
-/// No caller waits longer than this without a byte before it reconnects.
-const CALLER_PROGRESS: Duration = Duration::from_secs(8);
-
-/// What a caller made of its request.
+/// Interval between readiness checks of all entry VMs.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Timeout of one readiness check.
+const READY_TIMEOUT: Duration = Duration::from_millis(250);
+const MAX_REATTACH_ATTEMPTS: u32 = 40;
+const REATTACH_INTERVAL: Duration = Duration::from_millis(100);
+/// Maximum time a caller waits for the next frame of a stream before it reconnects. An answer that isn't streamed gets
+/// four times as long.
+const PROGRESS_TIMEOUT: Duration = Duration::from_secs(8);
+
+/// How a request ended for its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Ending {
-    /// The whole answer.
+pub(crate) enum CallResult {
+    /// A complete answer.
     Whole(String),
-    /// A refusal with its truth.
+    /// An error response or event with its outcome.
     Refused { outcome: Outcome, code: String },
-    /// The answer broke off, and no entry VM knew it any more.
+    /// The answer was interrupted, and no entry VM could resume it.
     CutOff,
-    /// No answer of any kind.
+    /// No response at all.
     Nothing,
 }
 
-/// One request with its end.
+/// A request together with how it ended.
 #[derive(Clone, Debug)]
 pub(crate) struct Received {
-    pub(crate) question: Question,
+    pub(crate) planned: PlannedRequest,
     pub(crate) id: Option<RequestId>,
     pub(crate) first_token: Option<Duration>,
-    pub(crate) took: Duration,
+    pub(crate) elapsed: Duration,
     pub(crate) reattached: bool,
-    pub(crate) ending: Ending,
+    pub(crate) result: CallResult,
 }
 
-/// The platform's balancer: it sends to entry VMs whose `/readyz` says so.
+/// The platform's load balancer: selects entry VMs round-robin among those whose `/readyz` succeeds.
 #[derive(Clone)]
 pub(crate) struct Balancer {
     entries: Arc<Vec<(SocketAddr, AtomicBool)>>,
@@ -67,7 +70,7 @@
         Self { entries: Arc::new(entries), next: Arc::default() }
     }
 
-    fn pick(&self) -> SocketAddr {
+    fn pick_entry(&self) -> SocketAddr {
         let start = self.next.fetch_add(1, Ordering::Relaxed);
         let count = self.entries.len();
         let order = (0..count).map(|it| &self.entries[(start + it) % count]);
@@ -75,7 +78,7 @@
         ready.unwrap_or(&self.entries[start % count]).0
     }
 
-    async fn watch(self, client: HttpClient) {
+    async fn poll_readiness(self, client: HttpClient) {
         loop {
             for (address, ready) in self.entries.iter() {
                 let client = client.clone();
@@ -85,29 +88,29 @@
                     address,
                     "/readyz",
                     Bytes::new(),
-                    READY_LIMIT,
+                    READY_TIMEOUT,
                 );
                 ready.store(call.await.is_ok(), Ordering::Relaxed);
             }
-            tokio::time::sleep(READY_PERIOD).await;
+            tokio::time::sleep(READY_POLL_INTERVAL).await;
         }
     }
 }
 
-/// Sends every question at its time and collects the ends.
-pub(crate) fn call_all(balancer: Balancer, questions: Vec<Question>) -> Vec<Received> {
+/// Sends every request at its scheduled time and collects the results.
+pub(crate) fn send_all(balancer: Balancer, planned_requests: Vec<PlannedRequest>) -> Vec<Received> {
     let runtime =
         tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
     let Ok(runtime) = runtime else { return Vec::new() };
     runtime.block_on(async {
         let client = HttpClient::new(None, Duration::from_millis(300));
-        tokio::spawn(balancer.clone().watch(client.clone()));
+        tokio::spawn(balancer.clone().poll_readiness(client.clone()));
         let begin = tokio::time::Instant::now();
-        let tasks = questions.into_iter().map(|question| {
+        let tasks = planned_requests.into_iter().map(|planned| {
             let caller = Caller { balancer: balancer.clone(), client: client.clone() };
             tokio::spawn(async move {
-                tokio::time::sleep_until(begin + question.at).await;
-                caller.call(question).await
+                tokio::time::sleep_until(begin + planned.send_at).await;
+                caller.call(planned).await
             })
         });
         let ended = futures::future::join_all(tasks).await;
@@ -120,9 +123,9 @@
     client: HttpClient,
 }
 
-/// What came of one connection.
-enum Connection {
-    Ended(Ending),
+/// How one connection ended.
+enum ConnectionResult {
+    Ended(CallResult),
     Lost,
 }
 
@@ -136,99 +139,101 @@
 }
 
 impl Caller {
-    async fn call(&self, question: Question) -> Received {
+    async fn call(&self, planned: PlannedRequest) -> Received {
         let begin = Instant::now();
         let mut progress = Progress::default();
-        let ending = self.call_until_ended(&question, begin, &mut progress).await;
+        let result = self.call_until_finished(&planned, begin, &mut progress).await;
         Received {
-            question,
+            planned,
             id: progress.id,
             first_token: progress.first,
-            took: begin.elapsed(),
+            elapsed: begin.elapsed(),
             reattached: progress.reattached,
-            ending,
+            result,
         }
     }
 
-    async fn call_until_ended(
+    async fn call_until_finished(
         &self,
-        question: &Question,
+        planned: &PlannedRequest,
         begin: Instant,
         progress: &mut Progress,
-    ) -> Ending {
-        let Some(response) = self.connect(question).await else { return Ending::Nothing };
-        let mut connection = self.read(question, response, begin, progress).await;
-        for _ in 0..REATTACH_TRIES {
-            if let Connection::Ended(ending) = connection {
-                return ending;
+    ) -> CallResult {
+        let Some(response) = self.connect(planned).await else { return CallResult::Nothing };
+        let mut connection = self.read(planned, response, begin, progress).await;
+        for _ in 0..MAX_REATTACH_ATTEMPTS {
+            if let ConnectionResult::Ended(result) = connection {
+                return result;
             }
             progress.reattached = true;
-            tokio::time::sleep(REATTACH_WAIT).await;
-            connection = self.read_on(question, begin, progress).await;
+            tokio::time::sleep(REATTACH_INTERVAL).await;
+            connection = self.resume(planned, begin, progress).await;
         }
         match (connection, progress.id) {
-            (Connection::Ended(ending), _) => ending,
-            (Connection::Lost, Some(_)) => Ending::CutOff,
-            (Connection::Lost, None) => Ending::Nothing,
+            (ConnectionResult::Ended(result), _) => result,
+            (ConnectionResult::Lost, Some(_)) => CallResult::CutOff,
+            (ConnectionResult::Lost, None) => CallResult::Nothing,
         }
     }
 
-    /// Sends the request; tries another entry VM only where no byte can have reached one.
-    async fn connect(&self, question: &Question) -> Option<Response<Incoming>> {
-        for _ in 0..REATTACH_TRIES {
-            let address = self.balancer.pick();
-            let req = form(question, address)?;
+    /// Sends the request and retries on another entry VM if no byte was sent, or if the request has an idempotency key.
+    async fn connect(&self, planned: &PlannedRequest) -> Option<Response<Incoming>> {
+        for _ in 0..MAX_REATTACH_ATTEMPTS {
+            let address = self.balancer.pick_entry();
+            let req = build_request(planned, address)?;
             match self.client.send_fresh(address, req).await {
                 Ok(response) => return Some(response),
                 Err(error) if error.reach() == Reach::NotSent => {
-                    tokio::time::sleep(REATTACH_WAIT).await;
+                    tokio::time::sleep(REATTACH_INTERVAL).await;
+                }
+                // The idempotency key makes a retry of the same request safe.
+                Err(_) if planned.idempotency_key.is_some() => {
+                    tokio::time::sleep(REATTACH_INTERVAL).await
                 }
-                // With a key the caller may send the very same request again.
-                Err(_) if question.key.is_some() => tokio::time::sleep(REATTACH_WAIT).await,
                 Err(_) => return None,
             }
         }
         None
     }
 
-    /// Comes back for an answer whose connection was lost.
-    async fn read_on(
+    /// Resumes an answer whose connection was lost, from the next missing event.
+    async fn resume(
         &self,
-        question: &Question,
+        planned: &PlannedRequest,
         begin: Instant,
         progress: &mut Progress,
-    ) -> Connection {
-        let Some(id) = progress.id else { return Connection::Lost };
-        let address = self.balancer.pick();
+    ) -> ConnectionResult {
+        let Some(id) = progress.id else { return ConnectionResult::Lost };
+        let address = self.balancer.pick_entry();
         let uri = format!("http://{address}/v1/requests/{id}?from={}", progress.next);
-        let key = format!("Bearer {}", api_key(question.account));
+        let key = format!("Bearer {}", api_key(planned.account));
         let req = Request::get(uri).header(header::AUTHORIZATION, key).body(Full::default());
-        let Ok(req) = req else { return Connection::Lost };
+        let Ok(req) = req else { return ConnectionResult::Lost };
         let Ok(response) = self.client.send_fresh(address, req).await else {
-            return Connection::Lost;
+            return ConnectionResult::Lost;
         };
         if response.status() == StatusCode::NOT_FOUND {
-            return Connection::Lost;
+            return ConnectionResult::Lost;
         }
-        self.read(question, response, begin, progress).await
+        self.read(planned, response, begin, progress).await
     }
 
     async fn read(
         &self,
-        question: &Question,
+        planned: &PlannedRequest,
         response: Response<Incoming>,
         begin: Instant,
         progress: &mut Progress,
-    ) -> Connection {
+    ) -> ConnectionResult {
         let (parts, body) = response.into_parts();
-        progress.id = request_id(&parts.headers).or(progress.id);
+        progress.id = parse_request_id(&parts.headers).or(progress.id);
         let is_moved = parts.headers.get(MOVED_HEADER).is_some();
-        if let Some(outcome) = outcome_of(&parts.headers) {
-            let code = read_code(body).await;
+        if let Some(outcome) = parse_outcome(&parts.headers) {
+            let code = read_error_code(body).await;
             if is_moved || (code == "leaving" && outcome == Outcome::MayHaveRun) {
-                return Connection::Lost;
+                return ConnectionResult::Lost;
             }
-            return Connection::Ended(Ending::Refused { outcome, code });
+            return ConnectionResult::Ended(CallResult::Refused { outcome, code });
         }
         let is_events = parts
             .headers
@@ -237,25 +242,27 @@
         if is_events {
             return read_events(body, begin, progress).await;
         }
-        let collected = tokio::time::timeout(CALLER_PROGRESS * 4, body.collect()).await;
-        let Ok(Ok(collected)) = collected else { return Connection::Lost };
+        let collected = tokio::time::timeout(PROGRESS_TIMEOUT * 4, body.collect()).await;
+        let Ok(Ok(collected)) = collected else { return ConnectionResult::Lost };
         progress.first.get_or_insert(begin.elapsed());
         let bytes = collected.to_bytes();
-        Connection::Ended(match question.ask {
-            Ask::Model { .. } => match whole_text(&bytes) {
-                Some(text) => Ending::Whole(text),
-                None => Ending::CutOff,
+        ConnectionResult::Ended(match planned.payload {
+            Payload::Model { .. } => match answer_text(&bytes) {
+                Some(text) => CallResult::Whole(text),
+                None => CallResult::CutOff,
             },
-            Ask::Service { .. } => Ending::Whole(String::from_utf8_lossy(&bytes).into_owned()),
+            Payload::Service { .. } => {
+                CallResult::Whole(String::from_utf8_lossy(&bytes).into_owned())
+            }
         })
     }
 }
 
 const MOVED_HEADER: &str = "quincevalve-moved";
 
-fn form(question: &Question, address: SocketAddr) -> Option<Request<Full<Bytes>>> {
-    let (path, body) = match &question.ask {
-        Ask::Model { model, prompt, max_tokens, stream } => {
+fn build_request(planned: &PlannedRequest, address: SocketAddr) -> Option<Request<Full<Bytes>>> {
+    let (path, body) = match &planned.payload {
+        Payload::Model { model, prompt, max_tokens, stream } => {
             let body = json!({
                 "model": model,
                 "messages": [{ "role": "user", "content": prompt }],
@@ -264,24 +271,24 @@
             });
             ("/v1/chat/completions".to_owned(), body.to_string())
         }
-        Ask::Service { service, body } => (format!("/s/{service}/calls"), body.clone()),
+        Payload::Service { service, body } => (format!("/s/{service}/calls"), body.clone()),
     };
     let mut builder = Request::post(format!("http://{address}{path}"))
-        .header(header::AUTHORIZATION, format!("Bearer {}", api_key(question.account)))
+        .header(header::AUTHORIZATION, format!("Bearer {}", api_key(planned.account)))
         .header(header::CONTENT_TYPE, "application/json")
-        .header("quincevalve-class", question.class)
-        .header("trial-mark", question.number.to_string());
-    if let Some(key) = &question.key {
+        .header("quincevalve-class", planned.class)
+        .header("trial-mark", planned.number.to_string());
+    if let Some(key) = &planned.idempotency_key {
         builder = builder.header("idempotency-key", key);
     }
     builder.body(Full::new(body.into())).ok()
 }
 
-fn request_id(headers: &HeaderMap) -> Option<RequestId> {
+fn parse_request_id(headers: &HeaderMap) -> Option<RequestId> {
     headers.get("quincevalve-request")?.to_str().ok()?.parse().ok()
 }
 
-fn outcome_of(headers: &HeaderMap) -> Option<Outcome> {
+fn parse_outcome(headers: &HeaderMap) -> Option<Outcome> {
     let text = headers.get("quincevalve-outcome")?.to_str().ok()?;
     [Outcome::NotRun, Outcome::MayHaveRun].into_iter().find(|it| it.as_str() == text)
 }
@@ -297,29 +304,29 @@
     outcome: Outcome,
 }
 
-async fn read_code(body: Incoming) -> String {
+async fn read_error_code(body: Incoming) -> String {
     let Ok(collected) = body.collect().await else { return "broken".to_owned() };
     let error = serde_json::from_slice::<ErrorBody>(&collected.to_bytes());
     error.map_or_else(|_| "unreadable".to_owned(), |it| it.error.code)
 }
 
 #[derive(Deserialize)]
-struct WholeAnswer {
-    choices: Vec<WholeChoice>,
+struct Completion {
+    choices: Vec<CompletionChoice>,
 }
 
 #[derive(Deserialize)]
-struct WholeChoice {
-    message: WholeMessage,
+struct CompletionChoice {
+    message: CompletionMessage,
 }
 
 #[derive(Deserialize)]
-struct WholeMessage {
+struct CompletionMessage {
     content: String,
 }
 
-fn whole_text(bytes: &[u8]) -> Option<String> {
-    let answer: WholeAnswer = serde_json::from_slice(bytes).ok()?;
+fn answer_text(bytes: &[u8]) -> Option<String> {
+    let answer: Completion = serde_json::from_slice(bytes).ok()?;
     answer.choices.into_iter().next().map(|it| it.message.content)
 }
 
@@ -339,36 +346,42 @@
     content: String,
 }
 
-async fn read_events(mut body: Incoming, begin: Instant, progress: &mut Progress) -> Connection {
+async fn read_events(
+    mut body: Incoming,
+    begin: Instant,
+    progress: &mut Progress,
+) -> ConnectionResult {
     let mut buffer = EventBuffer::default();
     loop {
-        let frame = tokio::time::timeout(CALLER_PROGRESS, body.frame()).await;
-        let Ok(Some(Ok(frame))) = frame else { return Connection::Lost };
+        let frame = tokio::time::timeout(PROGRESS_TIMEOUT, body.frame()).await;
+        let Ok(Some(Ok(frame))) = frame else { return ConnectionResult::Lost };
         let Ok(data) = frame.into_data() else { continue };
         buffer.extend(&data);
         while let Ok(Some(event)) = buffer.next_event() {
             match &event.kind[..] {
-                b"error" => return Connection::Ended(refused(&event.data)),
-                b"moved" => return Connection::Lost,
+                b"error" => return ConnectionResult::Ended(parse_refusal(&event.data)),
+                b"moved" => return ConnectionResult::Lost,
                 _ => {}
             }
             if &event.data[..] == b"[DONE]" {
-                return Connection::Ended(Ending::Whole(std::mem::take(&mut progress.text)));
+                return ConnectionResult::Ended(CallResult::Whole(std::mem::take(
+                    &mut progress.text,
+                )));
             }
-            take_chunk(&event.id, &event.data, begin, progress);
+            append_chunk(&event.id, &event.data, begin, progress);
         }
     }
 }
 
-fn refused(data: &[u8]) -> Ending {
+fn parse_refusal(data: &[u8]) -> CallResult {
     match serde_json::from_slice::<ErrorBody>(data) {
-        Ok(it) => Ending::Refused { outcome: it.error.outcome, code: it.error.code },
-        Err(_) => Ending::CutOff,
+        Ok(it) => CallResult::Refused { outcome: it.error.outcome, code: it.error.code },
+        Err(_) => CallResult::CutOff,
     }
 }
 
-/// Takes tokens exactly as they come: a doubled or missing one shows as a wrong answer.
-fn take_chunk(id: &[u8], data: &[u8], begin: Instant, progress: &mut Progress) {
+/// Appends tokens as received, without deduplication, so that a duplicate or missing token makes the answer wrong.
+fn append_chunk(id: &[u8], data: &[u8], begin: Instant, progress: &mut Progress) {
     let Ok(chunk) = serde_json::from_slice::<Chunk>(data) else { return };
     let Some(seq) = std::str::from_utf8(id).ok().and_then(|it| it.parse::<u32>().ok()) else {
         return;
--- a/crates/quincevalve_trial/src/deployment.rs
+++ b/crates/quincevalve_trial/src/deployment.rs
@@ -1,8 +1,8 @@
-//! The two deployments that ship with the trial.
+//! The two example deployments that are built into the trial.
 
 use quincevalve_inventory::{Format, Inventory, ReadError, read_inventory};
 
-/// A user of the system.
+/// An organization whose deployment the trial runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum User {
     /// Flughafenshuttle Oberland eG.
@@ -23,7 +23,7 @@
         }
     }
 
-    /// The shipped inventory.
+    /// Parses the built-in inventory.
     pub(crate) fn inventory(self) -> Result<Inventory, ReadError> {
         let text = match self {
             Self::Flughafenshuttle => include_str!("../resources/flughafenshuttle.toml"),
@@ -33,7 +33,7 @@
     }
 }
 
-/// The API key of an account in the shipped inventories.
+/// Returns the API key of an account in the built-in inventories.
 pub(crate) fn api_key(account: &str) -> String {
     format!("key-{account}")
 }
--- a/crates/quincevalve_trial/src/fault.rs
+++ b/crates/quincevalve_trial/src/fault.rs
@@ -1,21 +1,21 @@
-//! The faults that can be switched on.
+//! The faults that a trial can inject.
 
 use snafu::Snafu;
 
-/// Declares the faults with their names in one table.
+/// Declares [`Fault`] with the command-line name of each variant.
 macro_rules! faults {
     ($($variant:ident = $name:literal,)*) => {
-        /// A fault, alone or together with others.
+        /// A fault to inject; several can be combined in one run.
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
         pub(crate) enum Fault {
             $($variant,)*
         }
 
         impl Fault {
-            /// Every fault.
+            /// All faults, in declaration order.
             pub(crate) const ALL: &[Self] = &[$(Self::$variant,)*];
 
-            /// The name on the command line.
+            /// Returns the name on the command line.
             pub(crate) const fn name(self) -> &'static str {
                 match self {
                     $(Self::$variant => $name,)*
@@ -45,15 +45,15 @@
     OperatorRace = "operator-race",
 }
 
-/// A name that is no fault.
+/// Error for a name that isn't a known fault.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
-#[snafu(display("`{name}` is no fault; --help lists them"))]
+#[snafu(display("unknown fault `{name}`; see --help for the list"))]
 pub(crate) struct UnknownFault {
     name: String,
 }
 
 impl Fault {
-    /// Reads a list with commas.
+    /// Parses a comma-separated list of fault names.
     pub(crate) fn parse_list(list: &str) -> Result<Vec<Self>, UnknownFault> {
         let names = list.split(',').map(str::trim).filter(|it| !it.is_empty());
         names
@@ -64,8 +64,8 @@
             .collect()
     }
 
-    /// Whether an accepted request may end without a whole answer, if the truth is told: only where
-    /// something went without notice.
+    /// Returns whether an accepted request may end without a complete answer, provided that the caller gets a truthful
+    /// outcome. Only failures without prior notice allow this.
     pub(crate) const fn is_unannounced(self) -> bool {
         matches!(
             self,
@@ -78,7 +78,7 @@
         )
     }
 
-    /// Whether an entry VM dies without notice: only then may a caller lose track of an answer.
+    /// Returns whether the fault kills an entry VM without notice. Only then may a caller be unable to resume an answer.
     pub(crate) const fn crashes_entry(self) -> bool {
         matches!(self, Self::CrashEntry)
     }
--- a/crates/quincevalve_trial/src/main.rs
+++ b/crates/quincevalve_trial/src/main.rs
@@ -1,25 +1,25 @@
-//! `quincevalve-trial`: the whole path on one machine, with stand-ins, in one process.
+//! `quincevalve-trial`: runs a complete system with stand-ins in one process on one machine.
 //!
-//! It starts the stand-ins of the platform and of every backend server, and three entry VMs or more,
-//! sends real requests, switches faults on, and counts what callers received and what the stand-ins saw.
+//! Starts stand-ins for the platform and for every backend server, and at least three entry VMs, sends real HTTP
+//! requests, injects fault_injection, and checks the responses to callers against the executions that the stand-ins recorded.
 
 mod caller;
 mod deployment;
 mod fault;
-mod faults;
+mod fault_injection;
 mod operator;
 mod options;
 mod report;
+mod testbed;
 mod verdict;
 mod vm_thread;
 mod workload;
-mod world;
 
 use std::process::ExitCode;
 
 use quincevalve_program::{LogLevel, LogSettings, start_logs};
 
-use crate::{options::Options, report::Report, world::World};
+use crate::{options::Options, report::Report, testbed::Testbed};
 
 fn main() -> ExitCode {
     let options = match Options::parse(std::env::args_os().skip(1).collect()) {
@@ -44,10 +44,11 @@
     }
 }
 
+/// Exit code for an invalid command line.
 const USAGE_ERROR: u8 = 2;
 
-fn run(options: &Options) -> Result<Report, world::WorldError> {
-    let mut world = World::start(options)?;
-    let received = world.run(options);
-    Ok(Report::new(options, &world, received))
+fn run(options: &Options) -> Result<Report, testbed::TestbedError> {
+    let mut testbed = Testbed::start(options)?;
+    let received = testbed.run(options);
+    Ok(Report::new(options, &testbed, received))
 }
--- a/crates/quincevalve_trial/src/operator.rs
+++ b/crates/quincevalve_trial/src/operator.rs
@@ -1,4 +1,4 @@
-//! Two operators who change the configuration at the same moment, under load.
+//! Concurrent configuration updates factor two operators under load.
 
 use std::{
     fmt,
@@ -12,27 +12,30 @@
 use quincevalve_ports::HttpClient;
 use serde_json::Value;
 
-use crate::world::{OPERATOR_KEY, World};
+use crate::testbed::{OPERATOR_KEY, Testbed};
 
-/// The promise: in force everywhere within this time.
-const LIMIT: Duration = Duration::from_secs(7);
-const POLL: Duration = Duration::from_millis(50);
-const CALL: Duration = Duration::from_secs(4);
+/// Maximum time until an accepted configuration is in force on every node.
+const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(7);
+/// Interval between checks of the nodes' revisions.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Timeout of one request to an admin endpoint, including its body.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// What came of a race.
+/// Result of two concurrent configuration updates.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Race {
     accepted: u32,
     conflicts: u32,
-    others: u32,
-    /// Nodes that have the winner's revision in force, of all that live.
+    other_responses: u32,
+    /// Number of nodes with the accepted revision in force, out of `nodes` running ones.
     in_force: usize,
     nodes: usize,
-    took: Duration,
+    elapsed: Duration,
 }
 
 impl Race {
-    /// One wins, the other is told so, and the winner's change is in force everywhere in time.
+    /// Returns whether exactly one update was accepted, the other got a conflict, and the accepted revision came into
+    /// force on all nodes in time.
     pub(crate) fn is_clean(&self) -> bool {
         self.accepted == 1 && self.conflicts == 1 && self.in_force == self.nodes
     }
@@ -43,24 +46,39 @@
         write!(
             f,
             "operators: {} accepted, {} conflict, {} other; in force on {} of {} nodes after {:?}",
-            self.accepted, self.conflicts, self.others, self.in_force, self.nodes, self.took
+            self.accepted,
+            self.conflicts,
+            self.other_responses,
+            self.in_force,
+            self.nodes,
+            self.elapsed
         )
     }
 }
 
-/// Two operators edit the same revision at two control processes.
-pub(crate) fn race(world: &World) -> Race {
+/// Sends two updates of the same revision to two control processes and waits until the accepted one is in force.
+pub(crate) fn race_config_updates(testbed: &Testbed) -> Race {
     let admins: Vec<_> =
-        world.entries.iter().filter(|it| !it.thread.is_over()).map(|it| it.admin).collect();
+        testbed.entries.iter().filter(|it| !it.thread.has_ended()).map(|it| it.admin).collect();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let (Ok(runtime), [first, .., last]) = (runtime, &admins[..]) else { return Race::default() };
     runtime.block_on(async {
         let client = Client { http: HttpClient::new(None, Duration::from_millis(500)) };
-        let on = client.revision(*first).await.unwrap_or(0);
-        let edits = [edit(world, 2), edit(world, 3)];
+        let base_revision = client.revision(*first).await.unwrap_or(0);
+        let edited_inventories = [edited_inventory(testbed, 2), edited_inventory(testbed, 3)];
         let (one, two) = tokio::join!(
-            client.change(*first, on, format!("race-{on}-one"), &edits[0]),
-            client.change(*last, on, format!("race-{on}-two"), &edits[1]),
+            client.put_config(
+                *first,
+                base_revision,
+                format!("race-{base_revision}-one"),
+                &edited_inventories[0]
+            ),
+            client.put_config(
+                *last,
+                base_revision,
+                format!("race-{base_revision}-two"),
+                &edited_inventories[1]
+            ),
         );
         let began = Instant::now();
         let mut race = Race { nodes: admins.len(), ..Race::default() };
@@ -68,26 +86,26 @@
             match status {
                 Some(StatusCode::OK) => race.accepted += 1,
                 Some(StatusCode::PRECONDITION_FAILED) => race.conflicts += 1,
-                _ => race.others += 1,
+                _ => race.other_responses += 1,
             }
         }
-        while began.elapsed() < LIMIT {
-            race.in_force = client.count_in_force(&admins, on + 1).await;
+        while began.elapsed() < PROPAGATION_TIMEOUT {
+            race.in_force = client.count_in_force(&admins, base_revision + 1).await;
             if race.in_force == race.nodes {
                 break;
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
-        race.took = began.elapsed();
+        race.elapsed = began.elapsed();
         race
     })
 }
 
-/// The inventory with every account's weight multiplied.
-fn edit(world: &World, by: u32) -> String {
-    let mut inventory = world.inventory.clone();
+/// Returns the inventory as JSON with every account's weight multiplied by `factor`.
+fn edited_inventory(testbed: &Testbed, factor: u32) -> String {
+    let mut inventory = testbed.inventory.clone();
     for account in inventory.account.values_mut() {
-        account.weight *= by;
+        account.weight *= factor;
     }
     serde_json::to_string(&inventory).unwrap_or_default()
 }
@@ -110,10 +128,10 @@
             let body = body.collect().await.ok()?.to_bytes();
             Some((parts.status, serde_json::from_slice(&body).unwrap_or_default(), etag))
         };
-        tokio::time::timeout(CALL, exchange).await.ok().flatten()
+        tokio::time::timeout(REQUEST_TIMEOUT, exchange).await.ok().flatten()
     }
 
-    fn form(method: Method, address: SocketAddr, path: &str) -> http::request::Builder {
+    fn request_builder(method: Method, address: SocketAddr, path: &str) -> http::request::Builder {
         Request::builder()
             .method(method)
             .uri(format!("http://{address}{path}"))
@@ -121,19 +139,20 @@
     }
 
     async fn revision(&self, address: SocketAddr) -> Option<u64> {
-        let req = Self::form(Method::GET, address, "/v1/config").body(Full::default()).ok()?;
+        let req =
+            Self::request_builder(Method::GET, address, "/v1/config").body(Full::default()).ok()?;
         self.send(address, req).await?.2
     }
 
-    async fn change(
+    async fn put_config(
         &self,
         address: SocketAddr,
-        on: u64,
+        base_revision: u64,
         id: String,
         body: &str,
     ) -> Option<StatusCode> {
-        let req = Self::form(Method::PUT, address, "/v1/config")
-            .header(header::IF_MATCH, format!("\"{on}\""))
+        let req = Self::request_builder(Method::PUT, address, "/v1/config")
+            .header(header::IF_MATCH, format!("\"{base_revision}\""))
             .header("change-id", id)
             .body(Full::new(Bytes::copy_from_slice(body.as_bytes())))
             .ok()?;
@@ -143,7 +162,8 @@
     async fn count_in_force(&self, admins: &[SocketAddr], revision: u64) -> usize {
         let mut count = 0;
         for admin in admins {
-            let req = Self::form(Method::GET, *admin, "/v1/status").body(Full::default());
+            let req =
+                Self::request_builder(Method::GET, *admin, "/v1/status").body(Full::default());
             let Ok(req) = req else { continue };
             let Some((_, body, _)) = self.send(*admin, req).await else { continue };
             if body["revision"].as_u64().is_some_and(|it| it >= revision) {
--- a/crates/quincevalve_trial/src/options.rs
+++ b/crates/quincevalve_trial/src/options.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Parsing of the command line.
 
 use std::ffi::OsString;
 
@@ -9,7 +9,7 @@
     fault::{Fault, UnknownFault},
 };
 
-/// What the operator asked for.
+/// Settings of a trial run.
 #[derive(Clone, Debug)]
 pub(crate) struct Options {
     pub(crate) requests: u32,
@@ -20,29 +20,29 @@
     pub(crate) verbose: bool,
 }
 
-/// A command line that can't be understood.
+/// Error for an invalid command line.
 #[derive(Debug, Snafu)]
 pub(crate) enum OptionsError {
     #[snafu(display("{source}; see --help"))]
     Value { source: pico_args::Error },
     #[snafu(display("--faults: {source}"))]
     Fault { source: UnknownFault },
-    #[snafu(display("--users {name}: is none of flughafenshuttle, macrae"))]
+    #[snafu(display("--users: unknown user `{name}`, expected flughafenshuttle or macrae"))]
     User { name: String },
     #[snafu(display("unknown argument {}; see --help", argument.display()))]
     Unknown { argument: OsString },
 }
 
 const HELP: &str = "\
-The whole path on one machine, with stand-ins, in one process.
+Run a complete system with stand-ins in one process and inject faults.
 
 Usage: quincevalve-trial [OPTIONS]
 
 Options:
-  --requests N   requests to send (200)
-  --seed S       seed of the work and of the stand-ins (1)
-  --users U      flughafenshuttle or macrae (flughafenshuttle)
-  --faults LIST  faults to switch on, with commas; twice if named twice
+  --requests N   number of requests to send (default: 200)
+  --seed S       seed of the workload and of the stand-ins (default: 1)
+  --users U      flughafenshuttle or macrae (default: flughafenshuttle)
+  --faults LIST  comma-separated faults to inject; a repeated fault is injected again
   --json         print the result as JSON on the last line of stdout
   --verbose      log each request on stderr
   -h, --help     print this text
--- a/crates/quincevalve_trial/src/report.rs
+++ b/crates/quincevalve_trial/src/report.rs
@@ -1,19 +1,19 @@
-//! What the trial prints.
+//! Output of the trial: a table per class, the refusals, the verdict and optionally its JSON.
 
 use std::time::Duration;
 
 use indexmap::IndexMap;
 
 use crate::{
-    caller::{Ending, Received},
+    caller::{CallResult, Received},
     fault::Fault,
     operator::Race,
     options::Options,
+    testbed::Testbed,
     verdict::{Verdict, percentile},
-    world::World,
 };
 
-/// A finished run.
+/// Results of a finished run.
 pub(crate) struct Report {
     verdict: Verdict,
     received: Vec<Received>,
@@ -24,7 +24,7 @@
 }
 
 impl Report {
-    pub(crate) fn new(options: &Options, world: &World, received: Vec<Received>) -> Self {
+    pub(crate) fn new(options: &Options, testbed: &Testbed, received: Vec<Received>) -> Self {
         let faults: Vec<_> = options.faults.iter().map(|it| it.name()).collect();
         let faults = if faults.is_empty() { "none".to_owned() } else { faults.join(", ") };
         let title = format!(
@@ -32,17 +32,17 @@
             options.user.name(),
             options.requests,
             options.seed,
-            world.entries.len(),
-            world.backends.len(),
+            testbed.entries.len(),
+            testbed.backends.len(),
         );
-        let verdict = Verdict::count(options, world, &received);
+        let verdict = Verdict::from_run(options, testbed, &received);
         Self {
             verdict,
             received,
             title,
-            store_calls: world.platform.store_calls(),
+            store_calls: testbed.platform.store_calls(),
             faults: options.faults.clone(),
-            races: world.races.clone(),
+            races: testbed.races.clone(),
         }
     }
 
@@ -50,7 +50,7 @@
         self.verdict.is_clean(&self.faults) && self.races.iter().all(Race::is_clean)
     }
 
-    #[expect(clippy::print_stdout, reason = "the report is what the program is for")]
+    #[expect(clippy::print_stdout, reason = "the report is the program's output")]
     pub(crate) fn print(&self, json: bool) {
         println!("{}\n", self.title);
         println!(
@@ -67,7 +67,7 @@
         for (class, rows) in self.by_class() {
             println!("{}", class_row(class, &rows));
         }
-        for line in self.refusals() {
+        for line in self.failure_lines() {
             println!("{line}");
         }
         let it = &self.verdict;
@@ -95,28 +95,28 @@
     fn by_class(&self) -> IndexMap<&'static str, Vec<&Received>> {
         let mut classes: IndexMap<_, Vec<_>> = IndexMap::new();
         for it in &self.received {
-            classes.entry(it.question.class).or_default().push(it);
+            classes.entry(it.planned.class).or_default().push(it);
         }
         classes
     }
 
-    /// Refusals by code, and every request that ended badly.
-    fn refusals(&self) -> Vec<String> {
+    /// Formats a line for every request without an answer, then the number of refusals by error code.
+    fn failure_lines(&self) -> Vec<String> {
         let mut codes: IndexMap<String, u32> = IndexMap::new();
         let mut lines = Vec::new();
         for it in &self.received {
-            match &it.ending {
-                Ending::Refused { outcome, code } => {
+            match &it.result {
+                CallResult::Refused { outcome, code } => {
                     *codes.entry(format!("{code} ({outcome})")).or_default() += 1;
                 }
-                Ending::CutOff | Ending::Nothing => {
+                CallResult::CutOff | CallResult::Nothing => {
                     let id = it.id.map_or_else(|| "no id".to_owned(), |it| it.to_string());
                     lines.push(format!(
                         "  request {} ({}, {id}): {:?} after {:?}",
-                        it.question.number, it.question.class, it.ending, it.took
+                        it.planned.number, it.planned.class, it.result, it.elapsed
                     ));
                 }
-                Ending::Whole(_) => {}
+                CallResult::Whole(_) => {}
             }
         }
         lines.extend(codes.iter().map(|(code, count)| format!("  refused {count}: {code}")));
@@ -125,20 +125,24 @@
 }
 
 fn class_row(class: &str, rows: &[&Received]) -> String {
-    let count = |wanted: fn(&Ending) -> bool| rows.iter().filter(|it| wanted(&it.ending)).count();
+    let count =
+        |wanted: fn(&CallResult) -> bool| rows.iter().filter(|it| wanted(&it.result)).count();
     let firsts: Vec<Duration> = rows.iter().filter_map(|it| it.first_token).collect();
-    let ends: Vec<Duration> = rows.iter().map(|it| it.took).collect();
+    let ends: Vec<Duration> = rows.iter().map(|it| it.elapsed).collect();
     format!(
         "{:<14} {:>6} {:>8} {:>8} {:>13} {:>10} {:>9.1} ms {:>9.1} ms",
         class,
         rows.len(),
-        count(|it| matches!(it, Ending::Whole(_))),
+        count(|it| matches!(it, CallResult::Whole(_))),
         count(|it| matches!(
             it,
-            Ending::Refused { outcome: quincevalve_names::Outcome::NotRun, .. }
+            CallResult::Refused { outcome: quincevalve_names::Outcome::NotRun, .. }
         )),
         count(|it| {
-            matches!(it, Ending::Refused { outcome: quincevalve_names::Outcome::MayHaveRun, .. })
+            matches!(
+                it,
+                CallResult::Refused { outcome: quincevalve_names::Outcome::MayHaveRun, .. }
+            )
         }),
         rows.iter().filter(|it| it.reattached).count(),
         percentile(firsts, 0.95).as_secs_f64() * 1_000.0,
--- a/crates/quincevalve_trial/src/world.rs
+++ b/crates/quincevalve_trial/src/testbed.rs
@@ -1,4 +1,4 @@
-//! The machines of the trial: stand-ins, entry VMs, the network between them.
+//! The system under test: stand-ins, entry VMs and the simulated network between them.
 
 use std::{
     net::{IpAddr, Ipv4Addr, SocketAddr},
@@ -18,7 +18,7 @@
 use tokio::{net::TcpListener, sync::mpsc};
 
 use crate::{
-    caller::{Balancer, Received, call_all},
+    caller::{Balancer, Received, send_all},
     fault::Fault,
     operator::Race,
     options::Options,
@@ -26,32 +26,34 @@
     workload,
 };
 
-/// The number of the platform's own network.
+/// Zone number of the platform; part of its loopback addresses.
 pub(crate) const PLATFORM_ZONE: u8 = 200;
 const ENTRY_VMS_PER_DATA_CENTRE: u8 = 2;
-/// Time for the entry VMs to get to know each other.
-const WARM_UP: Duration = Duration::from_millis(800);
-const SERVICE_WORK: Duration = Duration::from_millis(8);
-const CACHE_TOKENS: u32 = 60_000;
-
-/// The trial can't start.
+/// Time for the entry VMs to discover each other before the first request.
+const WARM_UP_TIME: Duration = Duration::from_millis(800);
+/// Processing time of one call to a plain service.
+const SERVICE_TIME: Duration = Duration::from_millis(8);
+/// Cache size of each engine stand-in, in tokens.
+const ENGINE_CACHE_TOKENS: u32 = 60_000;
+
+/// Error while starting the testbed.
 #[derive(Debug, Snafu)]
-pub(crate) enum WorldError {
+pub(crate) enum TestbedError {
     #[snafu(display("{source}"))]
     Inventory { source: ReadError },
-    #[snafu(display("no loopback address {address}: {source}"))]
+    #[snafu(display("failed to bind {address}: {source}"))]
     Bind { address: SocketAddr, source: std::io::Error },
     #[snafu(display("{name} did not start"))]
     Start { name: String },
 }
 
-/// What runs on a backend server.
+/// Stand-in that runs on a backend server.
 pub(crate) enum Backend {
     Engine(Box<Engine>),
     Service(PlainService),
 }
 
-/// A backend server of the trial.
+/// A running backend server.
 pub(crate) struct BackendVm {
     pub(crate) name: String,
     pub(crate) data_centre: DataCentreName,
@@ -59,10 +61,10 @@
     pub(crate) backend: Backend,
     pub(crate) wire: Wire,
     pub(crate) thread: VmThread,
-    pub(crate) ended: Option<Instant>,
+    pub(crate) ended_at: Option<Instant>,
 }
 
-/// An entry VM of the trial.
+/// A running entry VM with its control process.
 pub(crate) struct EntryThread {
     pub(crate) name: EntryVmName,
     pub(crate) data_centre: DataCentreName,
@@ -73,14 +75,14 @@
 }
 
 impl EntryThread {
-    /// Asks for a graceful shutdown, as SIGTERM does.
+    /// Starts a graceful shutdown, as SIGTERM does.
     pub(crate) fn stop(&self) {
         let _ = self.stop.send(());
     }
 }
 
-/// Everything.
-pub(crate) struct World {
+/// All running VMs of the trial with the network between them.
+pub(crate) struct Testbed {
     pub(crate) platform: Platform,
     pub(crate) cuts: Cuts,
     pub(crate) backends: Vec<BackendVm>,
@@ -96,20 +98,20 @@
     IpAddr::V4(Ipv4Addr::new(127, 0, zone, host))
 }
 
-/// Binds a port of the system's choice.
-fn bind(ip: IpAddr) -> Result<(std::net::TcpListener, SocketAddr), WorldError> {
+/// Binds a port that the operating system chooses.
+fn bind(ip: IpAddr) -> Result<(std::net::TcpListener, SocketAddr), TestbedError> {
     let wanted = SocketAddr::new(ip, 0);
-    let bound = || -> std::io::Result<_> {
+    let try_bind = || -> std::io::Result<_> {
         let listener = std::net::TcpListener::bind(wanted)?;
         listener.set_nonblocking(true)?;
         let address = listener.local_addr()?;
         Ok((listener, address))
     };
-    bound().context(BindSnafu { address: wanted })
+    try_bind().context(BindSnafu { address: wanted })
 }
 
-impl World {
-    pub(crate) fn start(options: &Options) -> Result<Self, WorldError> {
+impl Testbed {
+    pub(crate) fn start(options: &Options) -> Result<Self, TestbedError> {
         let mut inventory = options.user.inventory().context(InventorySnafu)?;
         let cuts = Cuts::default();
         let mut wires = Vec::new();
@@ -122,7 +124,7 @@
             let (vm, listener, address) = start_backend(&inventory, position, options.seed, &cuts)?;
             wires.push((vm.wire.clone(), listener));
             inventory.backend_server[position].address = address;
-            platform.list_vm_now(listed(&vm.name, &vm.data_centre));
+            platform.list_vm_now(vm_listing(&vm.name, &vm.data_centre));
             backends.push(vm);
         }
         let mut plans = Vec::new();
@@ -134,7 +136,7 @@
                 let plan = EntryPlan::new(&name, data_centre, ip, platform_address)?;
                 let row = ListedVm {
                     peer_address: Some(plan.control_wire.1),
-                    ..listed(&name, data_centre)
+                    ..vm_listing(&name, data_centre)
                 };
                 platform.list_vm_now(row);
                 plans.push((plan, zone));
@@ -142,9 +144,9 @@
         }
         let mut entries = Vec::new();
         for (plan, zone) in plans {
-            let (entry, more) = start_entry(plan, zone, &cuts, &inventory)?;
+            let (entry, entry_wires) = start_entry(plan, zone, &cuts, &inventory)?;
             entries.push(entry);
-            wires.extend(more);
+            wires.extend(entry_wires);
         }
         let network = start_network(wires)?;
         Ok(Self {
@@ -160,33 +162,36 @@
         })
     }
 
-    /// Sends all requests, switches the faults on and off, and returns what callers received.
+    /// Sends all requests while injecting the faults, shuts the testbed down and returns what callers received.
     pub(crate) fn run(&mut self, options: &Options) -> Vec<Received> {
-        std::thread::sleep(WARM_UP);
+        std::thread::sleep(WARM_UP_TIME);
         let overload = options.faults.contains(&Fault::Overload);
-        let questions = workload::draw(options.user, options.requests, options.seed, overload);
-        let length = questions.last().map_or(Duration::ZERO, |it| it.at);
+        let planned_requests =
+            workload::generate(options.user, options.requests, options.seed, overload);
+        let run_length = planned_requests.last().map_or(Duration::ZERO, |it| it.send_at);
         let balancer = Balancer::new(self.entries.iter().map(|it| it.address).collect());
-        let calling = std::thread::spawn(move || call_all(balancer, questions));
-        self.drive_faults(options, length);
-        let received = calling.join().unwrap_or_default();
-        self.end();
+        let caller_thread = std::thread::spawn(move || send_all(balancer, planned_requests));
+        self.inject_faults(options, run_length);
+        let received = caller_thread.join().unwrap_or_default();
+        self.shut_down();
         received
     }
 
-    /// Each fault begins in the first half of the run, one after the other, and lasts a while.
-    fn drive_faults(&mut self, options: &Options, length: Duration) {
+    /// Injects the faults one after the other, evenly spaced from 20% of the run's length on and before 70%.
+    ///
+    /// A fault that is still in progress delays the next one.
+    fn inject_faults(&mut self, options: &Options, run_length: Duration) {
         let begin = Instant::now();
         let count = options.faults.len().max(1) as u32;
         for (position, fault) in options.faults.iter().enumerate() {
-            let at = length / 5 + length * position as u32 / (2 * count);
+            let at = run_length / 5 + run_length * position as u32 / (2 * count);
             std::thread::sleep(at.saturating_sub(begin.elapsed()));
-            crate::verdict::progress(&format!("fault {} on", fault.name()));
-            self.switch(*fault, position, options.seed);
+            crate::verdict::print_progress(&format!("fault {} on", fault.name()));
+            self.inject(*fault, position, options.seed);
         }
     }
 
-    fn end(&mut self) {
+    fn shut_down(&mut self) {
         for entry in &mut self.entries {
             entry.thread.kill();
         }
@@ -198,7 +203,7 @@
     }
 }
 
-fn listed(name: &str, data_centre: &DataCentreName) -> ListedVm {
+fn vm_listing(name: &str, data_centre: &DataCentreName) -> ListedVm {
     ListedVm {
         name: name.to_owned(),
         data_centre: data_centre.clone(),
@@ -208,7 +213,7 @@
     }
 }
 
-fn start_platform(seed: u64) -> Result<(Platform, VmThread, SocketAddr), WorldError> {
+fn start_platform(seed: u64) -> Result<(Platform, VmThread, SocketAddr), TestbedError> {
     let (listener, address) = bind(loopback(PLATFORM_ZONE, 2))?;
     let started = VmThread::start(move |ready| async move {
         let platform = Platform::new(seed);
@@ -228,18 +233,18 @@
     position: usize,
     seed: u64,
     cuts: &Cuts,
-) -> Result<StartedBackend, WorldError> {
+) -> Result<StartedBackend, TestbedError> {
     let (name, server) = &inventory.backend_server.as_slice()[position..]
         .first()
         .context(StartSnafu { name: "backend" })?;
     let zone = inventory.data_centre.get_index_of(&server.data_centre).unwrap_or(0) as u8 + 1;
     let ip = loopback(zone, 100 + position as u8);
-    let (listener, real) = bind(ip)?;
+    let (listener, server_address) = bind(ip)?;
     let speed = EngineSpeed {
         slots: server.slots,
         prefill_tokens_per_s: server.prefill_tokens_per_s,
         token_time: Duration::from_micros(u64::from(server.token_us)),
-        cache_tokens: CACHE_TOKENS,
+        cache_tokens: ENGINE_CACHE_TOKENS,
     };
     let is_engine = matches!(server.serves, Serves::Model(_));
     let seed = seed.wrapping_add(position as u64);
@@ -250,7 +255,7 @@
             let _ = ready.send(Backend::Engine(Box::new(engine.clone())));
             engine.serve(listener).await;
         } else {
-            let service = PlainService::new(SERVICE_WORK);
+            let service = PlainService::new(SERVICE_TIME);
             let _ = ready.send(Backend::Service(service.clone()));
             service.serve(listener).await;
         }
@@ -264,14 +269,14 @@
         data_centre: server.data_centre.clone(),
         price_milli: price.copied().unwrap_or(0),
         backend,
-        wire: Wire::new(real, zone, cuts.clone()),
+        wire: Wire::new(server_address, zone, cuts.clone()),
         thread,
-        ended: None,
+        ended_at: None,
     };
     Ok((vm, listener, address))
 }
 
-fn start_network(wires: Vec<(Wire, std::net::TcpListener)>) -> Result<VmThread, WorldError> {
+fn start_network(wires: Vec<(Wire, std::net::TcpListener)>) -> Result<VmThread, TestbedError> {
     let started = VmThread::start(move |ready| async move {
         for (wire, listener) in wires {
             if let Ok(listener) = TcpListener::from_std(listener) {
@@ -286,7 +291,7 @@
 
 type Listener = (std::net::TcpListener, SocketAddr);
 
-/// An entry VM before it starts: its addresses are known, so that others can be told of them.
+/// An entry VM before it starts. Its addresses are already bound, so that the platform can list them.
 struct EntryPlan {
     name: String,
     data_centre: DataCentreName,
@@ -302,7 +307,7 @@
         data_centre: &DataCentreName,
         ip: IpAddr,
         platform: SocketAddr,
-    ) -> Result<Self, WorldError> {
+    ) -> Result<Self, TestbedError> {
         Ok(Self {
             name: name.to_owned(),
             data_centre: data_centre.clone(),
@@ -360,10 +365,10 @@
     }
 }
 
-/// The key of the trial's operators.
+/// API key of the trial's operators.
 pub(crate) const OPERATOR_KEY: &str = "operator-key";
 
-/// Where a started VM is reached.
+/// Addresses of a started entry VM and its control process.
 struct EntryAddresses {
     callers: SocketAddr,
     peers: SocketAddr,
@@ -378,7 +383,7 @@
     zone: u8,
     cuts: &Cuts,
     inventory: &Inventory,
-) -> Result<(EntryThread, Wires), WorldError> {
+) -> Result<(EntryThread, Wires), TestbedError> {
     let view = View::new(Revision(0), inventory.clone());
     let (stop, mut stopped) = mpsc::unbounded_channel();
     let control_settings = plan.control_settings();
@@ -414,7 +419,7 @@
     Ok((entry, wires))
 }
 
-/// Rounds that suit a trial of a few seconds.
+/// Intervals and timeouts short enough for a run of a few seconds.
 fn control_pacing() -> ControlPacing {
     ControlPacing {
         period_ms: 150,
@@ -426,7 +431,7 @@
     }
 }
 
-/// Waits that suit stand-ins which answer in milliseconds.
+/// Timeouts that suit stand-ins that answer within milliseconds.
 fn pacing() -> Pacing {
     Pacing {
         connect_ms: 300,
--- a/crates/quincevalve_trial/src/verdict.rs
+++ b/crates/quincevalve_trial/src/verdict.rs
@@ -1,4 +1,4 @@
-//! The count of a run, from what callers received and what the stand-ins saw.
+//! Verdict on a run: compares what callers received with what the stand-ins observed.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -7,14 +7,14 @@
 use serde::Serialize;
 
 use crate::{
-    caller::{Ending, Received},
+    caller::{CallResult, Received},
     fault::Fault,
     options::Options,
-    workload::Ask,
-    world::{Backend, World},
+    testbed::{Backend, Testbed},
+    workload::Payload,
 };
 
-/// The result, in the order of the JSON line.
+/// Counts of a run. The order of the fields is their order in the JSON output.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub(crate) struct Verdict {
     pub(crate) sent: u64,
@@ -32,48 +32,49 @@
     pub(crate) cost: f64,
 }
 
-/// Prints what happens while the trial runs.
-pub(crate) fn progress(text: &str) {
+/// Prints a progress message on stderr.
+pub(crate) fn print_progress(text: &str) {
     eprintln!("trial: {text}");
 }
 
-/// What the stand-ins saw, over all of them.
-pub(crate) struct Seen {
+/// Executions observed by the stand-ins, summed over all backend servers.
+pub(crate) struct Observations {
     executions: HashMap<String, u32>,
     started: HashMap<RequestId, u32>,
     recomputed: u64,
 }
 
-impl Seen {
-    pub(crate) fn of(world: &World) -> Self {
-        let mut seen = Self { executions: HashMap::new(), started: HashMap::new(), recomputed: 0 };
-        for vm in &world.backends {
+impl Observations {
+    pub(crate) fn collect(testbed: &Testbed) -> Self {
+        let mut observations =
+            Self { executions: HashMap::new(), started: HashMap::new(), recomputed: 0 };
+        for vm in &testbed.backends {
             match &vm.backend {
                 Backend::Engine(engine) => {
                     let ledger = engine.ledger();
-                    seen.recomputed += ledger.recomputed_tokens;
+                    observations.recomputed += ledger.recomputed_tokens;
                     for (id, count) in ledger.started {
-                        *seen.started.entry(id).or_default() += count;
+                        *observations.started.entry(id).or_default() += count;
                     }
                 }
                 Backend::Service(service) => {
                     for (mark, count) in service.ledger().executions {
-                        *seen.executions.entry(mark).or_default() += count;
+                        *observations.executions.entry(mark).or_default() += count;
                     }
                 }
             }
         }
-        seen
+        observations
     }
 
-    /// How often a request was run, as the backends saw it.
-    fn runs(&self, received: &Received) -> u32 {
-        match received.question.ask {
-            Ask::Service { .. } => {
-                let mark = received.question.number.to_string();
+    /// Returns how often the backend servers executed a request.
+    fn execution_count(&self, received: &Received) -> u32 {
+        match received.planned.payload {
+            Payload::Service { .. } => {
+                let mark = received.planned.number.to_string();
                 self.executions.get(&mark).copied().unwrap_or(0)
             }
-            Ask::Model { .. } => {
+            Payload::Model { .. } => {
                 received.id.and_then(|it| self.started.get(&it)).copied().unwrap_or(0)
             }
         }
@@ -81,46 +82,48 @@
 }
 
 impl Verdict {
-    pub(crate) fn count(options: &Options, world: &World, received: &[Received]) -> Self {
-        let seen = Seen::of(world);
+    pub(crate) fn from_run(options: &Options, testbed: &Testbed, received: &[Received]) -> Self {
+        let observations = Observations::collect(testbed);
         let crashes_entry = options.faults.iter().any(|it| it.crashes_entry());
         let mut verdict = Self { sent: u64::from(options.requests), ..Self::default() };
         for it in received {
-            verdict.count_one(it, seen.runs(it), crashes_entry);
+            verdict.count_request(it, observations.execution_count(it), crashes_entry);
         }
         verdict.lost += verdict.sent - received.len() as u64;
         verdict.accepted = verdict.sent - verdict.refused;
-        verdict.tokens_recomputed = seen.recomputed;
+        verdict.tokens_recomputed = observations.recomputed;
         let firsts = received.iter().filter_map(|it| it.first_token).collect();
         verdict.first_token_p95_ms = percentile(firsts, 0.95).as_secs_f64() * 1_000.0;
-        verdict.cost = cost(world);
+        verdict.cost = cost(testbed);
         verdict
     }
 
-    fn count_one(&mut self, received: &Received, runs: u32, crashes_entry: bool) {
-        let is_billed = matches!(received.question.class, "booking" | "billed-report" | "record");
+    fn count_request(&mut self, received: &Received, runs: u32, crashes_entry: bool) {
+        let is_billed = matches!(received.planned.class, "booking" | "billed-report" | "record");
         if is_billed && runs > 1 {
             self.ran_twice += 1;
         }
-        match &received.ending {
-            Ending::Whole(text) if *text == expected(&received.question.ask) => self.complete += 1,
-            Ending::Whole(_) => self.wrong += 1,
-            Ending::Refused { outcome: Outcome::NotRun, .. } => {
+        match &received.result {
+            CallResult::Whole(text) if *text == expected_answer(&received.planned.payload) => {
+                self.complete += 1
+            }
+            CallResult::Whole(_) => self.wrong += 1,
+            CallResult::Refused { outcome: Outcome::NotRun, .. } => {
                 self.refused += 1;
                 if runs > 0 {
                     self.untruthful += 1;
                 }
             }
-            Ending::Refused { outcome: Outcome::MayHaveRun, .. } => self.may_have_run += 1,
-            // Without notice an entry VM takes what it knew with it; the caller sees the connection
-            // end, which is the truth: the request may have run.
-            Ending::CutOff | Ending::Nothing if crashes_entry => self.may_have_run += 1,
-            Ending::CutOff => self.cut_off += 1,
-            Ending::Nothing => self.lost += 1,
+            CallResult::Refused { outcome: Outcome::MayHaveRun, .. } => self.may_have_run += 1,
+            // An entry VM that crashes loses its state, so no node can resume the answer. The caller sees the connection
+            // close, which truthfully means that the request may have run.
+            CallResult::CutOff | CallResult::Nothing if crashes_entry => self.may_have_run += 1,
+            CallResult::CutOff => self.cut_off += 1,
+            CallResult::Nothing => self.lost += 1,
         }
     }
 
-    /// Whether the run kept what is promised under its faults.
+    /// Returns whether the run kept all guarantees that hold under the injected faults.
     pub(crate) fn is_clean(&self, faults: &[Fault]) -> bool {
         let unannounced = faults.iter().any(|it| it.is_unannounced());
         (unannounced || self.may_have_run == 0)
@@ -132,28 +135,28 @@
     }
 }
 
-/// The whole right answer.
-fn expected(ask: &Ask) -> String {
-    match ask {
-        Ask::Model { prompt, max_tokens, .. } => {
+/// Returns the complete correct answer.
+fn expected_answer(payload: &Payload) -> String {
+    match payload {
+        Payload::Model { prompt, max_tokens, .. } => {
             answers::whole(&format!("user: {prompt}\n"), *max_tokens)
         }
-        Ask::Service { body, .. } => answers::service_answer("/calls", body.as_bytes()),
+        Payload::Service { body, .. } => answers::service_answer("/calls", body.as_bytes()),
     }
 }
 
-/// The value that a share of all values doesn't exceed.
-pub(crate) fn percentile(mut values: Vec<Duration>, share: f64) -> Duration {
+/// Returns the `fraction` quantile of `values` by the nearest-rank method, or zero without values.
+pub(crate) fn percentile(mut values: Vec<Duration>, fraction: f64) -> Duration {
     values.sort_unstable();
-    let position = (values.len() as f64 * share).ceil() as usize;
+    let position = (values.len() as f64 * fraction).ceil() as usize;
     values.get(position.saturating_sub(1)).copied().unwrap_or_default()
 }
 
-/// What the backend servers cost while they ran, in the operators' currency.
-fn cost(world: &World) -> f64 {
+/// Returns the cost of the backend servers for the time that they ran, in the operators' currency.
+fn cost(testbed: &Testbed) -> f64 {
     let now = std::time::Instant::now();
-    let costs = world.backends.iter().map(|it| {
-        let ran = it.ended.unwrap_or(now) - world.started;
+    let costs = testbed.backends.iter().map(|it| {
+        let ran = it.ended_at.unwrap_or(now) - testbed.started;
         it.price_milli as f64 / 1_000.0 * ran.as_secs_f64() / 3_600.0
     });
     costs.sum()
--- a/crates/quincevalve_trial/src/vm_thread.rs
+++ b/crates/quincevalve_trial/src/vm_thread.rs
@@ -1,69 +1,71 @@
-//! A VM of the trial: a runtime on a thread of its own, so that it can be killed or frozen as a whole.
+//! Simulated VMs: each has its own runtime on its own thread, so that all its tasks can be killed or frozen together.
 
 use std::{future::Future, thread, time::Duration};
 
 use tokio::sync::{mpsc, oneshot};
 
-enum Order {
+enum Command {
     Freeze(Duration),
     Kill,
 }
 
-/// A running VM.
+/// A simulated VM; it ends when this handle is dropped.
 pub(crate) struct VmThread {
-    orders: mpsc::UnboundedSender<Order>,
+    commands: mpsc::UnboundedSender<Command>,
     thread: Option<thread::JoinHandle<()>>,
 }
 
 impl VmThread {
-    /// Starts `main` on a runtime of its own and waits for the value that it announces.
+    /// Starts `main` on a new runtime and blocks until `main` sends its ready value.
+    ///
+    /// Returns `None` if `main` ends without sending the value.
     pub(crate) fn start<M, F, T>(main: M) -> Option<(Self, T)>
     where
         M: FnOnce(oneshot::Sender<T>) -> F + Send + 'static,
         F: Future<Output = ()>,
         T: Send + 'static,
     {
-        let (orders, mut rx) = mpsc::unbounded_channel();
-        let (ready, announced) = oneshot::channel();
+        let (commands, mut rx) = mpsc::unbounded_channel();
+        let (ready, ready_rx) = oneshot::channel();
         let thread = thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
             let Ok(runtime) = runtime else { return };
             runtime.block_on(async {
                 tokio::select! {
                     () = main(ready) => {}
-                    () = obey(&mut rx) => {}
+                    () = run_commands(&mut rx) => {}
                 }
             });
-            // Dropping the runtime ends every task where it stands: a crash.
+            // Dropping the runtime cancels every task at its current await point, as in a crash.
         });
-        let value = announced.blocking_recv().ok()?;
-        Some((Self { orders, thread: Some(thread) }, value))
+        let value = ready_rx.blocking_recv().ok()?;
+        Some((Self { commands, thread: Some(thread) }, value))
     }
 
-    /// Stops everything on the VM for a time, as a paused machine does.
+    /// Blocks all tasks of the VM for `duration`, as when a hypervisor pauses it.
     pub(crate) fn freeze(&self, duration: Duration) {
-        let _ = self.orders.send(Order::Freeze(duration));
+        let _ = self.commands.send(Command::Freeze(duration));
     }
 
-    /// Ends the VM without any chance to tidy up.
+    /// Ends the VM without a graceful shutdown and waits for its thread.
     pub(crate) fn kill(&mut self) {
-        let _ = self.orders.send(Order::Kill);
+        let _ = self.commands.send(Command::Kill);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
     }
 
-    /// Waits until the VM has ended by itself.
-    pub(crate) fn is_over(&self) -> bool {
+    /// Returns whether the VM's thread has ended, by itself or through [`Self::kill`].
+    pub(crate) fn has_ended(&self) -> bool {
         self.thread.as_ref().is_none_or(thread::JoinHandle::is_finished)
     }
 }
 
-async fn obey(orders: &mut mpsc::UnboundedReceiver<Order>) {
+async fn run_commands(commands: &mut mpsc::UnboundedReceiver<Command>) {
     loop {
-        match orders.recv().await {
-            Some(Order::Freeze(duration)) => thread::sleep(duration),
-            Some(Order::Kill) | None => return,
+        match commands.recv().await {
+            Some(Command::Freeze(duration)) => thread::sleep(duration),
+            Some(Command::Kill) | None => return,
         }
     }
 }
--- a/crates/quincevalve_trial/src/workload.rs
+++ b/crates/quincevalve_trial/src/workload.rs
@@ -1,4 +1,4 @@
-//! The users' mixes of work, drawn from a seed.
+//! Workload generator: draws each user's mix of requests from a seed.
 
 use std::time::Duration;
 
@@ -7,160 +7,192 @@
 
 use crate::deployment::User;
 
-/// One request of the trial.
+/// A request to send during the trial.
 #[derive(Clone, Debug)]
-pub(crate) struct Question {
+pub(crate) struct PlannedRequest {
     pub(crate) number: u32,
-    pub(crate) at: Duration,
+    pub(crate) send_at: Duration,
     pub(crate) account: &'static str,
     pub(crate) class: &'static str,
-    pub(crate) ask: Ask,
-    pub(crate) key: Option<String>,
+    pub(crate) payload: Payload,
+    pub(crate) idempotency_key: Option<String>,
 }
 
-/// What it asks.
+/// Content of a request.
 #[derive(Clone, Debug)]
-pub(crate) enum Ask {
-    /// An answer of a model.
+pub(crate) enum Payload {
+    /// A chat completion by a model.
     Model { model: &'static str, prompt: String, max_tokens: u32, stream: bool },
-    /// A call of a service.
+    /// A call to a plain service.
     Service { service: &'static str, body: String },
 }
 
-/// A kind of request, with its share of the mix.
-struct Kind {
-    share: u32,
+/// A kind of request with its relative weight in the mix.
+struct RequestKind {
+    weight: u32,
     account: &'static str,
     class: &'static str,
-    form: Form,
+    payload_kind: PayloadKind,
 }
 
-enum Form {
-    Chat { topics: u32, most: u32 },
-    Long { topics: u32, most: u32 },
+enum PayloadKind {
+    Chat { topics: u32, token_limit: u32 },
+    Long { topics: u32, token_limit: u32 },
     Call,
 }
 
-const FLUGHAFENSHUTTLE: [Kind; 5] = [
-    Kind {
-        share: 40,
+const FLUGHAFENSHUTTLE: [RequestKind; 5] = [
+    RequestKind {
+        weight: 40,
         account: "travellers",
         class: "kerbside",
-        form: Form::Chat { topics: 12, most: 48 },
+        payload_kind: PayloadKind::Chat { topics: 12, token_limit: 48 },
     },
-    Kind {
-        share: 25,
+    RequestKind {
+        weight: 25,
         account: "hotel-desks",
         class: "desk",
-        form: Form::Chat { topics: 20, most: 64 },
+        payload_kind: PayloadKind::Chat { topics: 20, token_limit: 64 },
     },
-    Kind {
-        share: 10,
+    RequestKind {
+        weight: 10,
         account: "dispatch",
         class: "summary",
-        form: Form::Long { topics: 4, most: 600 },
+        payload_kind: PayloadKind::Long { topics: 4, token_limit: 600 },
     },
-    Kind {
-        share: 5,
+    RequestKind {
+        weight: 5,
         account: "website",
         class: "kerbside",
-        form: Form::Chat { topics: 12, most: 32 },
+        payload_kind: PayloadKind::Chat { topics: 12, token_limit: 32 },
+    },
+    RequestKind {
+        weight: 20,
+        account: "travellers",
+        class: "booking",
+        payload_kind: PayloadKind::Call,
     },
-    Kind { share: 20, account: "travellers", class: "booking", form: Form::Call },
 ];
 
-const MACRAE: [Kind; 5] = [
-    Kind {
-        share: 35,
+const MACRAE: [RequestKind; 5] = [
+    RequestKind {
+        weight: 35,
         account: "forecourt",
         class: "chat",
-        form: Form::Chat { topics: 30, most: 48 },
+        payload_kind: PayloadKind::Chat { topics: 30, token_limit: 48 },
     },
-    Kind {
-        share: 15,
+    RequestKind {
+        weight: 15,
         account: "private-buyers",
         class: "chat",
-        form: Form::Chat { topics: 30, most: 48 },
+        payload_kind: PayloadKind::Chat { topics: 30, token_limit: 48 },
     },
-    Kind {
-        share: 20,
+    RequestKind {
+        weight: 20,
         account: "dealers-north",
         class: "dossier",
-        form: Form::Long { topics: 10, most: 900 },
+        payload_kind: PayloadKind::Long { topics: 10, token_limit: 900 },
     },
-    Kind {
-        share: 10,
+    RequestKind {
+        weight: 10,
         account: "dealers-south",
         class: "billed-report",
-        form: Form::Long { topics: 10, most: 600 },
+        payload_kind: PayloadKind::Long { topics: 10, token_limit: 600 },
+    },
+    RequestKind {
+        weight: 20,
+        account: "auctions",
+        class: "record",
+        payload_kind: PayloadKind::Call,
     },
-    Kind { share: 20, account: "auctions", class: "record", form: Form::Call },
 ];
 
-/// Requests that a caller sends in a second.
-const RATE: f64 = 80.0;
+/// Mean request rate of all callers together, in requests per second.
+const REQUESTS_PER_SECOND: f64 = 80.0;
 
-/// Draws the questions of a run. In an overload the middle third comes five times as fast.
-pub(crate) fn draw(user: User, requests: u32, seed: u64, overload: bool) -> Vec<Question> {
+/// Draws the requests of a run. With `overload`, the middle third of the requests arrives at 20 times the normal rate.
+pub(crate) fn generate(
+    user: User,
+    requests: u32,
+    seed: u64,
+    overload: bool,
+) -> Vec<PlannedRequest> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let kinds = match user {
         User::Flughafenshuttle => &FLUGHAFENSHUTTLE,
         User::Macrae => &MACRAE,
     };
-    let mut at = 0.0;
+    let mut send_at = 0.0;
     (0..requests)
         .map(|number| {
             let is_peak = overload && (requests / 3..requests * 2 / 3).contains(&number);
-            let rate = if is_peak { RATE * 20.0 } else { RATE };
+            let rate = if is_peak { REQUESTS_PER_SECOND * 20.0 } else { REQUESTS_PER_SECOND };
             let draw: f64 = rng.random_range(f64::EPSILON..1.0);
-            at += -draw.ln() / rate;
-            let kind = pick(kinds, &mut rng);
-            question(user, number, Duration::from_secs_f64(at), kind, &mut rng)
+            send_at += -draw.ln() / rate;
+            let kind = pick_kind(kinds, &mut rng);
+            plan_request(user, number, Duration::from_secs_f64(send_at), kind, &mut rng)
         })
         .collect()
 }
 
-fn pick<'a>(kinds: &'a [Kind], rng: &mut Pcg64Mcg) -> &'a Kind {
-    let total: u32 = kinds.iter().map(|it| it.share).sum();
+fn pick_kind<'a>(kinds: &'a [RequestKind], rng: &mut Pcg64Mcg) -> &'a RequestKind {
+    let total: u32 = kinds.iter().map(|it| it.weight).sum();
     let mut draw = rng.random_range(0..total);
     for kind in kinds {
-        if draw < kind.share {
+        if draw < kind.weight {
             return kind;
         }
-        draw -= kind.share;
+        draw -= kind.weight;
     }
     &kinds[0]
 }
 
-fn question(user: User, number: u32, at: Duration, kind: &Kind, rng: &mut Pcg64Mcg) -> Question {
+fn plan_request(
+    user: User,
+    number: u32,
+    send_at: Duration,
+    kind: &RequestKind,
+    rng: &mut Pcg64Mcg,
+) -> PlannedRequest {
     let (model, service) = match user {
         User::Flughafenshuttle => ("booking-assistant", "seats"),
         User::Macrae => ("vehicle-language", "records"),
     };
-    let (ask, key) = match kind.form {
-        Form::Chat { topics, most } => {
+    let (payload, idempotency_key) = match kind.payload_kind {
+        PayloadKind::Chat { topics, token_limit } => {
             let topic = rng.random_range(0..topics);
             let prompt = prompt(topic, SHORT_CONTEXT, number);
             let stream = rng.random_bool(0.8);
-            (Ask::Model { model, prompt, max_tokens: most, stream }, None)
+            (Payload::Model { model, prompt, max_tokens: token_limit, stream }, None)
         }
-        Form::Long { topics, most } => {
+        PayloadKind::Long { topics, token_limit } => {
             let topic = rng.random_range(0..topics);
             let prompt = prompt(topic, LONG_CONTEXT, number);
-            let key = rng.random_bool(0.5).then(|| format!("long-{number}"));
-            (Ask::Model { model, prompt, max_tokens: most, stream: true }, key)
+            let idempotency_key = rng.random_bool(0.5).then(|| format!("long-{number}"));
+            (
+                Payload::Model { model, prompt, max_tokens: token_limit, stream: true },
+                idempotency_key,
+            )
         }
-        Form::Call => {
+        PayloadKind::Call => {
             let body = format!("{{\"request\":{number},\"seats\":{}}}", rng.random_range(1..5));
-            let key = rng.random_bool(0.7).then(|| format!("call-{number}"));
-            (Ask::Service { service, body }, key)
+            let idempotency_key = rng.random_bool(0.7).then(|| format!("call-{number}"));
+            (Payload::Service { service, body }, idempotency_key)
         }
     };
-    Question { number, at, account: kind.account, class: kind.class, ask, key }
+    PlannedRequest {
+        number,
+        send_at,
+        account: kind.account,
+        class: kind.class,
+        payload,
+        idempotency_key,
+    }
 }
 
-/// Sentences of context that requests of one topic share.
+/// Number of context sentences in a short prompt, the same in all prompts on one topic.
 const SHORT_CONTEXT: u32 = 12;
+/// Number of context sentences in a long prompt, the same in all prompts on one topic.
 const LONG_CONTEXT: u32 = 60;
 
 fn prompt(topic: u32, sentences: u32, number: u32) -> String {
