--- a/crates/quincevalve_trial/src/fault.rs
+++ b/crates/quincevalve_trial/src/fault.rs
@@ -78,7 +78,7 @@
         )
     }
 
-    /// Returns whether the fault kills an entry VM without notice. Only then may a caller be unable to resume an answer.
+    /// Returns whether the fault kills an entry VM without notice. Only then may an answer be impossible to resume.
     pub(crate) const fn crashes_entry(self) -> bool {
         matches!(self, Self::CrashEntry)
     }
--- a/crates/quincevalve_trial/src/fault_injection.rs
+++ b/crates/quincevalve_trial/src/fault_injection.rs
@@ -14,14 +14,14 @@
 const FAULT_DURATION: Duration = Duration::from_millis(1_500);
 /// Delay of each call to a slow store.
 const SLOW_STORE_DELAY: Duration = Duration::from_millis(150);
-/// Value of `store_ambiguous` during the fault.
-const STORE_AMBIGUITY: f64 = 0.3;
+/// Fraction of store writes that are processed but whose response is lost.
+const LOST_WRITE_RESPONSE_RATE: f64 = 0.3;
 
 impl Testbed {
     /// Injects one fault.
     ///
-    /// Store faults, freezes and partitions last [`FAULT_DURATION`] and are lifted before this returns; engine faults and
-    /// cloud refusals stay on.
+    /// Store faults, freezes and partitions last [`FAULT_DURATION`] and are lifted before this returns. Engine faults
+    /// and cloud refusals stay on.
     ///
     /// `position` and `seed` choose which VM or data centre is affected.
     pub(crate) fn inject(&mut self, fault: Fault, position: usize, seed: u64) {
@@ -33,16 +33,15 @@
             Fault::CrashBackend => self.crash_backend(selector),
             Fault::CrashEntry => self.crash_entry(selector),
             Fault::StoreOutage => self.inject_platform_fault(|it| it.store_outage = true),
-            Fault::StoreAmbiguous => {
-                self.inject_platform_fault(|it| it.store_ambiguous = STORE_AMBIGUITY)
-            }
+            Fault::StoreAmbiguous => self
+                .inject_platform_fault(|it| it.lost_write_response_rate = LOST_WRITE_RESPONSE_RATE),
             Fault::StoreSlow => self.inject_platform_fault(|it| it.store_delay = SLOW_STORE_DELAY),
             Fault::LeasePause => self.freeze_entry(selector),
             Fault::SilentConnection => self.silence_connections(),
             Fault::Partition => self.partition(selector),
             Fault::LateEvents => self.set_engine_faults(|it| it.late_events = true),
             Fault::Reorder => self.set_engine_faults(|it| it.reorder = true),
-            Fault::CloudRefusal => self.platform.set_faults(|it| it.cloud_refusal = true),
+            Fault::CloudRefusal => self.platform.set_faults(|it| it.reject_purchases = true),
             Fault::PlannedStop => self.planned_stop(selector),
             // The workload generator raises the request rate.
             Fault::Overload => {}
@@ -89,7 +88,7 @@
     }
 
     fn announce_reclaim(&self, names: Vec<String>, backends: &[usize]) {
-        self.platform.announce(names, RECLAIM_NOTICE);
+        self.platform.announce_reclaim(names, RECLAIM_NOTICE);
         for index in backends {
             self.backends[*index].signal_leaving();
         }
@@ -160,7 +159,7 @@
     /// Silences every open connection to a backend server permanently; new connections work.
     fn silence_connections(&self) {
         for vm in &self.backends {
-            vm.wire.silence_open();
+            vm.proxy.stall_open_connections();
         }
     }
 
@@ -169,11 +168,11 @@
         let zones = self.inventory.data_centre.len() as u8;
         let lost = (selector % usize::from(zones)) as u8 + 1;
         for zone in (1..=zones).filter(|it| *it != lost) {
-            self.cuts.cut(lost, zone);
+            self.partitions.separate(lost, zone);
         }
-        self.cuts.cut(lost, PLATFORM_ZONE);
+        self.partitions.separate(lost, PLATFORM_ZONE);
         std::thread::sleep(FAULT_DURATION);
-        self.cuts.heal();
+        self.partitions.heal();
     }
 
     fn planned_stop(&self, selector: usize) {
@@ -188,7 +187,7 @@
     fn signal_leaving(&self) {
         match &self.backend {
             Backend::Engine(engine) => engine.set_faults(|it| it.leaving = true),
-            Backend::Service(service) => service.leave(),
+            Backend::Service(service) => service.start_leaving(),
         }
     }
 }
--- a/crates/quincevalve_trial/src/main.rs
+++ b/crates/quincevalve_trial/src/main.rs
@@ -1,7 +1,7 @@
 //! `quincevalve-trial`: runs a complete system with stand-ins in one process on one machine.
 //!
 //! Starts stand-ins for the platform and for every backend server, and at least three entry VMs, sends real HTTP
-//! requests, injects fault_injection, and checks the responses to callers against the executions that the stand-ins recorded.
+//! requests, injects faults, and checks the responses to callers against the executions that the stand-ins recorded.
 
 mod caller;
 mod deployment;
--- a/crates/quincevalve_trial/src/operator.rs
+++ b/crates/quincevalve_trial/src/operator.rs
@@ -1,4 +1,4 @@
-//! Concurrent configuration updates factor two operators under load.
+//! Concurrent configuration updates by two operators under load.
 
 use std::{
     fmt,
--- a/crates/quincevalve_trial/src/testbed.rs
+++ b/crates/quincevalve_trial/src/testbed.rs
@@ -13,7 +13,7 @@
 use quincevalve_names::{DataCentreName, EntryVmName, Incarnation, Revision};
 use quincevalve_ports::cloud::{ListedVm, VmState};
 use quincevalve_program::{LogSettings, MetricsSettings};
-use quincevalve_standins::{Cuts, Engine, EngineSpeed, PlainService, Platform, Wire};
+use quincevalve_standins::{Engine, EngineSpeed, NetworkProxy, Partitions, PlainService, Platform};
 use snafu::{OptionExt, ResultExt, Snafu};
 use tokio::{net::TcpListener, sync::mpsc};
 
@@ -59,7 +59,7 @@
     pub(crate) data_centre: DataCentreName,
     pub(crate) price_milli: u64,
     pub(crate) backend: Backend,
-    pub(crate) wire: Wire,
+    pub(crate) proxy: NetworkProxy,
     pub(crate) thread: VmThread,
     pub(crate) ended_at: Option<Instant>,
 }
@@ -84,7 +84,7 @@
 /// All running VMs of the trial with the network between them.
 pub(crate) struct Testbed {
     pub(crate) platform: Platform,
-    pub(crate) cuts: Cuts,
+    pub(crate) partitions: Partitions,
     pub(crate) backends: Vec<BackendVm>,
     pub(crate) entries: Vec<EntryThread>,
     pub(crate) inventory: Inventory,
@@ -113,16 +113,17 @@
 impl Testbed {
     pub(crate) fn start(options: &Options) -> Result<Self, TestbedError> {
         let mut inventory = options.user.inventory().context(InventorySnafu)?;
-        let cuts = Cuts::default();
-        let mut wires = Vec::new();
+        let partitions = Partitions::default();
+        let mut proxies = Vec::new();
         let (platform, platform_thread, platform_address) = start_platform(options.seed)?;
-        let wire = Wire::new(platform_address, PLATFORM_ZONE, cuts.clone());
+        let proxy = NetworkProxy::new(platform_address, PLATFORM_ZONE, partitions.clone());
         let (listener, platform_address) = bind(loopback(PLATFORM_ZONE, 1))?;
-        wires.push((wire, listener));
+        proxies.push((proxy, listener));
         let mut backends = Vec::new();
         for position in 0..inventory.backend_server.len() {
-            let (vm, listener, address) = start_backend(&inventory, position, options.seed, &cuts)?;
-            wires.push((vm.wire.clone(), listener));
+            let (vm, listener, address) =
+                start_backend(&inventory, position, options.seed, &partitions)?;
+            proxies.push((vm.proxy.clone(), listener));
             inventory.backend_server[position].address = address;
             platform.list_vm_now(vm_listing(&vm.name, &vm.data_centre));
             backends.push(vm);
@@ -135,7 +136,7 @@
                 let ip = loopback(zone, 10 + number);
                 let plan = EntryPlan::new(&name, data_centre, ip, platform_address)?;
                 let row = ListedVm {
-                    peer_address: Some(plan.control_wire.1),
+                    peer_address: Some(plan.control_listener.1),
                     ..vm_listing(&name, data_centre)
                 };
                 platform.list_vm_now(row);
@@ -144,14 +145,14 @@
         }
         let mut entries = Vec::new();
         for (plan, zone) in plans {
-            let (entry, entry_wires) = start_entry(plan, zone, &cuts, &inventory)?;
+            let (entry, entry_proxies) = start_entry(plan, zone, &partitions, &inventory)?;
             entries.push(entry);
-            wires.extend(entry_wires);
+            proxies.extend(entry_proxies);
         }
-        let network = start_network(wires)?;
+        let network = start_network(proxies)?;
         Ok(Self {
             platform,
-            cuts,
+            partitions,
             backends,
             entries,
             inventory,
@@ -232,7 +233,7 @@
     inventory: &Inventory,
     position: usize,
     seed: u64,
-    cuts: &Cuts,
+    partitions: &Partitions,
 ) -> Result<StartedBackend, TestbedError> {
     let (name, server) = &inventory.backend_server.as_slice()[position..]
         .first()
@@ -269,18 +270,20 @@
         data_centre: server.data_centre.clone(),
         price_milli: price.copied().unwrap_or(0),
         backend,
-        wire: Wire::new(server_address, zone, cuts.clone()),
+        proxy: NetworkProxy::new(server_address, zone, partitions.clone()),
         thread,
         ended_at: None,
     };
     Ok((vm, listener, address))
 }
 
-fn start_network(wires: Vec<(Wire, std::net::TcpListener)>) -> Result<VmThread, TestbedError> {
+fn start_network(
+    proxies: Vec<(NetworkProxy, std::net::TcpListener)>,
+) -> Result<VmThread, TestbedError> {
     let started = VmThread::start(move |ready| async move {
-        for (wire, listener) in wires {
+        for (proxy, listener) in proxies {
             if let Ok(listener) = TcpListener::from_std(listener) {
-                tokio::spawn(wire.serve(listener));
+                tokio::spawn(proxy.serve(listener));
             }
         }
         let _ = ready.send(());
@@ -297,8 +300,8 @@
     data_centre: DataCentreName,
     ip: IpAddr,
     platform: SocketAddr,
-    control_wire: Listener,
-    entry_wire: Listener,
+    control_listener: Listener,
+    entry_listener: Listener,
 }
 
 impl EntryPlan {
@@ -313,8 +316,8 @@
             data_centre: data_centre.clone(),
             ip,
             platform,
-            control_wire: bind(ip)?,
-            entry_wire: bind(ip)?,
+            control_listener: bind(ip)?,
+            entry_listener: bind(ip)?,
         })
     }
 
@@ -324,8 +327,8 @@
             name: self.name.as_str().into(),
             data_centre: self.data_centre.clone(),
             peer_listen: free,
-            peer_advertise: Some(self.control_wire.1),
-            entry_peer: self.entry_wire.1,
+            peer_advertise: Some(self.control_listener.1),
+            entry_peer: self.entry_listener.1,
             local_listen: free,
             admin_listen: Some(free),
             platform: self.platform,
@@ -376,14 +379,14 @@
     admin: SocketAddr,
 }
 
-type Wires = Vec<(Wire, std::net::TcpListener)>;
+type Proxies = Vec<(NetworkProxy, std::net::TcpListener)>;
 
 fn start_entry(
     plan: EntryPlan,
     zone: u8,
-    cuts: &Cuts,
+    partitions: &Partitions,
     inventory: &Inventory,
-) -> Result<(EntryThread, Wires), TestbedError> {
+) -> Result<(EntryThread, Proxies), TestbedError> {
     let view = View::new(Revision(0), inventory.clone());
     let (stop, mut stopped) = mpsc::unbounded_channel();
     let control_settings = plan.control_settings();
@@ -403,11 +406,13 @@
         stopped.recv().await;
         vm.stop().await;
     });
-    let EntryPlan { name, data_centre, control_wire, entry_wire, .. } = plan;
+    let EntryPlan { name, data_centre, control_listener, entry_listener, .. } = plan;
     let (thread, addresses) = started.context(StartSnafu { name: name.as_str() })?;
-    let wire = |target| Wire::new(target, zone, cuts.clone());
-    let wires =
-        vec![(wire(addresses.control), control_wire.0), (wire(addresses.peers), entry_wire.0)];
+    let proxy = |target| NetworkProxy::new(target, zone, partitions.clone());
+    let proxies = vec![
+        (proxy(addresses.control), control_listener.0),
+        (proxy(addresses.peers), entry_listener.0),
+    ];
     let entry = EntryThread {
         name: name.as_str().into(),
         data_centre,
@@ -416,7 +421,7 @@
         thread,
         stop,
     };
-    Ok((entry, wires))
+    Ok((entry, proxies))
 }
 
 /// Intervals and timeouts short enough for a run of a few seconds.
--- a/crates/quincevalve_trial/src/verdict.rs
+++ b/crates/quincevalve_trial/src/verdict.rs
@@ -51,14 +51,14 @@
         for vm in &testbed.backends {
             match &vm.backend {
                 Backend::Engine(engine) => {
-                    let ledger = engine.ledger();
-                    observations.recomputed += ledger.recomputed_tokens;
-                    for (id, count) in ledger.started {
+                    let counters = engine.counters();
+                    observations.recomputed += counters.recomputed_tokens;
+                    for (id, count) in counters.started {
                         *observations.started.entry(id).or_default() += count;
                     }
                 }
                 Backend::Service(service) => {
-                    for (mark, count) in service.ledger().executions {
+                    for (mark, count) in service.counters().executions {
                         *observations.executions.entry(mark).or_default() += count;
                     }
                 }
@@ -115,8 +115,8 @@
                 }
             }
             CallResult::Refused { outcome: Outcome::MayHaveRun, .. } => self.may_have_run += 1,
-            // An entry VM that crashes loses its state, so no node can resume the answer. The caller sees the connection
-            // close, which truthfully means that the request may have run.
+            // An entry VM that crashes loses its state, so the answer may not be resumable. The caller sees the
+            // connection close, which truthfully means that the request may have run.
             CallResult::CutOff | CallResult::Nothing if crashes_entry => self.may_have_run += 1,
             CallResult::CutOff => self.cut_off += 1,
             CallResult::Nothing => self.lost += 1,
@@ -139,7 +139,7 @@
 fn expected_answer(payload: &Payload) -> String {
     match payload {
         Payload::Model { prompt, max_tokens, .. } => {
-            answers::whole(&format!("user: {prompt}\n"), *max_tokens)
+            answers::full_answer(&format!("user: {prompt}\n"), *max_tokens)
         }
         Payload::Service { body, .. } => answers::service_answer("/calls", body.as_bytes()),
     }
