--- a/crates/quincevalve_trial/src/caller.rs
+++ b/crates/quincevalve_trial/src/caller.rs
@@ -188,7 +188,7 @@
                 }
                 // The idempotency key makes a retry of the same request safe.
                 Err(_) if planned.idempotency_key.is_some() => {
-                    tokio::time::sleep(REATTACH_INTERVAL).await
+                    tokio::time::sleep(REATTACH_INTERVAL).await;
                 }
                 Err(_) => return None,
             }
--- a/crates/quincevalve_trial/src/verdict.rs
+++ b/crates/quincevalve_trial/src/verdict.rs
@@ -105,7 +105,7 @@
         }
         match &received.result {
             CallResult::Whole(text) if *text == expected_answer(&received.planned.payload) => {
-                self.complete += 1
+                self.complete += 1;
             }
             CallResult::Whole(_) => self.wrong += 1,
             CallResult::Refused { outcome: Outcome::NotRun, .. } => {
