--- a/crates/quincevalve_trial/src/fault_injection.rs
+++ b/crates/quincevalve_trial/src/fault_injection.rs
@@ -112,17 +112,17 @@
 
     fn reclaim_data_centre(&mut self, selector: usize) {
         let count = self.inventory.data_centre.len();
-        let Some((lost, _)) = self.inventory.data_centre.get_index(selector % count) else {
+        let Some((reclaimed, _)) = self.inventory.data_centre.get_index(selector % count) else {
             return;
         };
-        let lost = lost.clone();
+        let reclaimed = reclaimed.clone();
         let live = self.live_backends();
         let wave: Vec<_> =
-            live.into_iter().filter(|it| self.backends[*it].data_centre == lost).collect();
+            live.into_iter().filter(|it| self.backends[*it].data_centre == reclaimed).collect();
         let entries: Vec<_> = self
             .live_entries()
             .into_iter()
-            .filter(|it| self.entries[*it].data_centre == lost)
+            .filter(|it| self.entries[*it].data_centre == reclaimed)
             .collect();
         let mut names: Vec<_> = wave.iter().map(|it| self.backends[*it].name.clone()).collect();
         names.extend(entries.iter().map(|it| self.entries[*it].name.to_string()));
@@ -166,11 +166,11 @@
     /// Partitions one data centre from all others and from the platform.
     fn partition(&self, selector: usize) {
         let zones = self.inventory.data_centre.len() as u8;
-        let lost = (selector % usize::from(zones)) as u8 + 1;
-        for zone in (1..=zones).filter(|it| *it != lost) {
-            self.partitions.separate(lost, zone);
+        let isolated = (selector % usize::from(zones)) as u8 + 1;
+        for zone in (1..=zones).filter(|it| *it != isolated) {
+            self.partitions.separate(isolated, zone);
         }
-        self.partitions.separate(lost, PLATFORM_ZONE);
+        self.partitions.separate(isolated, PLATFORM_ZONE);
         std::thread::sleep(FAULT_DURATION);
         self.partitions.heal();
     }
