--- a/crates/quincevalve_control/src/admin.rs
+++ b/crates/quincevalve_control/src/admin.rs
@@ -1,4 +1,4 @@
-//! The administration API: versioned HTTP JSON.
+//! Administration API: versioned JSON over HTTP.
 
 mod api;
 mod teams;
--- a/crates/quincevalve_control/src/admin/api.rs
+++ b/crates/quincevalve_control/src/admin/api.rs
@@ -1,4 +1,4 @@
-//! The paths of the administration API.
+//! Routes and handlers of the administration API.
 
 use std::convert::Infallible;
 
@@ -15,16 +15,17 @@
 
 use super::teams::{AdminRole, Team, find_team};
 use crate::{
-    change::{self, Change, ChangeAnswer, ChangeId, Difference},
+    change::{self, Change, ChangeId, ChangeOutcome, Difference},
     document,
     shared::Shared,
 };
 
 type Reply = Response<Full<Bytes>>;
 
-const CHANGE_HEADER: &str = "change-id";
+/// Header with the idempotency key of a change.
+const CHANGE_ID_HEADER: &str = "change-id";
 
-/// Why the API answers with an error.
+/// Error response of the API.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Problem {
     NoKey,
@@ -33,7 +34,7 @@
     NoSuchRevision,
     NoSuchServer(String),
     NoChangeId,
-    NoMatch,
+    NoIfMatch,
     Body,
     Store(String),
 }
@@ -53,9 +54,9 @@
             Self::NoChangeId => (
                 400,
                 "change_id",
-                format!("send `{CHANGE_HEADER}` with 1 to 64 letters, digits and hyphens"),
+                format!("send `{CHANGE_ID_HEADER}` with 1 to 64 letters, digits and hyphens"),
             ),
-            Self::NoMatch => {
+            Self::NoIfMatch => {
                 (428, "if_match", "send `If-Match` with the revision that you edited".to_owned())
             }
             Self::Body => (413, "body", "the body broke off or is too large".to_owned()),
@@ -92,7 +93,7 @@
     store_revision: Option<Revision>,
 }
 
-/// Serves operators until the runtime ends.
+/// Serves the API until the runtime shuts down.
 pub(crate) async fn serve(shared: Shared, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else { continue };
@@ -104,7 +105,7 @@
         let connection = hyper::server::conn::http1::Builder::new()
             .serve_connection(TokioIo::new(stream), service);
         tokio::spawn(async move {
-            // An operator's client that goes away in the middle is no fault of this process.
+            // Errors are ignored: a client that disconnects mid-request is not a fault of this process.
             let _ = connection.await;
         });
     }
@@ -132,7 +133,7 @@
         (Method::GET, "history") => history(shared).await,
         (Method::GET, "status") => Ok(status(shared).await),
         (Method::GET, path) if path.starts_with("history/") => {
-            old_content(shared, &path["history/".len()..]).await
+            historical_content(shared, &path["history/".len()..]).await
         }
         (Method::GET, path) if path.starts_with("changes/") => {
             look_up(shared, &path["changes/".len()..]).await
@@ -159,7 +160,7 @@
     reply
 }
 
-fn content(revision: Revision, text: String) -> Reply {
+fn content_reply(revision: Revision, text: String) -> Reply {
     let mut reply = Response::new(Full::new(Bytes::from(text)));
     let value = HeaderValue::from_static("application/json");
     reply.headers_mut().insert(header::CONTENT_TYPE, value);
@@ -169,7 +170,7 @@
     reply
 }
 
-fn store_problem(error: &document::DocumentError) -> Problem {
+fn store_unavailable(error: &document::DocumentError) -> Problem {
     Problem::Store(error.to_string())
 }
 
@@ -177,22 +178,23 @@
 async fn read_config(shared: &Shared) -> Result<Reply, Problem> {
     let head = document::read_head(&shared.store).await;
     let in_force = match &head {
-        Ok((_, head)) => document::read_in_force(&shared.store, head).await.ok().flatten(),
+        Ok((_, head)) => document::read_current(&shared.store, head).await.ok().flatten(),
         Err(_) => None,
     };
     let known = shared.state.borrow().config.clone();
     match (in_force, known, head) {
-        (Some(blob), _, _) => Ok(content(blob.revision, blob.content)),
-        (None, Some(blob), _) => Ok(content(blob.revision, blob.content.clone())),
-        (None, None, Ok(_)) => Ok(content(Revision(0), "{}".to_owned())),
-        (None, None, Err(error)) => Err(store_problem(&error)),
+        (Some(blob), _, _) => Ok(content_reply(blob.revision, blob.content)),
+        (None, Some(blob), _) => Ok(content_reply(blob.revision, blob.content.clone())),
+        (None, None, Ok(_)) => Ok(content_reply(Revision(0), "{}".to_owned())),
+        (None, None, Err(error)) => Err(store_unavailable(&error)),
     }
 }
 
 async fn current_content(shared: &Shared) -> Result<(Revision, String), Problem> {
-    let (_, head) = document::read_head(&shared.store).await.map_err(|it| store_problem(&it))?;
-    let blob = document::read_in_force(&shared.store, &head).await;
-    let blob = blob.map_err(|it| store_problem(&it))?;
+    let (_, head) =
+        document::read_head(&shared.store).await.map_err(|it| store_unavailable(&it))?;
+    let blob = document::read_current(&shared.store, &head).await;
+    let blob = blob.map_err(|it| store_unavailable(&it))?;
     Ok(blob.map_or((Revision(0), "{}".to_owned()), |it| (it.revision, it.content)))
 }
 
@@ -202,25 +204,25 @@
     headers: &HeaderMap,
     body: &str,
 ) -> Result<Reply, Problem> {
-    let on = read_match(headers).ok_or(Problem::NoMatch)?;
+    let base = read_if_match(headers).ok_or(Problem::NoIfMatch)?;
     let (_, current) = current_content(shared).await?;
-    store_change(shared, team, headers, on, &current, body).await
+    store_change(shared, team, headers, base, &current, body).await
 }
 
 async fn store_change(
     shared: &Shared,
     team: &Team,
     headers: &HeaderMap,
-    on: Revision,
+    base: Revision,
     current: &str,
     body: &str,
 ) -> Result<Reply, Problem> {
-    let id = headers.get(CHANGE_HEADER).and_then(|it| it.to_str().ok()).and_then(ChangeId::new);
+    let id = headers.get(CHANGE_ID_HEADER).and_then(|it| it.to_str().ok()).and_then(ChangeId::new);
     let id = id.ok_or(Problem::NoChangeId)?;
     let inventory = match change::check(body) {
         Ok(inventory) => inventory,
         Err(findings) => {
-            let answer = ChangeAnswer::Rejected { findings };
+            let answer = ChangeOutcome::Rejected { findings };
             return Ok(json(StatusCode::UNPROCESSABLE_ENTITY, &answer));
         }
     };
@@ -232,20 +234,20 @@
         }));
     }
     let at = shared.clock.unix_seconds();
-    let change = Change { id: &id, by: &team.name, at, on, inventory: &inventory };
+    let change = Change { id: &id, by: &team.name, at, base, inventory: &inventory };
     let answer = change::apply(&shared.store, &change).await;
     let status = match answer {
-        ChangeAnswer::Accepted { .. } => StatusCode::OK,
-        ChangeAnswer::Conflict { .. } => StatusCode::PRECONDITION_FAILED,
-        ChangeAnswer::Rejected { .. } => StatusCode::UNPROCESSABLE_ENTITY,
-        ChangeAnswer::NotStored => StatusCode::SERVICE_UNAVAILABLE,
-        ChangeAnswer::Unknown { .. } => StatusCode::ACCEPTED,
+        ChangeOutcome::Accepted { .. } => StatusCode::OK,
+        ChangeOutcome::Conflict { .. } => StatusCode::PRECONDITION_FAILED,
+        ChangeOutcome::Rejected { .. } => StatusCode::UNPROCESSABLE_ENTITY,
+        ChangeOutcome::NotStored => StatusCode::SERVICE_UNAVAILABLE,
+        ChangeOutcome::Unknown { .. } => StatusCode::ACCEPTED,
     };
     log::info!("change {id} by {}: {answer:?}", team.name);
     Ok(json(status, &answer))
 }
 
-fn read_match(headers: &HeaderMap) -> Option<Revision> {
+fn read_if_match(headers: &HeaderMap) -> Option<Revision> {
     let text = headers.get(header::IF_MATCH)?.to_str().ok()?;
     text.trim_matches('"').parse().ok().map(Revision)
 }
@@ -263,25 +265,27 @@
 }
 
 async fn history(shared: &Shared) -> Result<Reply, Problem> {
-    let (_, head) = document::read_head(&shared.store).await.map_err(|it| store_problem(&it))?;
+    let (_, head) =
+        document::read_head(&shared.store).await.map_err(|it| store_unavailable(&it))?;
     Ok(json(StatusCode::OK, &head.history))
 }
 
-async fn old_content(shared: &Shared, revision: &str) -> Result<Reply, Problem> {
+async fn historical_content(shared: &Shared, revision: &str) -> Result<Reply, Problem> {
     let wanted = revision.parse().map(Revision).map_err(|_| Problem::NoSuchRevision)?;
-    let (_, head) = document::read_head(&shared.store).await.map_err(|it| store_problem(&it))?;
-    let row =
+    let (_, head) =
+        document::read_head(&shared.store).await.map_err(|it| store_unavailable(&it))?;
+    let entry =
         head.history.iter().find(|it| it.revision == wanted).ok_or(Problem::NoSuchRevision)?;
-    let text = document::read_content(&shared.store, &row.change).await;
-    Ok(content(wanted, text.map_err(|it| store_problem(&it))?))
+    let text = document::read_content(&shared.store, &entry.change).await;
+    Ok(content_reply(wanted, text.map_err(|it| store_unavailable(&it))?))
 }
 
 async fn look_up(shared: &Shared, change: &str) -> Result<Reply, Problem> {
     let id = ChangeId::new(change).ok_or(Problem::NoChangeId)?;
-    let found = change::look_up(&shared.store, &id).await.map_err(|it| store_problem(&it))?;
+    let found = change::look_up(&shared.store, &id).await.map_err(|it| store_unavailable(&it))?;
     Ok(match found {
-        Some(row) => json(StatusCode::OK, &row),
-        None => json(StatusCode::NOT_FOUND, &ChangeAnswer::Unknown { change: id }),
+        Some(entry) => json(StatusCode::OK, &entry),
+        None => json(StatusCode::NOT_FOUND, &ChangeOutcome::Unknown { change: id }),
     })
 }
 
@@ -298,7 +302,7 @@
     json(StatusCode::OK, &status)
 }
 
-/// Takes a backend server out of service, or back in: a change like any other.
+/// Sets or clears the `drain` flag of a backend server, as an ordinary configuration change.
 async fn drain(
     shared: &Shared,
     team: &Team,
@@ -306,12 +310,12 @@
     name: &str,
     drain: bool,
 ) -> Result<Reply, Problem> {
-    let (on, current) = current_content(shared).await?;
+    let (base, current) = current_content(shared).await?;
     let no_server = || Problem::NoSuchServer(name.to_owned());
     let mut inventory = change::check(&current).map_err(|_| no_server())?;
     let server = inventory.backend_server.get_mut(&BackendServerName::from(name));
     let server = server.ok_or_else(no_server)?;
     server.drain = drain;
     let body = serde_json::to_string(&inventory).unwrap_or_default();
-    store_change(shared, team, headers, on, &current, &body).await
+    store_change(shared, team, headers, base, &current, &body).await
 }
--- a/crates/quincevalve_control/src/admin/teams.rs
+++ b/crates/quincevalve_control/src/admin/teams.rs
@@ -1,4 +1,4 @@
-//! Who may administer what.
+//! Authentication and authorization of the administration API.
 
 use http::{HeaderMap, header};
 use quincevalve_inventory::KeyHash;
@@ -7,44 +7,44 @@
 
 use crate::change::Difference;
 
-/// What a team may do.
+/// Permissions of a team.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum AdminRole {
-    /// Read.
+    /// May only read.
     Reader,
-    /// Read, and change its own accounts.
+    /// May read, and change the team's own accounts.
     Editor,
-    /// Everything.
+    /// May read and change everything.
     Operator,
 }
 
-/// A team of the operators.
+/// A team that uses the administration API.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Team {
-    /// Its name, for the audit trail.
+    /// Name of the team, as recorded in the audit trail.
     pub name: String,
-    /// What it may do.
+    /// Permissions of the team.
     pub role: AdminRole,
-    /// The accounts that an editor may change.
+    /// Accounts that the team may change as an editor.
     #[serde(default)]
     pub accounts: Vec<ClientAccountName>,
-    /// The SHA-256 of its key.
+    /// SHA-256 of the team's API key.
     pub key_sha256: KeyHash,
 }
 
 impl Team {
-    /// Whether the team may make a change that touches these fields.
+    /// Returns whether the team may make a change with these differences.
     pub(crate) fn may_change(&self, differences: &[Difference]) -> bool {
         match self.role {
             AdminRole::Reader => false,
             AdminRole::Operator => true,
-            AdminRole::Editor => differences.iter().all(|it| self.owns(&it.field)),
+            AdminRole::Editor => differences.iter().all(|it| self.owns_field(&it.field)),
         }
     }
 
-    fn owns(&self, field: &str) -> bool {
+    fn owns_field(&self, field: &str) -> bool {
         let rest = field.strip_prefix("account.");
         rest.is_some_and(|rest| {
             self.accounts.iter().any(|it| {
@@ -55,7 +55,9 @@
     }
 }
 
-/// Finds the team of a key. Every row is compared, each in constant time.
+/// Returns the team whose key the request carries.
+///
+/// Compares the key with that of every team, each in constant time.
 pub(crate) fn find_team<'a>(teams: &'a [Team], headers: &HeaderMap) -> Option<&'a Team> {
     let value = headers.get(header::AUTHORIZATION)?.to_str().ok()?;
     let hash = KeyHash::of(value.strip_prefix("Bearer ")?.trim());
@@ -73,7 +75,7 @@
         Team { name: "t".to_owned(), role, accounts, key_sha256: KeyHash::of("key") }
     }
 
-    fn touches(fields: &[&str]) -> Vec<Difference> {
+    fn differences_in(fields: &[&str]) -> Vec<Difference> {
         let difference = |it: &&str| Difference {
             field: (*it).to_owned(),
             before: Value::Null,
@@ -82,20 +84,22 @@
         fields.iter().map(difference).collect()
     }
 
-    // Another team's account was changed by an editor whose own account's name is the start of its name.
+    // Guards against an editor changing another team's account whose name starts with the name of an own account.
     #[test]
-    fn an_editor_changes_only_its_own_accounts() {
+    fn editors_change_only_their_own_accounts() {
         let editor = team(AdminRole::Editor);
-        assert!(editor.may_change(&touches(&["account.hotel.weight"])));
-        assert!(editor.may_change(&touches(&["account.hotel"])));
-        assert!(!editor.may_change(&touches(&["account.hotel-desks.weight"])));
-        assert!(!editor.may_change(&touches(&["account.hotel.weight", "class.desk.promise"])));
-        assert!(!editor.may_change(&touches(&["account"])));
+        assert!(editor.may_change(&differences_in(&["account.hotel.weight"])));
+        assert!(editor.may_change(&differences_in(&["account.hotel"])));
+        assert!(!editor.may_change(&differences_in(&["account.hotel-desks.weight"])));
+        assert!(
+            !editor.may_change(&differences_in(&["account.hotel.weight", "class.desk.promise"]))
+        );
+        assert!(!editor.may_change(&differences_in(&["account"])));
     }
 
     #[test]
     fn readers_change_nothing_and_operators_everything() {
-        let change = touches(&["class.desk.promise"]);
+        let change = differences_in(&["class.desk.promise"]);
         assert!(!team(AdminRole::Reader).may_change(&change));
         assert!(team(AdminRole::Operator).may_change(&change));
     }
--- a/crates/quincevalve_control/src/bin/quincevalve-control.rs
+++ b/crates/quincevalve_control/src/bin/quincevalve-control.rs
@@ -1,4 +1,4 @@
-//! `quincevalve-control`: the control process of one entry VM.
+//! `quincevalve-control`: control process of an entry VM.
 
 use std::process::ExitCode;
 
@@ -16,9 +16,9 @@
 
 async fn run(settings: ControlSettings) -> Result<(), ControlError> {
     let process = ControlProcess::start(settings).await?;
-    log::info!("the entry process is served on {}", process.local_address());
+    log::info!("serving the entry process on {}", process.local_address());
     if let Err(error) = quincevalve_program::stop_signal().await {
-        log::error!("signals can't be waited for: {error}");
+        log::error!("cannot wait for the stop signal: {error}");
     }
     Ok(())
 }
--- a/crates/quincevalve_control/src/change.rs
+++ b/crates/quincevalve_control/src/change.rs
@@ -1,4 +1,4 @@
-//! Changes of the configuration: what an operator asks for, and what came of it.
+//! Configuration changes requested by operators, and their outcomes.
 
 use std::fmt;
 
@@ -8,9 +8,11 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-use crate::document::{self, DocumentError, HISTORY, Head};
+use crate::document::{self, DocumentError, Head, MAX_HISTORY_ENTRIES};
 
-/// The id that an operator's client gives a change. The same id twice is one change.
+/// Idempotency key of a change, chosen by the operator's client.
+///
+/// Two requests with the same id are the same change.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ChangeId(String);
@@ -18,7 +20,7 @@
 impl ChangeId {
     const MAX: usize = 64;
 
-    /// Takes an id of 1 to 64 letters, digits and hyphens.
+    /// Parses an id of 1 to 64 ASCII letters, digits and hyphens; returns `None` for any other text.
     ///
     /// ```
     /// use quincevalve_control::ChangeId;
@@ -38,72 +40,74 @@
     }
 }
 
-/// One change in the history and audit trail.
+/// An accepted change, as the history and audit trail record it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct HistoryRow {
-    /// The revision that it made.
+pub struct HistoryEntry {
+    /// Revision that the change created.
     pub revision: Revision,
-    /// Its id.
+    /// Id of the change.
     pub change: ChangeId,
-    /// The team that made it.
+    /// Name of the team that made the change.
     pub by: String,
-    /// Seconds since 1970.
+    /// Time of the change, in seconds since the Unix epoch.
     pub at: u64,
-    /// The fields that it touched, at most a few.
+    /// Dotted paths of the first changed fields, at most `MAX_TOUCHED_FIELDS`.
     pub touched: Vec<String>,
 }
 
-/// A field that two contents have differently.
+/// A field whose value differs between two configurations.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Difference {
-    /// The field, as a dotted path.
+    /// Dotted path of the field.
     pub field: String,
-    /// Its value before, `null` if absent.
+    /// Value before the change, `null` if absent.
     pub before: Value,
-    /// Its value after, `null` if absent.
+    /// Value after the change, `null` if absent.
     pub after: Value,
 }
 
-/// What came of a change.
+/// Outcome of a change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "result", deny_unknown_fields)]
-pub enum ChangeAnswer {
-    /// It is stored, and will be in force everywhere within seconds.
+pub enum ChangeOutcome {
+    /// The change is stored and takes effect on all VMs within seconds.
     Accepted {
-        /// The revision that it made.
+        /// Revision that the change created.
         revision: Revision,
     },
-    /// Another change came first.
+    /// The change is based on a revision that is no longer current.
     Conflict {
-        /// The revision that is in force now.
+        /// Current revision in the store.
         current: Revision,
     },
-    /// The content can't be taken.
+    /// The configuration is invalid.
     Rejected {
-        /// Why, each with its field.
+        /// Reasons, each naming its field.
         findings: Vec<String>,
     },
-    /// It was not stored, since the store can't be reached.
+    /// The change was not stored, because the store is unavailable.
     NotStored,
-    /// The store's answer is lost: ask again by the change's id.
+    /// The store's response was lost; look the change up by its id.
     Unknown {
-        /// The change.
+        /// Id of the change.
         change: ChangeId,
     },
 }
 
-/// A change on its way.
+/// A change to be stored.
 pub(crate) struct Change<'a> {
     pub(crate) id: &'a ChangeId,
     pub(crate) by: &'a str,
+    /// Seconds since the Unix epoch.
     pub(crate) at: u64,
-    pub(crate) on: Revision,
+    /// Revision that the change was made against.
+    pub(crate) base: Revision,
     pub(crate) inventory: &'a Inventory,
 }
 
-/// Checks a content. The findings name the fields.
+/// Parses and validates a configuration; each finding names its field.
 pub(crate) fn check(text: &str) -> Result<Inventory, Vec<String>> {
     read_inventory("content", text, Format::Json).map_err(|error| match error {
         ReadError::Syntax { problem, .. } => vec![problem],
@@ -113,99 +117,104 @@
 
 /// Stores a change: its content first, then the head, by compare-and-swap.
 ///
-/// Failure: the answer to the swap is lost. Symptom: the operator is told that the change failed while
-/// it takes hold everywhere, and makes it again over somebody else's. The head lists the ids of recent
-/// changes, so reading it back tells whether this one took effect; while that can't be told, the answer
-/// is `Unknown`, never a failure.
-pub(crate) async fn apply<S>(store: &S, change: &Change<'_>) -> ChangeAnswer
+/// If the response to the swap is lost, the change may still have taken effect. Reporting a failure would lead the
+/// operator to repeat the change and overwrite somebody else's. The head lists the ids of recent changes, so reading
+/// the head back shows whether this change was stored; as long as that is undecided, the outcome is `Unknown`, never
+/// a failure.
+pub(crate) async fn apply<S>(store: &S, change: &Change<'_>) -> ChangeOutcome
 where
     S: Store,
 {
     let Ok((version, head)) = document::read_head(store).await else {
-        return ChangeAnswer::NotStored;
+        return ChangeOutcome::NotStored;
     };
-    if let Some(row) = head.row_of(change.id) {
-        return ChangeAnswer::Accepted { revision: row.revision };
+    if let Some(entry) = head.find_change(change.id) {
+        return ChangeOutcome::Accepted { revision: entry.revision };
     }
-    if head.revision != change.on {
-        return ChangeAnswer::Conflict { current: head.revision };
+    if head.revision != change.base {
+        return ChangeOutcome::Conflict { current: head.revision };
     }
     let Ok(content) = serde_json::to_string(change.inventory) else {
-        return ChangeAnswer::Rejected {
+        return ChangeOutcome::Rejected {
             findings: vec!["the content can't be written".to_owned()],
         };
     };
     let before = match head.history.first() {
-        Some(row) => document::read_content(store, &row.change).await.unwrap_or_default(),
+        Some(entry) => document::read_content(store, &entry.change).await.unwrap_or_default(),
         None => String::new(),
     };
     if let Some(answer) = store_content(store, change, &content).await {
         return answer;
     }
     let touched = differences(&before, &content).into_iter().map(|it| it.field);
-    let row = HistoryRow {
-        revision: change.on.next(),
+    let entry = HistoryEntry {
+        revision: change.base.next(),
         change: change.id.clone(),
         by: change.by.to_owned(),
         at: change.at,
-        touched: touched.take(TOUCHED).collect(),
+        touched: touched.take(MAX_TOUCHED_FIELDS).collect(),
     };
-    let answer = swap_head(store, version, &head, row).await;
-    if matches!(answer, ChangeAnswer::Accepted { .. })
-        && let Some(oldest) = head.history.get(HISTORY - 1)
+    let answer = swap_head(store, version, &head, entry).await;
+    if matches!(answer, ChangeOutcome::Accepted { .. })
+        && let Some(oldest) = head.history.get(MAX_HISTORY_ENTRIES - 1)
     {
-        drop_content(store, &oldest.change).await;
+        delete_content(store, &oldest.change).await;
     }
     answer
 }
 
-/// Fields that a row of the history names.
-const TOUCHED: usize = 8;
-/// Tries to learn what became of a swap whose answer is lost.
-const READ_BACKS: u32 = 3;
+/// Maximum number of changed fields that a history entry names.
+const MAX_TOUCHED_FIELDS: usize = 8;
+/// Maximum number of reads of the head to determine the outcome of a swap whose response was lost.
+const MAX_READ_BACKS: u32 = 3;
 
-async fn store_content<S>(store: &S, change: &Change<'_>, content: &str) -> Option<ChangeAnswer>
+async fn store_content<S>(store: &S, change: &Change<'_>, content: &str) -> Option<ChangeOutcome>
 where
     S: Store,
 {
     let key = document::content_key(change.id);
     match store.swap(&key, KeyVersion::ABSENT, content).await {
         Ok(_) => None,
-        // An earlier try of the same change left it; under one id there is only one content.
+        // An earlier attempt of the same change wrote this key; an id stands for exactly one content.
         Err(StoreError::Conflict { .. }) => match store.get(&key).await {
             Ok(Some(found)) if found.value == content => None,
             Ok(_) => {
                 let finding = format!("change {}: the id was used for another content", change.id);
-                Some(ChangeAnswer::Rejected { findings: vec![finding] })
+                Some(ChangeOutcome::Rejected { findings: vec![finding] })
             }
-            Err(_) => Some(ChangeAnswer::NotStored),
+            Err(_) => Some(ChangeOutcome::NotStored),
         },
         Err(StoreError::TooLarge { bytes }) => {
             let finding = format!("content: {bytes} bytes are more than the store takes");
-            Some(ChangeAnswer::Rejected { findings: vec![finding] })
+            Some(ChangeOutcome::Rejected { findings: vec![finding] })
         }
-        // No head names the content yet, so whatever became of it, nothing is in force.
+        // No head refers to the content yet, so the change has no effect even if the write succeeded.
         Err(StoreError::Unavailable { .. } | StoreError::Unknown { .. }) => {
-            Some(ChangeAnswer::NotStored)
+            Some(ChangeOutcome::NotStored)
         }
     }
 }
 
-async fn swap_head<S>(store: &S, version: KeyVersion, head: &Head, row: HistoryRow) -> ChangeAnswer
+async fn swap_head<S>(
+    store: &S,
+    version: KeyVersion,
+    head: &Head,
+    entry: HistoryEntry,
+) -> ChangeOutcome
 where
     S: Store,
 {
-    let revision = row.revision;
-    let change = row.change.clone();
-    let mut history = vec![row];
-    history.extend(head.history.iter().take(HISTORY - 1).cloned());
+    let revision = entry.revision;
+    let change = entry.change.clone();
+    let mut history = vec![entry];
+    history.extend(head.history.iter().take(MAX_HISTORY_ENTRIES - 1).cloned());
     let Ok(text) = serde_json::to_string(&Head { revision, history }) else {
-        return ChangeAnswer::NotStored;
+        return ChangeOutcome::NotStored;
     };
     match store.swap(document::HEAD_KEY, version, &text).await {
-        Ok(_) => ChangeAnswer::Accepted { revision },
+        Ok(_) => ChangeOutcome::Accepted { revision },
         Err(StoreError::Unavailable { .. } | StoreError::TooLarge { .. }) => {
-            ChangeAnswer::NotStored
+            ChangeOutcome::NotStored
         }
         Err(StoreError::Conflict { .. } | StoreError::Unknown { .. }) => {
             resolve(store, &change, version).await
@@ -213,42 +222,42 @@
     }
 }
 
-/// Learns what became of a change that was sent against a version of the head.
-pub(crate) async fn resolve<S>(store: &S, change: &ChangeId, sent_on: KeyVersion) -> ChangeAnswer
+/// Determines the outcome of a swap that expected the head at version `expected`.
+pub(crate) async fn resolve<S>(store: &S, change: &ChangeId, expected: KeyVersion) -> ChangeOutcome
 where
     S: Store,
 {
-    for _ in 0..READ_BACKS {
+    for _ in 0..MAX_READ_BACKS {
         match document::read_head(store).await {
             Ok((version, head)) => {
-                if let Some(row) = head.row_of(change) {
-                    return ChangeAnswer::Accepted { revision: row.revision };
+                if let Some(entry) = head.find_change(change) {
+                    return ChangeOutcome::Accepted { revision: entry.revision };
                 }
-                // The head has moved on without it, and the swap expected the version before: it
-                // can't land any more.
-                if version != sent_on {
-                    return ChangeAnswer::Conflict { current: head.revision };
+                // The head has a newer version without this change. The swap expected the older
+                // version, so it can no longer succeed.
+                if version != expected {
+                    return ChangeOutcome::Conflict { current: head.revision };
                 }
             }
             Err(error) => log::debug!("change {change}: {error}"),
         }
     }
-    ChangeAnswer::Unknown { change: change.clone() }
+    ChangeOutcome::Unknown { change: change.clone() }
 }
 
-/// What is known of a change by its id.
+/// Returns the history entry of a change, if the head still lists it.
 pub(crate) async fn look_up<S>(
     store: &S,
     change: &ChangeId,
-) -> Result<Option<HistoryRow>, DocumentError>
+) -> Result<Option<HistoryEntry>, DocumentError>
 where
     S: Store,
 {
     let (_, head) = document::read_head(store).await?;
-    Ok(head.row_of(change).cloned())
+    Ok(head.find_change(change).cloned())
 }
 
-async fn drop_content<S>(store: &S, change: &ChangeId)
+async fn delete_content<S>(store: &S, change: &ChangeId)
 where
     S: Store,
 {
@@ -258,7 +267,7 @@
     }
 }
 
-/// The fields that two contents have differently.
+/// Returns the fields whose values differ between two configurations in JSON.
 pub(crate) fn differences(before: &str, after: &str) -> Vec<Difference> {
     let parse = |text: &str| serde_json::from_str(text).unwrap_or(Value::Null);
     let mut all = Vec::new();
--- a/crates/quincevalve_control/src/change/tests.rs
+++ b/crates/quincevalve_control/src/change/tests.rs
@@ -1,4 +1,5 @@
-//! Racing editors, lost answers, outages and restarts, over random interleavings.
+//! Property tests of configuration changes and their distribution, over random interleavings of concurrent editors,
+//! timed_out responses, outages and restarts.
 
 use std::{
     collections::BTreeMap,
@@ -19,40 +20,40 @@
 
 use super::*;
 
-/// How often a call is troubled, in hundredths.
+/// Fault probabilities of a store call, in percent.
 #[derive(Clone, Copy, Debug)]
-struct Trouble {
-    not_taken: u32,
-    lost_answer: u32,
+struct FaultRates {
+    unavailable: u32,
+    lost_response: u32,
 }
 
 struct State {
     model: StoreModel,
     rng: Pcg64Mcg,
-    trouble: Trouble,
+    fault_rates: FaultRates,
 }
 
-/// The store in memory, with trouble.
+/// In-memory store with injected faults.
 #[derive(Clone)]
 struct MemoryStore {
     state: Arc<Mutex<State>>,
 }
 
-fn lost() -> CallError {
+fn timed_out() -> CallError {
     CallError::TimedOut { address: ([127, 0, 0, 1], 1).into(), limit: Duration::ZERO }
 }
 
 impl MemoryStore {
-    fn new(seed: u64, trouble: Trouble) -> Self {
+    fn new(seed: u64, fault_rates: FaultRates) -> Self {
         let rng = Pcg64Mcg::seed_from_u64(seed);
-        let state = State { model: StoreModel::default(), rng, trouble };
+        let state = State { model: StoreModel::default(), rng, fault_rates };
         Self { state: Arc::new(Mutex::new(state)) }
     }
 
     fn call<T>(&self, call: impl FnOnce(&mut StoreModel) -> T) -> Result<T, StoreError> {
         let mut state = self.state.lock().unwrap();
-        if state.rng.random_range(0..100) < state.trouble.not_taken {
-            return Err(StoreError::Unavailable { source: lost() });
+        if state.rng.random_range(0..100) < state.fault_rates.unavailable {
+            return Err(StoreError::Unavailable { source: timed_out() });
         }
         Ok(call(&mut state.model))
     }
@@ -63,14 +64,14 @@
     ) -> Result<T, StoreError> {
         let outcome = self.call(call)?;
         let mut state = self.state.lock().unwrap();
-        if state.rng.random_range(0..100) < state.trouble.lost_answer {
-            return Err(StoreError::Unknown { source: lost() });
+        if state.rng.random_range(0..100) < state.fault_rates.lost_response {
+            return Err(StoreError::Unknown { source: timed_out() });
         }
         outcome.map_err(|current| StoreError::Conflict { current })
     }
 
-    fn calm(&self) {
-        self.state.lock().unwrap().trouble = Trouble { not_taken: 0, lost_answer: 0 };
+    fn stop_faults(&self) {
+        self.state.lock().unwrap().fault_rates = FaultRates { unavailable: 0, lost_response: 0 };
     }
 }
 
@@ -113,7 +114,7 @@
     tokio::runtime::Builder::new_current_thread().build().unwrap().block_on(future)
 }
 
-/// An inventory that tells which change made it.
+/// Returns an inventory that identifies the change by a region's name.
 fn inventory(number: u32) -> Inventory {
     let mut inventory = Inventory::default();
     let region = quincevalve_inventory::Region {};
@@ -121,11 +122,11 @@
     inventory
 }
 
-async fn edit(store: &MemoryStore, number: u32, on: Revision) -> ChangeAnswer {
+async fn edit(store: &MemoryStore, number: u32, base: Revision) -> ChangeOutcome {
     let id = ChangeId::new(&format!("change-{number}")).unwrap();
     let inventory = inventory(number);
     let change =
-        Change { id: &id, by: "editors", at: u64::from(number), on, inventory: &inventory };
+        Change { id: &id, by: "editors", at: u64::from(number), base, inventory: &inventory };
     apply(store, &change).await
 }
 
@@ -133,54 +134,56 @@
 const STEPS: u32 = 60;
 const NODES: usize = 5;
 
-/// The operator sees a change accepted, or is told of a conflict, or is told that it is unknown. No
-/// revision is given to two changes, an accepted change is in the history for good, and one that was
-/// refused is not in it.
-fn check_editors(seed: u64, trouble: Trouble) {
+/// Checks that no revision is assigned to two changes, that every accepted change stays in the history, and that no
+/// change reported as conflicting or not stored is in the history. Changes with an unknown outcome may be in either
+/// state.
+fn check_editors(seed: u64, fault_rates: FaultRates) {
     run(async {
-        let store = MemoryStore::new(seed, trouble);
+        let store = MemoryStore::new(seed, fault_rates);
         let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 1);
-        let mut seen = [Revision(0); EDITORS];
+        let mut observed = [Revision(0); EDITORS];
         let mut accepted = BTreeMap::new();
-        let mut refused = Vec::new();
+        let mut not_stored = Vec::new();
         for number in 0..STEPS {
             let editor = rng.random_range(0..EDITORS);
             if rng.random_bool(0.5)
                 && let Ok((_, head)) = document::read_head(&store).await
             {
-                seen[editor] = head.revision;
+                observed[editor] = head.revision;
             }
-            match edit(&store, number, seen[editor]).await {
-                ChangeAnswer::Accepted { revision } => {
+            match edit(&store, number, observed[editor]).await {
+                ChangeOutcome::Accepted { revision } => {
                     let other = accepted.insert(revision, number);
-                    assert_eq!(other, None, "two changes were given revision {revision}");
+                    assert_eq!(other, None, "two changes were assigned revision {revision}");
                 }
-                ChangeAnswer::Conflict { .. } | ChangeAnswer::NotStored => refused.push(number),
-                ChangeAnswer::Unknown { .. } => {}
-                ChangeAnswer::Rejected { findings } => panic!("{findings:?}"),
+                ChangeOutcome::Conflict { .. } | ChangeOutcome::NotStored => {
+                    not_stored.push(number)
+                }
+                ChangeOutcome::Unknown { .. } => {}
+                ChangeOutcome::Rejected { findings } => panic!("{findings:?}"),
             }
         }
-        store.calm();
+        store.stop_faults();
         let (_, head) = document::read_head(&store).await.unwrap();
         for (revision, number) in accepted {
             let id = ChangeId::new(&format!("change-{number}")).unwrap();
-            let row = head.row_of(&id).expect("an accepted change is in the history");
-            assert_eq!(row.revision, revision);
+            let entry = head.find_change(&id).expect("an accepted change is in the history");
+            assert_eq!(entry.revision, revision);
         }
-        for number in refused {
+        for number in not_stored {
             let id = ChangeId::new(&format!("change-{number}")).unwrap();
-            assert!(head.row_of(&id).is_none(), "a refused change took effect");
+            assert!(head.find_change(&id).is_none(), "a not_stored change took effect");
         }
-        if let Some(row) = head.history.first() {
-            let content = document::read_content(&store, &row.change).await.unwrap();
-            let number = row.change.to_string().trim_start_matches("change-").parse().unwrap();
+        if let Some(entry) = head.history.first() {
+            let content = document::read_content(&store, &entry.change).await.unwrap();
+            let number = entry.change.to_string().trim_start_matches("change-").parse().unwrap();
             assert_eq!(content, serde_json::to_string(&inventory(number)).unwrap());
         }
     });
 }
 
-/// Nodes hear of revisions late, twice, out of order, restart and are cut off. None ever lowers its
-/// revision within one life, and once messages pass again all have the newest.
+/// Checks that no node lowers its revision between two restarts, and that all nodes reach the newest revision once
+/// messages are delivered again. Nodes receive revisions late, twice and out of order, restart and miss messages.
 fn check_nodes(seed: u64) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut newest = Revision(0);
@@ -197,34 +200,34 @@
             0 => newest = newest.next(),
             1 => {
                 let old = Revision(rng.random_range(0..=newest.0));
-                take(&mut nodes[node], now, Source::Store, old, &peers);
+                receive(&mut nodes[node], now, Source::Store, old, &peers);
             }
             2 => {
                 nodes[node] = new_node(step);
                 continue;
             }
             3 => {
-                let heard = Revision(rng.random_range(0..=newest.0));
-                drop(nodes[node].handle_announcement(now, address(peer), heard));
+                let reported = Revision(rng.random_range(0..=newest.0));
+                drop(nodes[node].handle_announcement(now, address(peer), reported));
             }
             4 => nodes[node].fetch_failed(address(peer)),
             _ => {
                 let revision = nodes[peer].revision();
-                take(&mut nodes[node], now, Source::Peer(address(peer)), revision, &peers);
+                receive(&mut nodes[node], now, Source::Peer(address(peer)), revision, &peers);
             }
         }
-        assert!(nodes[node].revision() >= before, "a node went back");
+        assert!(nodes[node].revision() >= before, "a node lowered its revision");
     }
-    take(&mut nodes[0], TimePoint::from_millis(90_000), Source::Store, newest, &peers);
+    receive(&mut nodes[0], TimePoint::from_millis(90_000), Source::Store, newest, &peers);
     for node in 1..NODES {
         let now = TimePoint::from_millis(90_000 + node as u64);
         let revision = nodes[0].revision();
-        take(&mut nodes[node], now, Source::Peer(address(0)), revision, &peers);
+        receive(&mut nodes[node], now, Source::Peer(address(0)), revision, &peers);
         assert_eq!(nodes[node].revision(), newest);
     }
 }
 
-fn take(
+fn receive(
     node: &mut Distribution,
     now: TimePoint,
     source: Source,
@@ -249,16 +252,17 @@
     }
 }
 
-fn trouble() -> impl Strategy<Value = Trouble> {
-    (0..30_u32, 0..50_u32).prop_map(|(not_taken, lost_answer)| Trouble { not_taken, lost_answer })
+fn fault_rates() -> impl Strategy<Value = FaultRates> {
+    (0..30_u32, 0..50_u32)
+        .prop_map(|(unavailable, lost_response)| FaultRates { unavailable, lost_response })
 }
 
 proptest! {
     #![proptest_config(config(200))]
 
     #[test]
-    fn no_accepted_change_is_lost(seed in any::<u64>(), trouble in trouble()) {
-        check_editors(seed, trouble);
+    fn no_accepted_change_is_lost(seed in any::<u64>(), fault_rates in fault_rates()) {
+        check_editors(seed, fault_rates);
     }
 
     #[test]
@@ -272,7 +276,7 @@
 
     #[test]
     #[ignore = "the long run: cargo test --release -p quincevalve_control -- --ignored"]
-    fn no_accepted_change_is_lost_long(seed in any::<u64>(), trouble in trouble()) {
-        check_editors(seed, trouble);
+    fn no_accepted_change_is_lost_long(seed in any::<u64>(), fault_rates in fault_rates()) {
+        check_editors(seed, fault_rates);
     }
 }
--- a/crates/quincevalve_control/src/clock.rs
+++ b/crates/quincevalve_control/src/clock.rs
@@ -1,14 +1,14 @@
-//! The clock of the control process.
+//! Clock of the control process.
 
 use std::time::{Duration, SystemTime};
 
 use quincevalve_names::TimePoint;
 use quincevalve_timer::Timer;
 
-/// Time since 1970 that never goes back within a process.
+/// Monotonic clock that returns the time since the Unix epoch.
 ///
-/// Summaries of one data centre are made by several VMs and the newest stands, so their times must be
-/// comparable. The wall clock is read once, at the start.
+/// Several VMs create summaries of the same data centre and the newest one wins, so their times must be comparable
+/// between VMs. Wall-clock time is read once, at the start of the process.
 #[derive(Clone, Debug)]
 pub(crate) struct Clock {
     timer: Timer,
@@ -29,7 +29,7 @@
         &self.timer
     }
 
-    /// Seconds since 1970.
+    /// Returns the seconds since the Unix epoch.
     pub(crate) fn unix_seconds(&self) -> u64 {
         self.now().as_micros() / 1_000_000
     }
--- a/crates/quincevalve_control/src/config_actor.rs
+++ b/crates/quincevalve_control/src/config_actor.rs
@@ -1,4 +1,4 @@
-//! The actor around the distribution core.
+//! Actor that performs the I/O of the configuration's distribution.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -12,13 +12,13 @@
 use crate::{document, gossip_actor::GossipMessage, shared::Shared};
 
 pub(crate) enum ConfigMessage {
-    /// A peer has a revision.
-    Heard(SocketAddr, Revision),
-    /// Content arrived.
+    /// A peer reported its revision.
+    RevisionReported(SocketAddr, Revision),
+    /// A configuration was fetched from a peer or read from the store.
     Fetched(Source, RevisionBlob),
     FetchFailed(SocketAddr),
-    /// Where to tell what is in force here.
-    Gossip(ActorRef<GossipMessage>),
+    /// Sets the actor that receives the revision in force on this VM.
+    SetGossipActor(ActorRef<GossipMessage>),
 }
 
 pub(crate) struct ConfigActor;
@@ -50,7 +50,7 @@
     ) -> Result<(), ActorProcessingErr> {
         let now = state.shared.clock.now();
         let actions = match message {
-            ConfigMessage::Heard(peer, revision) => {
+            ConfigMessage::RevisionReported(peer, revision) => {
                 state.core.handle_announcement(now, peer, revision)
             }
             ConfigMessage::Fetched(source, blob) => {
@@ -61,13 +61,13 @@
                 state.core.fetch_failed(peer);
                 Vec::new()
             }
-            ConfigMessage::Gossip(gossip) => {
+            ConfigMessage::SetGossipActor(gossip) => {
                 state.gossip = Some(gossip);
                 Vec::new()
             }
         };
         for action in actions {
-            state.act(&myself, action);
+            state.perform(&myself, action);
         }
         Ok(())
     }
@@ -80,7 +80,7 @@
         reachable.filter(|it| it.name != self.shared.settings.name).map(|it| it.control).collect()
     }
 
-    fn act(&self, actor: &ActorRef<ConfigMessage>, action: DistributionAction) {
+    fn perform(&self, actor: &ActorRef<ConfigMessage>, action: DistributionAction) {
         match action {
             DistributionAction::Apply { revision, content } => self.apply(revision, &content),
             DistributionAction::Announce { to, revision } => self.announce(to, revision),
@@ -91,9 +91,9 @@
     fn apply(&self, revision: Revision, content: &Arc<str>) {
         log::info!("revision {revision} is in force");
         let blob = Arc::new(RevisionBlob { revision, content: content.to_string() });
-        self.shared.change(|it| it.config = Some(blob));
+        self.shared.update_state(|it| it.config = Some(blob));
         if let Some(gossip) = &self.gossip {
-            let _ = gossip.cast(GossipMessage::InForce(revision));
+            let _ = gossip.cast(GossipMessage::RevisionApplied(revision));
         }
     }
 
@@ -102,11 +102,11 @@
         for peer in to {
             let shared = self.shared.clone();
             tokio::spawn(async move {
-                let limit = shared.settings.pacing.peer();
-                let call = shared.callers.call(peer, limit, |client, cx| async move {
+                let limit = shared.settings.pacing.peer_timeout();
+                let call = shared.peer_clients.call(peer, limit, |client, cx| async move {
                     client.announce(cx, own, revision).await
                 });
-                // A lost announcement is made good by the next round of gossip.
+                // If the announcement is lost, the peer learns the revision in the next gossip round.
                 let _ = call.await;
             });
         }
@@ -117,9 +117,9 @@
         let actor = actor.clone();
         let has = self.core.revision();
         tokio::spawn(async move {
-            let limit = shared.settings.pacing.peer();
+            let limit = shared.settings.pacing.peer_timeout();
             let call = shared
-                .callers
+                .peer_clients
                 .call(peer, limit, |client, cx| async move { client.fetch(cx, has).await });
             let message = match call.await {
                 Ok(Some(blob)) => ConfigMessage::Fetched(Source::Peer(peer), blob),
@@ -130,32 +130,34 @@
     }
 }
 
-/// Members of a data centre that read the store for all.
-const RELAYS: usize = 2;
+/// Number of VMs per data centre that read the store on behalf of all its VMs.
+const RELAYS_PER_DATA_CENTRE: usize = 2;
 
-/// Whether this VM is one of its data centre's relays.
+/// Returns whether this VM is one of its data centre's relays, which rendezvous hashing selects.
+///
+/// A VM that is not yet in its own member list counts as a relay.
 pub(crate) fn is_relay(shared: &Shared) -> bool {
     const KEY: u64 = 0x72_656c_6179;
     let state = shared.state.borrow();
     let score = |it: &Member| rendezvous_score(KEY, it.hash());
     let own = state.members.iter().find(|it| it.name == shared.settings.name);
     let Some(own) = own.map(score) else { return true };
-    state.members.iter().filter(|it| it.takes_work() && score(it) > own).count() < RELAYS
+    state.members.iter().filter(|it| it.takes_work() && score(it) > own).count()
+        < RELAYS_PER_DATA_CENTRE
 }
 
-/// Watches the store while this VM is a relay.
+/// Watches the store for new revisions while this VM is a relay.
 ///
-/// Failure: the connection of the watch goes silent for good. Symptom: changes never arrive here. Each
-/// watch ends after a while by itself, and a call without an answer is given up and made again on
-/// another connection.
+/// If the watch's connection stalled for good, changes would never reach this VM. Each watch therefore ends after a
+/// bounded wait, and a call without a response times out and is retried on another connection.
 pub(crate) async fn watch_store(shared: Shared, actor: ActorRef<ConfigMessage>) {
     let mut version = KeyVersion::ABSENT;
     loop {
         if !is_relay(&shared) {
-            shared.clock.timer().after(shared.settings.pacing.period()).await;
+            shared.clock.timer().after(shared.settings.pacing.probe_interval()).await;
             continue;
         }
-        let wait = shared.settings.pacing.watch();
+        let wait = shared.settings.pacing.watch_timeout();
         let watched = shared.store.watch(document::HEAD_KEY, version, wait).await;
         let read = match watched {
             Ok(found) => read_newer(&shared, found, version).await,
@@ -169,7 +171,7 @@
             Ok(None) => {}
             Err(error) => {
                 log::debug!("configuration: {error}");
-                shared.clock.timer().after(shared.settings.pacing.platform()).await;
+                shared.clock.timer().after(shared.settings.pacing.platform_timeout()).await;
             }
         }
     }
@@ -178,12 +180,12 @@
 async fn read_newer(
     shared: &Shared,
     found: Option<quincevalve_ports::store::Versioned>,
-    than: KeyVersion,
+    known: KeyVersion,
 ) -> Result<Option<(KeyVersion, RevisionBlob)>, document::DocumentError> {
     let (version, head) = document::parse_head(found)?;
-    if version <= than {
+    if version <= known {
         return Ok(None);
     }
-    let blob = document::read_in_force(&shared.store, &head).await?;
+    let blob = document::read_current(&shared.store, &head).await?;
     Ok(blob.map(|it| (version, it)))
 }
--- a/crates/quincevalve_control/src/document.rs
+++ b/crates/quincevalve_control/src/document.rs
@@ -1,4 +1,4 @@
-//! The configuration in the platform's store.
+//! Storage of the configuration in the platform's key-value store.
 
 use quincevalve_names::Revision;
 use quincevalve_peers::RevisionBlob;
@@ -6,30 +6,31 @@
 use serde::{Deserialize, Serialize};
 use snafu::{OptionExt, ResultExt, Snafu};
 
-use crate::change::{ChangeId, HistoryRow};
+use crate::change::{ChangeId, HistoryEntry};
 
-/// The key of the head.
+/// Store key of the head.
 pub(crate) const HEAD_KEY: &str = "config";
-/// Changes that the head lists.
-pub(crate) const HISTORY: usize = 64;
+/// Maximum number of changes that the head lists.
+pub(crate) const MAX_HISTORY_ENTRIES: usize = 64;
 
-/// The head: which revision is in force, and how it came about. Contents lie under keys of their own,
-/// so the head stays small however large the inventory grows.
+/// The current revision and the changes that led to it.
+///
+/// Contents are stored under separate keys, so the size of the head doesn't depend on the size of the inventory.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Head {
     pub(crate) revision: Revision,
-    /// Newest first.
-    pub(crate) history: Vec<HistoryRow>,
+    /// Recent changes, newest first.
+    pub(crate) history: Vec<HistoryEntry>,
 }
 
 impl Head {
-    pub(crate) fn row_of(&self, change: &ChangeId) -> Option<&HistoryRow> {
+    pub(crate) fn find_change(&self, change: &ChangeId) -> Option<&HistoryEntry> {
         self.history.iter().find(|it| it.change == *change)
     }
 }
 
-/// The configuration can't be read.
+/// Error reading the configuration from the store.
 #[derive(Debug, Snafu)]
 pub(crate) enum DocumentError {
     #[snafu(display("{source}"))]
@@ -44,7 +45,7 @@
     format!("config-{change}")
 }
 
-/// Reads the head; an absent one is revision 0.
+/// Reads the head; if there is none, returns a head at revision 0.
 pub(crate) async fn read_head<S>(store: &S) -> Result<(KeyVersion, Head), DocumentError>
 where
     S: Store,
@@ -61,7 +62,7 @@
     Ok((found.version, head))
 }
 
-/// Reads the content of a change.
+/// Reads the configuration that a change stored.
 pub(crate) async fn read_content<S>(store: &S, change: &ChangeId) -> Result<String, DocumentError>
 where
     S: Store,
@@ -71,15 +72,15 @@
     Ok(found.context(MissingSnafu { key })?.value)
 }
 
-/// Reads the content that a head puts in force.
-pub(crate) async fn read_in_force<S>(
+/// Reads the configuration that the head's newest change stored, `None` at revision 0.
+pub(crate) async fn read_current<S>(
     store: &S,
     head: &Head,
 ) -> Result<Option<RevisionBlob>, DocumentError>
 where
     S: Store,
 {
-    let Some(row) = head.history.first() else { return Ok(None) };
-    let content = read_content(store, &row.change).await?;
+    let Some(entry) = head.history.first() else { return Ok(None) };
+    let content = read_content(store, &entry.change).await?;
     Ok(Some(RevisionBlob { revision: head.revision, content }))
 }
--- a/crates/quincevalve_control/src/gossip_actor.rs
+++ b/crates/quincevalve_control/src/gossip_actor.rs
@@ -1,4 +1,4 @@
-//! The actor around the membership core.
+//! Actor that performs the I/O of the membership protocol.
 
 use std::net::SocketAddr;
 
@@ -12,25 +12,25 @@
 
 pub(crate) enum GossipMessage {
     Tick,
-    /// Listed places: of the own data centre, and of others.
+    /// Addresses of possible peers, in this data centre (`near`) and in others (`far`).
     Seeds {
         near: Vec<SocketAddr>,
         far: Vec<SocketAddr>,
     },
-    /// A peer's probe.
+    /// A probe from a peer, with the port for the reply.
     Probed(Box<Message>, RpcReplyPort<Message>),
-    /// An answer to an own probe.
+    /// The answer to a probe that this VM sent.
     Answered(Box<Message>),
     ProbeFailed(EntryVmName),
-    /// A helper reached the member or not.
-    HelperAnswered(EntryVmName, bool),
-    /// The entry process's demand.
+    /// Result of an indirect probe: whether another peer reached the member.
+    IndirectProbeFinished(EntryVmName, bool),
+    /// Demand reported by this VM's entry process, and whether the VM is leaving.
     Demand {
         demand: u32,
         leaving: bool,
     },
-    /// The configuration in force here.
-    InForce(Revision),
+    /// A revision was applied on this VM.
+    RevisionApplied(Revision),
 }
 
 pub(crate) struct GossipActor;
@@ -66,26 +66,26 @@
         match message {
             GossipMessage::Tick => {
                 let actions = state.core.tick(now);
-                state.act(&myself, actions);
+                state.spawn_actions(&myself, actions);
             }
             GossipMessage::Seeds { near, far } => state.core.seed(&near, &far),
             GossipMessage::Probed(message, reply) => {
                 let answer = state.core.answer(now, &message);
                 let _ = reply.send(answer);
-                state.hear_revisions(&message);
+                state.report_newest_revision(&message);
             }
             GossipMessage::Answered(message) => {
                 state.core.receive(now, &message);
-                state.hear_revisions(&message);
+                state.report_newest_revision(&message);
             }
             GossipMessage::ProbeFailed(name) => {
                 let actions = state.core.probe_failed(&name);
                 if actions.is_empty() {
                     state.core.suspect(now, &name);
                 }
-                state.act(&myself, actions);
+                state.spawn_actions(&myself, actions);
             }
-            GossipMessage::HelperAnswered(name, reached) => {
+            GossipMessage::IndirectProbeFinished(name, reached) => {
                 if !reached {
                     state.core.suspect(now, &name);
                 }
@@ -97,7 +97,7 @@
                 }
                 state.core.set_load(state.demand, state.revision);
             }
-            GossipMessage::InForce(revision) => {
+            GossipMessage::RevisionApplied(revision) => {
                 state.revision = revision;
                 state.core.set_load(state.demand, state.revision);
             }
@@ -108,8 +108,8 @@
 }
 
 impl GossipState {
-    /// A peer that has a newer configuration is asked for it.
-    fn hear_revisions(&self, message: &Message) {
+    /// Passes the newest revision in a message, with the peer that has it, to the configuration's actor.
+    fn report_newest_revision(&self, message: &Message) {
         let sender = std::iter::once((message.sender.control, message.sender.load.revision));
         let others = message.updates.iter().map(|it| (it.control, it.load.revision));
         let summaries = message.summaries.iter().filter_map(|it| {
@@ -118,11 +118,11 @@
         });
         let newest = sender.chain(others).chain(summaries).max_by_key(|it| it.1);
         if let Some((peer, revision)) = newest {
-            let _ = self.config.cast(ConfigMessage::Heard(peer, revision));
+            let _ = self.config.cast(ConfigMessage::RevisionReported(peer, revision));
         }
     }
 
-    fn act(&self, actor: &ActorRef<GossipMessage>, actions: Vec<MembershipAction>) {
+    fn spawn_actions(&self, actor: &ActorRef<GossipMessage>, actions: Vec<MembershipAction>) {
         for action in actions {
             let actor = actor.clone();
             let shared = self.shared.clone();
@@ -142,7 +142,7 @@
             state.members == members && state.summaries == summaries
         };
         if !same {
-            self.shared.change(|it| {
+            self.shared.update_state(|it| {
                 it.members = members;
                 it.summaries = summaries;
             });
@@ -151,11 +151,11 @@
 }
 
 async fn perform(shared: &Shared, action: MembershipAction) -> Option<GossipMessage> {
-    let limit = shared.settings.pacing.peer();
+    let limit = shared.settings.pacing.peer_timeout();
     match action {
         MembershipAction::Probe { name, to, message } => {
             let call = shared
-                .callers
+                .peer_clients
                 .call(to, limit, |client, cx| async move { client.gossip(cx, message).await });
             match call.await {
                 Ok(answer) => Some(GossipMessage::Answered(Box::new(answer))),
@@ -163,27 +163,31 @@
             }
         }
         MembershipAction::ProbeVia { via, name, target } => {
-            let call = shared.callers.call(via, limit * 2, |client, cx| async move {
+            let call = shared.peer_clients.call(via, limit * 2, |client, cx| async move {
                 client.probe_for(cx, target).await
             });
             let answer: Result<bool, CallFailure> = call.await;
-            Some(GossipMessage::HelperAnswered(name, answer.unwrap_or(false)))
+            Some(GossipMessage::IndirectProbeFinished(name, answer.unwrap_or(false)))
         }
     }
 }
 
-/// Ticks the actor in each period.
-pub(crate) async fn tick(shared: Shared, actor: ActorRef<GossipMessage>) {
-    let mut ticks = shared.clock.timer().every(shared.settings.pacing.period());
+/// Sends `Tick` to the actor at once and then at every probe interval.
+pub(crate) async fn send_ticks(shared: Shared, actor: ActorRef<GossipMessage>) {
+    let mut ticks = shared.clock.timer().every(shared.settings.pacing.probe_interval());
     let _ = actor.cast(GossipMessage::Tick);
     while ticks.tick().await.is_some() {
         let _ = actor.cast(GossipMessage::Tick);
     }
 }
 
-/// Reads seeds from the platform's list now and then.
-pub(crate) async fn watch_list(shared: Shared, cloud: CloudClient, actor: ActorRef<GossipMessage>) {
-    let mut ticks = shared.clock.timer().every(shared.settings.pacing.list());
+/// Polls the platform's list of VMs for seed addresses.
+pub(crate) async fn poll_vm_list(
+    shared: Shared,
+    cloud: CloudClient,
+    actor: ActorRef<GossipMessage>,
+) {
+    let mut ticks = shared.clock.timer().every(shared.settings.pacing.list_interval());
     loop {
         let mut near = Vec::new();
         let mut far = shared.settings.seeds.clone();
--- a/crates/quincevalve_control/src/lib.rs
+++ b/crates/quincevalve_control/src/lib.rs
@@ -1,8 +1,9 @@
-//! The control process of one entry VM: membership, the configuration's way to everybody, the
+//! Control process of an entry VM: membership, distribution of the configuration, orders to engines and the
 //! administration API.
 //!
-//! Each part is an actor around a core without I/O. None of them is on the request path: an entry
-//! process goes on with what it heard last while its control process is away.
+//! Membership and distribution are actors that each wrap a core without I/O. None of the process's tasks is on the
+//! request path: while the control process is unreachable, the entry process continues with the last state that it
+//! received.
 
 mod admin;
 mod change;
@@ -19,7 +20,7 @@
 
 pub use crate::{
     admin::{AdminRole, Team},
-    change::{ChangeAnswer, ChangeId, Difference, HistoryRow},
+    change::{ChangeId, ChangeOutcome, Difference, HistoryEntry},
     settings::{ControlPacing, ControlSettings, PlanPacing},
     start::{ControlError, ControlProcess},
 };
--- a/crates/quincevalve_control/src/local_service.rs
+++ b/crates/quincevalve_control/src/local_service.rs
@@ -1,4 +1,4 @@
-//! What this control process does for the entry process of the same VM.
+//! RPC service for the entry process of the same VM.
 
 use std::time::Duration;
 
@@ -22,19 +22,19 @@
     async fn next(self, _: Context, version: u64, has: Revision, wait_ms: u32) -> LocalUpdate {
         let mut states = self.shared.state.subscribe();
         let wait = Duration::from_millis(u64::from(wait_ms));
-        let news = async {
-            // The sender lives as long as this service.
+        let newer_state = async {
+            // Can't fail: `self.shared` keeps the sender alive.
             let _ = states.wait_for(|it| it.version != version || it.revision() > has).await;
         };
-        self.shared.clock.timer().timeout(wait, news).await;
+        self.shared.clock.timer().timeout(wait, newer_state).await;
         let state = self.shared.state.borrow().clone();
-        update(&state, has)
+        local_update(&state, has)
     }
 
     async fn report(self, _: Context, name: EntryVmName, demand: u32, leaving: bool) {
         if name != self.shared.settings.name {
             log::warn!(
-                "the entry process calls itself {name}, its control process {}",
+                "the entry process reported the name {name}, but this VM is named {}",
                 self.shared.settings.name
             );
         }
@@ -42,7 +42,7 @@
     }
 }
 
-fn update(state: &LocalState, has: Revision) -> LocalUpdate {
+fn local_update(state: &LocalState, has: Revision) -> LocalUpdate {
     let newer = state.config.as_ref().filter(|it| it.revision > has);
     LocalUpdate {
         version: state.version,
--- a/crates/quincevalve_control/src/peer_service.rs
+++ b/crates/quincevalve_control/src/peer_service.rs
@@ -1,4 +1,4 @@
-//! What this control process does for its peers.
+//! RPC service for the control processes of other VMs.
 
 use std::net::SocketAddr;
 
@@ -15,7 +15,8 @@
     pub(crate) shared: Shared,
     pub(crate) gossip: ActorRef<GossipMessage>,
     pub(crate) config: ActorRef<ConfigMessage>,
-    pub(crate) hello: Message,
+    /// Message without updates, sent as an indirect probe and as the answer when the gossip actor has stopped.
+    pub(crate) own_message: Message,
 }
 
 impl ControlPeer for PeerService {
@@ -23,23 +24,23 @@
         let (tx, rx) = tokio::sync::oneshot::channel();
         let sent = self.gossip.cast(GossipMessage::Probed(Box::new(message), tx.into()));
         if sent.is_err() {
-            return self.hello;
+            return self.own_message;
         }
-        rx.await.unwrap_or(self.hello)
+        rx.await.unwrap_or(self.own_message)
     }
 
     async fn probe_for(self, _: Context, target: SocketAddr) -> bool {
-        let limit = self.shared.settings.pacing.peer();
-        let hello = self.hello;
+        let limit = self.shared.settings.pacing.peer_timeout();
+        let own_message = self.own_message;
         let call = self
             .shared
-            .callers
-            .call(target, limit, |client, cx| async move { client.gossip(cx, hello).await });
+            .peer_clients
+            .call(target, limit, |client, cx| async move { client.gossip(cx, own_message).await });
         call.await.is_ok()
     }
 
     async fn announce(self, _: Context, from: SocketAddr, revision: Revision) {
-        let _ = self.config.cast(ConfigMessage::Heard(from, revision));
+        let _ = self.config.cast(ConfigMessage::RevisionReported(from, revision));
     }
 
     async fn fetch(self, _: Context, than: Revision) -> Option<RevisionBlob> {
--- a/crates/quincevalve_control/src/plan_task.rs
+++ b/crates/quincevalve_control/src/plan_task.rs
@@ -1,4 +1,4 @@
-//! The plan's orders to the engines of one data centre, by whoever holds the lease.
+//! Sends the plan's orders to the engines of one data centre, while this process holds the plan's lease.
 
 use std::{collections::HashMap, net::SocketAddr};
 
@@ -13,34 +13,35 @@
 
 use crate::{config_actor::is_relay, shared::Shared};
 
-/// Engines that are told to load something at the same time: the weight store is rate-limited, and a
-/// data centre must not lose all its engines to loading at once.
-const LOADING_AT_ONCE: usize = 2;
+/// Maximum number of engines that are ordered to load a model in one planning round.
+///
+/// The weight store is rate-limited, and the engines of a data centre must not all be loading at the same time.
+const MAX_CONCURRENT_LOADS: usize = 2;
 
-/// What an engine should hold.
+/// The model version that an engine serves or should serve.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Held {
+struct Assignment {
     model: ModelName,
     version: String,
 }
 
-impl Held {
+impl Assignment {
     fn of(order: Option<EngineOrder>) -> Option<Self> {
         order.map(|it| Self { model: it.model, version: it.version })
     }
 }
 
-/// An engine with what the inventory wants of it.
-struct Wanted {
+/// An engine and the assignment that the inventory specifies for it.
+struct EngineTarget {
     name: BackendServerName,
     address: SocketAddr,
     fencing: OrderFencing,
-    held: Held,
+    assignment: Assignment,
 }
 
-/// The lease as this process knows it.
+/// The lease held by this process.
 #[derive(Clone, Copy, Debug)]
-struct Term {
+struct LeaseTerm {
     fencing: FencingNumber,
     until: TimePoint,
 }
@@ -48,35 +49,36 @@
 struct Planner {
     shared: Shared,
     engines: EngineClient,
-    orderers: HashMap<BackendServerName, OrderDispatcher<Held>>,
+    dispatchers: HashMap<BackendServerName, OrderDispatcher<Assignment>>,
 }
 
-/// Plans for as long as the process runs.
+/// Runs planning rounds until the process ends.
 pub(crate) async fn run(shared: Shared, http: HttpClient) {
-    let mut ticks = shared.clock.timer().every(shared.settings.plan.period());
+    let mut ticks = shared.clock.timer().every(shared.settings.plan.planning_interval());
     let engines = EngineClient::new(http);
-    let mut planner = Planner { shared, engines, orderers: HashMap::new() };
+    let mut planner = Planner { shared, engines, dispatchers: HashMap::new() };
     while ticks.tick().await.is_some() {
-        // Two of a data centre try for the lease; so its cost doesn't grow with the data centre.
+        // Only a data centre's relays compete for the lease, so the load on the store doesn't grow with the number
+        // of VMs.
         if is_relay(&planner.shared) {
-            planner.round().await;
+            planner.run_round().await;
         }
     }
 }
 
 impl Planner {
-    async fn round(&mut self) {
+    async fn run_round(&mut self) {
         let Some(inventory) = self.inventory() else { return };
-        let Some(term) = self.take_lease().await else {
-            self.orderers.clear();
+        let Some(term) = self.acquire_lease().await else {
+            self.dispatchers.clear();
             return;
         };
         let mut loading = 0;
-        for wanted in wanted_of(&self.shared, &inventory) {
-            if loading >= LOADING_AT_ONCE {
+        for target in engine_targets(&self.shared, &inventory) {
+            if loading >= MAX_CONCURRENT_LOADS {
                 return;
             }
-            loading += usize::from(self.see_to(&wanted, term).await);
+            loading += usize::from(self.reconcile(&target, term).await);
         }
     }
 
@@ -85,96 +87,108 @@
         read_inventory("configuration", &config.content, Format::Json).ok()
     }
 
-    /// Takes or renews the lease. Its end counts from before the call: the store's clock started no
-    /// earlier than that.
-    async fn take_lease(&self) -> Option<Term> {
+    /// Acquires or renews the lease; returns `None` if another process holds it or the store is unavailable.
+    ///
+    /// The expiry is computed from the time before the call, because the store starts the lease no earlier than
+    /// that.
+    async fn acquire_lease(&self) -> Option<LeaseTerm> {
         let settings = &self.shared.settings;
         let name = format!("plan-{}", settings.data_centre);
-        let asked_at = self.shared.clock.now();
-        let ttl = settings.plan.lease();
+        let requested_at = self.shared.clock.now();
+        let ttl = settings.plan.lease_ttl();
         let lease = self.shared.store.lease(&name, settings.name.as_str(), ttl).await.ok()?;
         let is_own = lease.holder == settings.name.as_str();
-        is_own.then_some(Term { fencing: lease.fencing, until: asked_at + ttl })
+        is_own.then_some(LeaseTerm { fencing: lease.fencing, until: requested_at + ttl })
     }
 
-    /// Sees to one engine; `true` if it was told to load something.
-    async fn see_to(&mut self, wanted: &Wanted, term: Term) -> bool {
-        let limit = self.shared.settings.pacing.peer();
-        let Ok(state) = self.engines.state(wanted.address, limit).await else { return false };
-        if Held::of(state.order).as_ref() == Some(&wanted.held) {
-            self.orderers.remove(&wanted.name);
+    /// Compares an engine's state with its target and sends an order if they differ.
+    ///
+    /// Returns whether an order was sent.
+    async fn reconcile(&mut self, target: &EngineTarget, term: LeaseTerm) -> bool {
+        let limit = self.shared.settings.pacing.peer_timeout();
+        let Ok(state) = self.engines.state(target.address, limit).await else { return false };
+        if Assignment::of(state.order).as_ref() == Some(&target.assignment) {
+            self.dispatchers.remove(&target.name);
             return false;
         }
         let settings = OrderSettings {
-            lease: self.shared.settings.plan.lease(),
-            max_delivery_time: self.shared.settings.plan.flight(),
+            lease: self.shared.settings.plan.lease_ttl(),
+            max_delivery_time: self.shared.settings.plan.max_delivery_time(),
         };
-        let fresh = || OrderDispatcher::new(settings, wanted.fencing);
-        let mut orderer = self.orderers.remove(&wanted.name).unwrap_or_else(fresh);
+        let new_dispatcher = || OrderDispatcher::new(settings, target.fencing);
+        let mut dispatcher = self.dispatchers.remove(&target.name).unwrap_or_else(new_dispatcher);
         let event = OrderEvent::Wanted {
-            state: wanted.held.clone(),
+            state: target.assignment.clone(),
             fencing: term.fencing,
             lease_until: term.until,
         };
         let now = self.shared.clock.now();
-        let mut action = orderer.handle(now, event);
+        let mut action = dispatcher.handle(now, event);
         if action.is_none() {
-            action = orderer.handle(now, OrderEvent::Tick);
+            action = dispatcher.handle(now, OrderEvent::Tick);
         }
         let mut sent = false;
         while let Some(next) = action {
             sent |= matches!(next, OrderAction::Send(..));
-            let Some(event) = self.perform(wanted, next).await else { break };
-            action = orderer.handle(self.shared.clock.now(), event);
+            let Some(event) = self.perform(target, next).await else { break };
+            action = dispatcher.handle(self.shared.clock.now(), event);
         }
-        self.orderers.insert(wanted.name.clone(), orderer);
+        self.dispatchers.insert(target.name.clone(), dispatcher);
         sent
     }
 
     async fn perform(
         &self,
-        wanted: &Wanted,
-        action: OrderAction<Held>,
-    ) -> Option<OrderEvent<Held>> {
-        // A call that lasts longer than the order's flight would break what the core relies on.
-        let limit = self.shared.settings.plan.flight();
+        target: &EngineTarget,
+        action: OrderAction<Assignment>,
+    ) -> Option<OrderEvent<Assignment>> {
+        // `OrderDispatcher` relies on no order arriving later than the maximum delivery time, so every call ends by then.
+        let limit = self.shared.settings.plan.max_delivery_time();
         match action {
             OrderAction::WriteIntent(fencing) => {
-                let written = self.write_intent(&wanted.name, fencing).await?;
+                let written = self.write_intent(&target.name, fencing).await?;
                 Some(if written { OrderEvent::IntentWritten } else { OrderEvent::IntentRefused })
             }
-            OrderAction::Send(held, fencing) => {
-                log::info!("{} is told to hold {} {}", wanted.name, held.model, held.version);
-                let Held { model, version } = held;
+            OrderAction::Send(assignment, fencing) => {
+                log::info!(
+                    "sending an order to {}: load {} {}",
+                    target.name,
+                    assignment.model,
+                    assignment.version
+                );
+                let Assignment { model, version } = assignment;
                 let order =
                     EngineOrder { fencing, model, version, adapters: Vec::new(), role: Role::Both };
-                let sent = self.engines.order(wanted.address, &order, limit).await;
+                let sent = self.engines.order(target.address, &order, limit).await;
                 Some(if sent.is_ok() { OrderEvent::Sent } else { OrderEvent::NotSent })
             }
             OrderAction::ReadBack => {
-                let state = self.engines.state(wanted.address, limit).await.ok()?;
-                Held::of(state.order).map(OrderEvent::ReadBack)
+                let state = self.engines.state(target.address, limit).await.ok()?;
+                Assignment::of(state.order).map(OrderEvent::ReadBack)
             }
             OrderAction::Done | OrderAction::Stop => None,
         }
     }
 
-    /// Writes the intent over a lower number. `None`: the store didn't tell.
+    /// Stores the fencing number as the intent for an engine unless the store has a higher one.
+    ///
+    /// Returns `false` if the store has a higher number, and `None` if the outcome of a store call is unknown or a
+    /// call failed.
     async fn write_intent(&self, name: &BackendServerName, fencing: FencingNumber) -> Option<bool> {
         let key = format!("intent-{name}");
         let found = self.shared.store.get(&key).await.ok()?;
-        let (version, stands) = match found {
+        let (version, stored) = match found {
             Some(found) => (found.version, found.value.parse().unwrap_or(0)),
             None => (KeyVersion::ABSENT, 0),
         };
-        if stands >= fencing.0 {
-            return Some(stands == fencing.0);
+        if stored >= fencing.0 {
+            return Some(stored == fencing.0);
         }
         self.shared.store.swap(&key, version, &fencing.to_string()).await.ok().map(|_| true)
     }
 }
 
-fn wanted_of(shared: &Shared, inventory: &Inventory) -> Vec<Wanted> {
+fn engine_targets(shared: &Shared, inventory: &Inventory) -> Vec<EngineTarget> {
     let all = inventory.backend_server.iter();
     let local = all.filter(|it| it.1.data_centre == shared.settings.data_centre && !it.1.drain);
     local
@@ -185,8 +199,8 @@
                 Fencing::Checked => OrderFencing::Checked,
                 Fencing::Ignored => OrderFencing::Ignored,
             };
-            let held = Held { model: model.clone(), version };
-            Some(Wanted { name: name.clone(), address: server.address, fencing, held })
+            let assignment = Assignment { model: model.clone(), version };
+            Some(EngineTarget { name: name.clone(), address: server.address, fencing, assignment })
         })
         .collect()
 }
--- a/crates/quincevalve_control/src/settings.rs
+++ b/crates/quincevalve_control/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of one control process.
+//! Settings of a control process.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -10,44 +10,44 @@
 
 use crate::admin::Team;
 
-/// The settings file of `quincevalve-control`.
+/// Contents of the settings file of `quincevalve-control`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ControlSettings {
-    /// This VM's name.
+    /// Name of this VM.
     pub name: EntryVmName,
-    /// Where it stands.
+    /// Data centre of this VM.
     pub data_centre: DataCentreName,
-    /// Where peers' control processes reach it.
+    /// Address to listen on for the control processes of peers.
     pub peer_listen: SocketAddr,
-    /// The address that peers are told, if it differs from the one listened on.
+    /// Address that is published to peers, if it differs from `peer_listen`.
     #[serde(default)]
     pub peer_advertise: Option<SocketAddr>,
-    /// Where peers reach the entry process of this VM.
+    /// Address at which peers reach this VM's entry process.
     pub entry_peer: SocketAddr,
-    /// Where the entry process of this VM asks.
+    /// Address to listen on for this VM's entry process.
     pub local_listen: SocketAddr,
-    /// Where operators reach the administration API; without it there is none on this VM.
+    /// Address to listen on for the administration API; if absent, this VM doesn't serve the API.
     #[serde(default)]
     pub admin_listen: Option<SocketAddr>,
-    /// The platform's address.
+    /// Address of the platform's API.
     pub platform: SocketAddr,
-    /// Control processes to ask first, beside those in the platform's list.
+    /// Control processes to contact first, in addition to those in the platform's list.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// How peers are let in and called; without it plain TCP, on loopback only.
+    /// Mutual TLS between peers; if absent, plain TCP is used, on loopback only.
     #[serde(default)]
     pub peer_tls: Option<PeerTls>,
-    /// Who may administer.
+    /// Teams that may use the administration API.
     #[serde(default)]
     pub team: Vec<Team>,
-    /// Waits and periods.
+    /// Timeouts and intervals.
     #[serde(default)]
     pub pacing: ControlPacing,
-    /// The plan's lease and orders.
+    /// Timing of the plan's lease and orders.
     #[serde(default)]
     pub plan: PlanPacing,
-    /// Logs.
+    /// Logging.
     #[serde(default)]
     pub log: LogSettings,
     /// Metrics.
@@ -55,21 +55,21 @@
     pub metrics: MetricsSettings,
 }
 
-/// Waits and periods, in milliseconds.
+/// Timeouts and intervals, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ControlPacing {
-    /// Between two rounds of probes.
+    /// Interval between two rounds of probes.
     pub period_ms: u64,
-    /// How long a suspect may refute before it counts as gone.
+    /// Time that a suspected member has to refute the suspicion before it is declared dead.
     pub suspicion_ms: u64,
-    /// The longest wait for a peer's answer.
+    /// Timeout of a call to a peer.
     pub peer_ms: u64,
-    /// The longest wait for the platform's answer.
+    /// Timeout of a call to the platform.
     pub platform_ms: u64,
-    /// How long one watch of the store waits.
+    /// Maximum duration of one watch of the store.
     pub watch_ms: u64,
-    /// Between two looks at the platform's list.
+    /// Interval between two reads of the platform's list of VMs.
     pub list_ms: u64,
 }
 
@@ -86,15 +86,15 @@
     }
 }
 
-/// The plan's lease and orders, in milliseconds.
+/// Timing of the plan's lease and orders, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PlanPacing {
-    /// Between two rounds of planning; well below the lease.
+    /// Interval between two planning rounds; must be well below `lease_ms`.
     pub period_ms: u64,
-    /// How long the lease lasts.
+    /// Duration of the lease.
     pub lease_ms: u64,
-    /// The longest time between deciding to send an order and its arrival.
+    /// Maximum time between the decision to send an order and its arrival.
     pub flight_ms: u64,
 }
 
@@ -105,43 +105,43 @@
 }
 
 impl PlanPacing {
-    pub(crate) const fn period(&self) -> Duration {
+    pub(crate) const fn planning_interval(&self) -> Duration {
         Duration::from_millis(self.period_ms)
     }
 
-    pub(crate) const fn lease(&self) -> Duration {
+    pub(crate) const fn lease_ttl(&self) -> Duration {
         Duration::from_millis(self.lease_ms)
     }
 
-    pub(crate) const fn flight(&self) -> Duration {
+    pub(crate) const fn max_delivery_time(&self) -> Duration {
         Duration::from_millis(self.flight_ms)
     }
 }
 
 impl ControlPacing {
-    pub(crate) const fn period(&self) -> Duration {
+    pub(crate) const fn probe_interval(&self) -> Duration {
         Duration::from_millis(self.period_ms)
     }
 
-    pub(crate) const fn peer(&self) -> Duration {
+    pub(crate) const fn peer_timeout(&self) -> Duration {
         Duration::from_millis(self.peer_ms)
     }
 
-    pub(crate) const fn platform(&self) -> Duration {
+    pub(crate) const fn platform_timeout(&self) -> Duration {
         Duration::from_millis(self.platform_ms)
     }
 
-    pub(crate) const fn watch(&self) -> Duration {
+    pub(crate) const fn watch_timeout(&self) -> Duration {
         Duration::from_millis(self.watch_ms)
     }
 
-    pub(crate) const fn list(&self) -> Duration {
+    pub(crate) const fn list_interval(&self) -> Duration {
         Duration::from_millis(self.list_ms)
     }
 
     pub(crate) fn membership(&self) -> MembershipSettings {
         MembershipSettings {
-            probe_interval: self.period(),
+            probe_interval: self.probe_interval(),
             suspicion_timeout: Duration::from_millis(self.suspicion_ms),
             ..MembershipSettings::default()
         }
@@ -149,7 +149,7 @@
 }
 
 impl ControlSettings {
-    /// The address that peers are told.
+    /// Returns the address that is published to peers.
     pub(crate) fn advertised(&self) -> SocketAddr {
         self.peer_advertise.unwrap_or(self.peer_listen)
     }
--- a/crates/quincevalve_control/src/shared.rs
+++ b/crates/quincevalve_control/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the parts of a control process share.
+//! State shared by the tasks of a control process.
 
 use std::sync::Arc;
 
@@ -10,7 +10,9 @@
 
 use crate::{clock::Clock, settings::ControlSettings};
 
-/// What an entry process is told, as one value.
+/// State that is sent to the entry process of this VM.
+///
+/// `version` increases with every update.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LocalState {
     pub(crate) version: u64,
@@ -25,19 +27,21 @@
     }
 }
 
+/// Settings, clients and state used by every task.
 #[derive(Clone)]
 pub(crate) struct Shared {
     pub(crate) settings: Arc<ControlSettings>,
     pub(crate) clock: Clock,
     pub(crate) store: HttpStore,
-    pub(crate) callers: PeerClients<ControlPeerClient>,
+    pub(crate) peer_clients: PeerClients<ControlPeerClient>,
     pub(crate) state: watch::Sender<LocalState>,
 }
 
 impl Shared {
-    pub(crate) fn change(&self, change: impl FnOnce(&mut LocalState)) {
+    /// Updates the local state, increments its version and notifies subscribers.
+    pub(crate) fn update_state(&self, update: impl FnOnce(&mut LocalState)) {
         self.state.send_modify(|it| {
-            change(it);
+            update(it);
             it.version += 1;
         });
     }
--- a/crates/quincevalve_control/src/start.rs
+++ b/crates/quincevalve_control/src/start.rs
@@ -1,4 +1,4 @@
-//! One control process, started from its settings.
+//! Start of a control process from its settings.
 
 use std::{
     net::SocketAddr,
@@ -30,43 +30,45 @@
     shared::{LocalState, Shared},
 };
 
-const CONNECT: Duration = Duration::from_millis(300);
-const TLS_RELOAD: Duration = Duration::from_secs(30);
+/// Timeout for establishing a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Interval between two reloads of the TLS certificates.
+const TLS_RELOAD_INTERVAL: Duration = Duration::from_secs(30);
 
-/// A control process that can't start.
+/// Error starting a control process.
 #[derive(Debug, Snafu)]
 pub enum ControlError {
-    /// Peers can't be let in.
+    /// The TLS configuration for peers is invalid.
     #[snafu(display("{source}"))]
     PeerTls {
-        /// Why.
+        /// Underlying error.
         source: PeerTlsError,
     },
-    /// An address for peers or the entry process can't be listened on.
+    /// Binding the address for peers or for the entry process failed.
     #[snafu(display("{field}: {source}"))]
     Peers {
-        /// The settings field.
+        /// Settings field with the address.
         field: &'static str,
-        /// Why.
+        /// Underlying error.
         source: BindError,
     },
-    /// The address for operators can't be listened on.
+    /// Binding the address of the administration API failed.
     #[snafu(display("admin_listen = \"{address}\": {source}"))]
     Admin {
-        /// The address.
+        /// Address that was to be bound.
         address: SocketAddr,
-        /// Why.
+        /// Underlying error.
         source: std::io::Error,
     },
-    /// An actor can't start.
+    /// An actor failed to start.
     #[snafu(display("{source}"))]
     Start {
-        /// Why.
+        /// Underlying error.
         source: ractor::SpawnErr,
     },
 }
 
-/// A running control process.
+/// A running control process, with its bound addresses.
 pub struct ControlProcess {
     peers: SocketAddr,
     local: SocketAddr,
@@ -74,10 +76,11 @@
 }
 
 impl ControlProcess {
-    /// Starts on the current runtime.
+    /// Binds the listeners and spawns the process's tasks on the current Tokio runtime.
     pub async fn start(mut settings: ControlSettings) -> Result<Self, ControlError> {
-        let own = settings.peer_listen.ip();
-        let security = PeerSecurity::new(settings.peer_tls.clone(), own).context(PeerTlsSnafu)?;
+        let own_ip = settings.peer_listen.ip();
+        let security =
+            PeerSecurity::new(settings.peer_tls.clone(), own_ip).context(PeerTlsSnafu)?;
         let peers = PeerListener::bind(settings.peer_listen).await;
         let peers = peers.context(PeersSnafu { field: "peer_listen" })?;
         let peer_address = peers.address();
@@ -90,27 +93,27 @@
         let member = own_member(&shared);
         let config = start_config(&shared).await?;
         let gossip = start_gossip(&shared, member, config.clone()).await?;
-        let _ = config.cast(ConfigMessage::Gossip(gossip.clone()));
+        let _ = config.cast(ConfigMessage::SetGossipActor(gossip.clone()));
         serve_peers(&shared, security.clone(), peers, &gossip, &config);
         serve_local(&shared, &security, local, &gossip);
         let admin = start_admin(&shared).await?;
-        let http = HttpClient::new(Some(own), CONNECT);
+        let http = HttpClient::new(Some(own_ip), CONNECT_TIMEOUT);
         tokio::spawn(plan_task::run(shared.clone(), http));
         tokio::spawn(reload_tls(shared.clock.timer().clone(), security));
         Ok(Self { peers: peer_address, local: local_address, admin })
     }
 
-    /// Where peers reach it.
+    /// Returns the address that serves peers.
     pub const fn peer_address(&self) -> SocketAddr {
         self.peers
     }
 
-    /// Where the entry process of the same VM asks.
+    /// Returns the address that serves the entry process of the same VM.
     pub const fn local_address(&self) -> SocketAddr {
         self.local
     }
 
-    /// Where operators reach the administration API.
+    /// Returns the address of the administration API, `None` if this VM serves none.
     pub const fn admin_address(&self) -> Option<SocketAddr> {
         self.admin
     }
@@ -118,12 +121,12 @@
 
 fn new_shared(settings: ControlSettings, security: &PeerSecurity) -> Shared {
     let clock = Clock::new(Timer::start());
-    let own = settings.peer_listen.ip();
-    let http = HttpClient::new(Some(own), CONNECT);
-    let store = HttpStore::new(http, settings.platform, settings.pacing.platform());
-    let callers = PeerClients::new(security.clone(), Some(own), CONNECT);
+    let own_ip = settings.peer_listen.ip();
+    let http = HttpClient::new(Some(own_ip), CONNECT_TIMEOUT);
+    let store = HttpStore::new(http, settings.platform, settings.pacing.platform_timeout());
+    let peer_clients = PeerClients::new(security.clone(), Some(own_ip), CONNECT_TIMEOUT);
     let state = watch::Sender::new(LocalState::default());
-    Shared { settings: Arc::new(settings), clock, store, callers, state }
+    Shared { settings: Arc::new(settings), clock, store, peer_clients, state }
 }
 
 fn own_member(shared: &Shared) -> Member {
@@ -133,19 +136,19 @@
         data_centre: shared.settings.data_centre.clone(),
         control: shared.settings.advertised(),
         entry: shared.settings.entry_peer,
-        // A restart under the same name comes later, and so has a higher incarnation.
+        // The start time: a restart under the same name gets a higher incarnation.
         incarnation: Incarnation(since.as_millis() as u64),
         state: MemberState::Alive,
         load: Load::default(),
     }
 }
 
-fn seed_of(shared: &Shared) -> u64 {
+fn random_seed(shared: &Shared) -> u64 {
     hash_text(shared.settings.name.as_str()) ^ shared.clock.now().as_micros()
 }
 
 async fn start_config(shared: &Shared) -> Result<ActorRef<ConfigMessage>, ControlError> {
-    let core = Distribution::new(DistributionSettings::default(), seed_of(shared));
+    let core = Distribution::new(DistributionSettings::default(), random_seed(shared));
     let state = ConfigState { core, shared: shared.clone(), gossip: None };
     let (actor, _) = Actor::spawn(None, ConfigActor, state).await.context(StartSnafu)?;
     tokio::spawn(config_actor::watch_store(shared.clone(), actor.clone()));
@@ -157,14 +160,15 @@
     member: Member,
     config: ActorRef<ConfigMessage>,
 ) -> Result<ActorRef<GossipMessage>, ControlError> {
-    let core = Membership::new(member, shared.settings.pacing.membership(), seed_of(shared));
+    let core = Membership::new(member, shared.settings.pacing.membership(), random_seed(shared));
     let state =
         GossipState { core, shared: shared.clone(), config, demand: 0, revision: Revision(0) };
     let (actor, _) = Actor::spawn(None, GossipActor, state).await.context(StartSnafu)?;
-    let http = HttpClient::new(Some(shared.settings.peer_listen.ip()), CONNECT);
-    let cloud = CloudClient::new(http, shared.settings.platform, shared.settings.pacing.platform());
-    tokio::spawn(gossip_actor::watch_list(shared.clone(), cloud, actor.clone()));
-    tokio::spawn(gossip_actor::tick(shared.clone(), actor.clone()));
+    let http = HttpClient::new(Some(shared.settings.peer_listen.ip()), CONNECT_TIMEOUT);
+    let cloud =
+        CloudClient::new(http, shared.settings.platform, shared.settings.pacing.platform_timeout());
+    tokio::spawn(gossip_actor::poll_vm_list(shared.clone(), cloud, actor.clone()));
+    tokio::spawn(gossip_actor::send_ticks(shared.clone(), actor.clone()));
     Ok(actor)
 }
 
@@ -180,7 +184,7 @@
         shared: shared.clone(),
         gossip: gossip.clone(),
         config: config.clone(),
-        hello: quincevalve_membership::Message {
+        own_message: quincevalve_membership::Message {
             sender,
             updates: Vec::new(),
             summaries: Vec::new(),
@@ -213,9 +217,9 @@
     Ok(Some(bound))
 }
 
-/// Reads the certificates again now and then, so that they can be changed without a restart.
+/// Reloads the certificates periodically, so that they can be replaced without a restart.
 async fn reload_tls(timer: Timer, security: PeerSecurity) {
-    let mut ticks = timer.every(TLS_RELOAD);
+    let mut ticks = timer.every(TLS_RELOAD_INTERVAL);
     while ticks.tick().await.is_some() {
         if let Err(error) = security.reload() {
             log::error!("{error}; the old certificates stay in use");
--- a/crates/quincevalve_control/tests/orders.rs
+++ b/crates/quincevalve_control/tests/orders.rs
@@ -1,7 +1,7 @@
-//! Engines get what the configuration wants, whether or not they check fencing numbers.
+//! Engines are ordered to load the configured version, whether or not they check fencing numbers.
 //!
-//! The operator changes a model's version. The control process that holds the lease tells the engines;
-//! one of them takes orders with old numbers, so it is told only after the waiting out.
+//! The configuration sets a model's version and the control process that holds the lease sends orders. One engine
+//! accepts orders with old fencing numbers, so its order is sent only after orders of an earlier leaseholder have expired.
 
 use std::{net::SocketAddr, path::Path, time::Duration};
 
@@ -61,8 +61,8 @@
     parse_settings(Path::new("control.toml"), &text).expect("the settings are right")
 }
 
-/// Puts a configuration into the store as an administrator's change does.
-async fn configure(platform: SocketAddr, checked: SocketAddr, ignoring: SocketAddr) {
+/// Writes a configuration to the store in the form in which the administration API stores a change.
+async fn store_configuration(platform: SocketAddr, checked: SocketAddr, ignoring: SocketAddr) {
     let content = serde_json::json!({
         "region": { "obb": {} },
         "data_centre": { "erding": { "region": "obb" } },
@@ -79,10 +79,10 @@
             }
         }
     });
-    let row = serde_json::json!({
+    let entry = serde_json::json!({
         "revision": 1, "change": "first", "by": "test", "at": 0, "touched": []
     });
-    let head = serde_json::json!({ "revision": 1, "history": [row] });
+    let head = serde_json::json!({ "revision": 1, "history": [entry] });
     let http = HttpClient::new(None, LIMIT);
     for (key, value) in [("config-first", content), ("config", head)] {
         let path = format!("/v1/kv/{key}?if=0");
@@ -91,22 +91,22 @@
     }
 }
 
-async fn order_of(engine: SocketAddr) -> Option<EngineOrder> {
+async fn read_order(engine: SocketAddr) -> Option<EngineOrder> {
     let engines = EngineClient::new(HttpClient::new(None, LIMIT));
     engines.state(engine, LIMIT).await.ok()?.order
 }
 
 #[tokio::test]
-async fn both_kinds_of_engine_get_the_version() {
+async fn engines_get_the_configured_version_with_and_without_fencing_checks() {
     let (listener, platform) = listen().await;
     tokio::spawn(Platform::new(1).serve(listener));
     let checked = start_engine(false).await;
     let ignoring = start_engine(true).await;
-    configure(platform, checked, ignoring).await;
+    store_configuration(platform, checked, ignoring).await;
     let _control = ControlProcess::start(settings(platform)).await.expect("it starts");
     for engine in [checked, ignoring] {
         let order = loop {
-            if let Some(order) = order_of(engine).await {
+            if let Some(order) = read_order(engine).await {
                 break order;
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
