--- a/crates/quincevalve_control/src/change/tests.rs
+++ b/crates/quincevalve_control/src/change/tests.rs
@@ -1,5 +1,5 @@
 //! Property tests of configuration changes and their distribution, over random interleavings of concurrent editors,
-//! timed_out responses, outages and restarts.
+//! lost responses, outages and restarts.
 
 use std::{
     collections::BTreeMap,
@@ -135,15 +135,15 @@
 const NODES: usize = 5;
 
 /// Checks that no revision is assigned to two changes, that every accepted change stays in the history, and that no
-/// change reported as conflicting or not stored is in the history. Changes with an unknown outcome may be in either
-/// state.
+/// change reported as conflicting or not stored is in the history. A change whose outcome is unknown may or may not be
+/// in it.
 fn check_editors(seed: u64, fault_rates: FaultRates) {
     run(async {
         let store = MemoryStore::new(seed, fault_rates);
         let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 1);
         let mut observed = [Revision(0); EDITORS];
         let mut accepted = BTreeMap::new();
-        let mut not_stored = Vec::new();
+        let mut unsuccessful = Vec::new();
         for number in 0..STEPS {
             let editor = rng.random_range(0..EDITORS);
             if rng.random_bool(0.5)
@@ -157,7 +157,7 @@
                     assert_eq!(other, None, "two changes were assigned revision {revision}");
                 }
                 ChangeOutcome::Conflict { .. } | ChangeOutcome::NotStored => {
-                    not_stored.push(number)
+                    unsuccessful.push(number)
                 }
                 ChangeOutcome::Unknown { .. } => {}
                 ChangeOutcome::Rejected { findings } => panic!("{findings:?}"),
@@ -170,9 +170,9 @@
             let entry = head.find_change(&id).expect("an accepted change is in the history");
             assert_eq!(entry.revision, revision);
         }
-        for number in not_stored {
+        for number in unsuccessful {
             let id = ChangeId::new(&format!("change-{number}")).unwrap();
-            assert!(head.find_change(&id).is_none(), "a not_stored change took effect");
+            assert!(head.find_change(&id).is_none(), "an unsuccessful change took effect");
         }
         if let Some(entry) = head.history.first() {
             let content = document::read_content(&store, &entry.change).await.unwrap();
--- a/crates/quincevalve_control/src/plan_task.rs
+++ b/crates/quincevalve_control/src/plan_task.rs
@@ -142,7 +142,8 @@
         target: &EngineTarget,
         action: OrderAction<Assignment>,
     ) -> Option<OrderEvent<Assignment>> {
-        // `OrderDispatcher` relies on no order arriving later than the maximum delivery time, so every call ends by then.
+        // `OrderDispatcher` relies on no order arriving after the maximum delivery time, so each call times out by
+        // then.
         let limit = self.shared.settings.plan.max_delivery_time();
         match action {
             OrderAction::WriteIntent(fencing) => {
@@ -172,8 +173,7 @@
 
     /// Stores the fencing number as the intent for an engine unless the store has a higher one.
     ///
-    /// Returns `false` if the store has a higher number, and `None` if the outcome of a store call is unknown or a
-    /// call failed.
+    /// Returns `false` if the store has a higher number, and `None` if a call failed or its outcome is unknown.
     async fn write_intent(&self, name: &BackendServerName, fencing: FencingNumber) -> Option<bool> {
         let key = format!("intent-{name}");
         let found = self.shared.store.get(&key).await.ok()?;
