--- a/crates/quincevalve_control/src/change/tests.rs
+++ b/crates/quincevalve_control/src/change/tests.rs
@@ -143,7 +143,7 @@
         let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 1);
         let mut observed = [Revision(0); EDITORS];
         let mut accepted = BTreeMap::new();
-        let mut unsuccessful = Vec::new();
+        let mut failed = Vec::new();
         for number in 0..STEPS {
             let editor = rng.random_range(0..EDITORS);
             if rng.random_bool(0.5)
@@ -156,9 +156,7 @@
                     let other = accepted.insert(revision, number);
                     assert_eq!(other, None, "two changes were assigned revision {revision}");
                 }
-                ChangeOutcome::Conflict { .. } | ChangeOutcome::NotStored => {
-                    unsuccessful.push(number)
-                }
+                ChangeOutcome::Conflict { .. } | ChangeOutcome::NotStored => failed.push(number),
                 ChangeOutcome::Unknown { .. } => {}
                 ChangeOutcome::Rejected { findings } => panic!("{findings:?}"),
             }
@@ -170,9 +168,9 @@
             let entry = head.find_change(&id).expect("an accepted change is in the history");
             assert_eq!(entry.revision, revision);
         }
-        for number in unsuccessful {
+        for number in failed {
             let id = ChangeId::new(&format!("change-{number}")).unwrap();
-            assert!(head.find_change(&id).is_none(), "an unsuccessful change took effect");
+            assert!(head.find_change(&id).is_none(), "a failed change took effect");
         }
         if let Some(entry) = head.history.first() {
             let content = document::read_content(&store, &entry.change).await.unwrap();
--- a/crates/quincevalve_control/tests/orders.rs
+++ b/crates/quincevalve_control/tests/orders.rs
@@ -1,8 +1,8 @@
 //! Engines are ordered to load the configured version, whether or not they check fencing numbers.
 //!
 //! The configuration sets a model's version and the control process that holds the lease sends orders. One engine
-//! accepts orders with old fencing numbers, so its order is sent only after any order of an earlier lease holder must
-//! have arrived.
+//! accepts orders with old fencing numbers, so it gets its order only after the time in which orders of an earlier
+//! lease holder can still arrive.
 
 use std::{net::SocketAddr, path::Path, time::Duration};
 
