--- a/crates/quincevalve_entry/src/filters.rs
+++ b/crates/quincevalve_entry/src/filters.rs
@@ -1,4 +1,5 @@
-//! The filters of the request path, one file each, in the order in which they stand in the pipe.
+//! The filters of the request path, one per file. The pipe applies identify, admit and claim, and for each attempt
+//! route, dispatch and relay.
 
 mod admit;
 mod claim;
@@ -9,7 +10,7 @@
 mod settle;
 
 pub(crate) use self::{
-    admit::{AdmissionDesk, Admit, Place},
+    admit::{AdmissionControl, AdmissionPermit, Admit},
     claim::Claim,
     dispatch::{Dispatch, Dispatched},
     identify::{Identify, identify_account},
