--- a/crates/quincevalve_entry/src/filters/dispatch.rs
+++ b/crates/quincevalve_entry/src/filters/dispatch.rs
@@ -140,8 +140,8 @@
                 let req =
                     call_request(address, call).map_err(|source| CallError::Form { source })?;
                 let http = self.shared.engines.http();
-                // If a pooled connection is dead without notice, it is unknown whether the call ran. Work that must not
-                // be repeated therefore gets a new connection.
+                // A call on a pooled connection that has silently failed may or may not have run. Work that must not
+                // be repeated gets a new connection, which costs less than an unknown outcome.
                 match request.execution {
                     Execution::NonIdempotent => http.send_fresh(address, req).await,
                     Execution::Idempotent => http.send(address, req).await,
