--- a/crates/quincevalve_entry/src/filters/settle.rs
+++ b/crates/quincevalve_entry/src/filters/settle.rs
@@ -3,7 +3,7 @@
 use quincevalve_inventory::Promise;
 use quincevalve_names::TimePoint;
 
-use crate::{answer::End, reader::is_whole, request::Identified, shared::Shared};
+use crate::{answer::End, reader::is_complete, request::Identified, shared::Shared};
 
 /// Records how a request ended, in the answer table, the error budget, the metrics and the log.
 pub(crate) fn settle(
@@ -19,7 +19,7 @@
         // The VM that took over the request counts its end.
         return;
     }
-    let kept_promise = is_whole(end) && is_promise_kept(request, now, first_token_at);
+    let kept_promise = is_complete(end) && is_promise_kept(request, now, first_token_at);
     shared.burn.count(now, &request.account, &request.class, request.id, kept_promise);
     let outcome = match end {
         End::Whole => "whole",
