--- a/crates/quincevalve_standins/src/engine.rs
+++ b/crates/quincevalve_standins/src/engine.rs
@@ -425,7 +425,7 @@
         let current_fencing = self.order.as_ref().map_or(order.fencing, |it| it.fencing);
         if order.fencing < current_fencing && !self.faults.ignores_fencing {
             self.counters.fenced_orders += 1;
-            return plain(StatusCode::PRECONDITION_FAILED, "outdated fencing number");
+            return plain(StatusCode::PRECONDITION_FAILED, "old fencing number");
         }
         self.order = Some(order);
         json(&EngineState { order: self.order.clone() })
--- a/crates/quincevalve_standins/src/platform.rs
+++ b/crates/quincevalve_standins/src/platform.rs
@@ -161,7 +161,7 @@
             return Ok(json(existing));
         }
         if state.faults.reject_purchases {
-            return Err(plain(StatusCode::INSUFFICIENT_STORAGE, "no VM of this class available"));
+            return Err(plain(StatusCode::INSUFFICIENT_STORAGE, "none of that class there now"));
         }
         let vm = format!("{}-{}-{}", order.data_centre, order.vm_class, state.purchases.len());
         let purchase = Purchase { vm };
