--- a/crates/quincevalve_trial/src/operator.rs
+++ b/crates/quincevalve_trial/src/operator.rs
@@ -64,21 +64,11 @@
     let (Ok(runtime), [first, .., last]) = (runtime, &admins[..]) else { return Race::default() };
     runtime.block_on(async {
         let client = Client { http: HttpClient::new(None, Duration::from_millis(500)) };
-        let base_revision = client.revision(*first).await.unwrap_or(0);
+        let on = client.revision(*first).await.unwrap_or(0);
         let edited_inventories = [edited_inventory(testbed, 2), edited_inventory(testbed, 3)];
         let (one, two) = tokio::join!(
-            client.put_config(
-                *first,
-                base_revision,
-                format!("race-{base_revision}-one"),
-                &edited_inventories[0]
-            ),
-            client.put_config(
-                *last,
-                base_revision,
-                format!("race-{base_revision}-two"),
-                &edited_inventories[1]
-            ),
+            client.put_config(*first, on, format!("race-{on}-one"), &edited_inventories[0]),
+            client.put_config(*last, on, format!("race-{on}-two"), &edited_inventories[1]),
         );
         let began = Instant::now();
         let mut race = Race { nodes: admins.len(), ..Race::default() };
@@ -90,7 +80,7 @@
             }
         }
         while began.elapsed() < PROPAGATION_TIMEOUT {
-            race.in_force = client.count_in_force(&admins, base_revision + 1).await;
+            race.in_force = client.count_in_force(&admins, on + 1).await;
             if race.in_force == race.nodes {
                 break;
             }
