--- a/crates/quincevalve_node/src/node.rs
+++ b/crates/quincevalve_node/src/node.rs
@@ -136,7 +136,7 @@
             usage: RefCell::default(),
             wall_clock: RefCell::default(),
             duty: RefCell::default(),
-            peers: RefCell::new(Peers::new(descriptor(&settings), settings.link_bytes_per_second)),
+            peers: RefCell::new(Peers::new(descriptor(&settings), settings.link)),
             demand: RefCell::default(),
             measured_demand: RefCell::default(),
             connections: ConnectionPool::new(settings.ip),
--- a/crates/quincevalve_node/src/settings.rs
+++ b/crates/quincevalve_node/src/settings.rs
@@ -22,7 +22,7 @@
     /// CPU quota in thousandths of a core.
     pub cpu: u32,
     /// Capacity of the VM's network link in bytes per second.
-    pub link_bytes_per_second: u64,
+    pub link: u64,
     /// Address to which callers connect.
     pub front: SocketAddr,
     /// Address of the readiness check.
--- a/crates/quincevalve_node/src/store/state_copy.rs
+++ b/crates/quincevalve_node/src/store/state_copy.rs
@@ -153,7 +153,7 @@
     if request.version.is_none() && !is_confirmed_newest(node, now) {
         return StateAnswer::Redirect { serves_others: false };
     }
-    if !copy.serve_slots.admit(sender, node.settings.link_bytes_per_second, now) {
+    if !copy.serve_slots.admit(sender, node.settings.link, now) {
         return StateAnswer::Redirect { serves_others: true };
     }
     let Some(version) = request.version else {
--- a/crates/quincevalve_node/src/test_node.rs
+++ b/crates/quincevalve_node/src/test_node.rs
@@ -69,7 +69,7 @@
         data_centre: "a".into(),
         ip: any_address().ip(),
         cpu: 250,
-        link_bytes_per_second: 125_000_000,
+        link: 125_000_000,
         front: any_address(),
         ready: any_address(),
         peer_port: 0,
--- a/crates/quincevalve_node/tests/support/mod.rs
+++ b/crates/quincevalve_node/tests/support/mod.rs
@@ -478,7 +478,7 @@
         data_centre: "a".into(),
         ip: any.ip(),
         cpu: 250,
-        link_bytes_per_second: 125_000_000,
+        link: 125_000_000,
         front: any,
         ready: any,
         peer_port: 0,
